--- a/src/coordination/dispatch/dispatch-call.ts
+++ b/src/coordination/dispatch/dispatch-call.ts
@@ -26,6 +26,11 @@
   readonly configVersion: number;
   /** Aborted when nobody wants the answer any more. */
   readonly signal: AbortSignal;
+  /**
+   * Told `true` when the request is handed to a replica or to another node, from where on it may run, and `false` when that one has
+   * certainly not run it and it waits here again. A request that was never handed over has not run.
+   */
+  readonly onHandOver?: (mayRun: boolean) => void;
 }
 
 /** A replica that a request was sent to. */
--- a/src/coordination/dispatch/home-dispatch.ts
+++ b/src/coordination/dispatch/home-dispatch.ts
@@ -174,9 +174,12 @@
     isRepeatable: boolean,
   ): Promise<DispatchResult | undefined> {
     const { metrics } = this.services;
+    if (call.signal.aborted) return { outcome: { kind: 'cancelled' }, hasEndedReplica: false };
+    call.onHandOver?.(true);
     const answer = await this.callHome(home, call, isRepeatable);
     metrics.homeCalls.inc({ outcome: answer.kind });
     if (answer.kind === 'not-taken') {
+      call.onHandOver?.(false);
       this.health.pass(home.name, answer.reason);
       return undefined;
     }
@@ -189,8 +192,10 @@
     const { message } = answer.outcome;
     if (message.room) this.rooms.set(home.name, { room: message.room, atMs: monotonicMs() });
     if (message.isClosed) this.health.pass(home.name, 'it is leaving');
-    if (message.isClosed || (message.kind === 'declined' && this.knowsMore(call.service, message.room)))
+    if (message.isClosed || (message.kind === 'declined' && this.knowsMore(call.service, message.room))) {
+      call.onHandOver?.(false);
       return undefined;
+    }
     return toResult(answer.outcome, home.name);
   }
 
--- a/src/coordination/dispatch/service-queue.ts
+++ b/src/coordination/dispatch/service-queue.ts
@@ -14,7 +14,9 @@
   admit,
   ExtraAttempts,
   PartyUse,
+  type RunningRequest,
   retryAfterMs,
+  slotWaitMs,
   type Waiting,
   type WaitingBounds,
   WaitingList,
@@ -43,6 +45,11 @@
  * ends sooner at the slow one.
  */
 const MAX_PASSED = 200;
+/**
+ * A request that waits without a slot is rejected this long before its deadline, milliseconds: two periods of `LOOK_MS`, so that the
+ * rejection reaches the node that has the caller before that node's own timer ends the request as one that may have run.
+ */
+const EXPIRY_MARGIN_MS = 2 * LOOK_MS;
 /** Part of the places that must be free for a second attempt: beyond, it would take the place of a first one. */
 const FREE_FOR_EXTRA = 0.1;
 
@@ -85,6 +92,8 @@
   private readonly extras = new ExtraAttempts();
   /** Replicas at which a request runs, by its identifier: a second attempt goes elsewhere. */
   private readonly running = new Map<string, Set<string>>();
+  /** Requests that this queue has running, by replica. */
+  private readonly runs = new Map<string, Set<RunningRequest>>();
   private timer: NodeJS.Timeout | undefined;
   private isScheduled = false;
   private isClosed = false;
@@ -228,7 +237,7 @@
   }
 
   private placeWaiting(): void {
-    this.dropOverdue();
+    this.dropOverdue(0);
     const passed = new Set<Entry>();
     let passedWorkMs = 0;
     while (passed.size < MAX_PASSED && this.waiting.size > passed.size && this.room.free > 0) {
@@ -242,6 +251,7 @@
         passedWorkMs += entry.workMs;
       }
     }
+    this.dropOverdue(EXPIRY_MARGIN_MS);
     this.armTimer();
   }
 
@@ -258,10 +268,22 @@
   }
 
   /** What can no longer be served in its time has not run, and its caller is told. */
-  private dropOverdue(): void {
+  private dropOverdue(marginMs: number): void {
     const nowMs = monotonicMs();
-    for (const entry of [...this.waiting])
-      if (entry.endsAtMs - nowMs < entry.workMs / 2) this.refuse(entry, 'its time is over', 0);
+    const slotMs = this.waiting.size === 0 ? 0 : this.slotWaitMs(nowMs);
+    for (const entry of [...this.waiting]) {
+      const usableMs = entry.endsAtMs - nowMs - slotMs;
+      if (usableMs < Math.max(marginMs, entry.workMs / 2))
+        this.refuse(entry, 'its time is over', this.comeBackMs(entry));
+    }
+  }
+
+  private slotWaitMs(nowMs: number): number {
+    const uses = this.states().map((state) => {
+      const running = this.runs.get(state.id) ?? new Set();
+      return { slots: Math.max(1, this.services.slotsOf(state)), running, runningCount: running.size };
+    });
+    return slotWaitMs(uses, nowMs);
   }
 
   private send(entry: Entry, state: ReplicaState, expectedMs: number): void {
@@ -274,11 +296,15 @@
       signal: call.signal,
     };
     this.noteRunning(call.request.id, state.id, true);
+    const run = { sentAtMs, workMs: entry.workMs, deadlineMs: entry.endsAtMs };
+    this.noteRun(state.id, run);
+    call.onHandOver?.(true);
     void this.services.exchange
       .attempt(state, request, { configVersion: call.configVersion, usualMs: entry.workMs })
       .then((outcome) => {
         if (outcome.kind === 'answered') this.noteTime(entry, state, monotonicMs() - sentAtMs);
         this.noteRunning(call.request.id, state.id, false);
+        this.endRun(state.id, run);
         this.use.add(call.party, monotonicMs() - sentAtMs - expectedMs, monotonicMs());
         this.finish(entry, state, outcome);
         this.schedule();
@@ -308,6 +334,7 @@
     entry.declines += 1;
     entry.lastReason = reason;
     if (entry.call.isExtra || entry.declines >= MAX_DECLINES || entry.call.signal.aborted) return false;
+    entry.call.onHandOver?.(false);
     entry.excluded.add(replicaId);
     if (this.fitting(entry).length === 0) entry.excluded.clear();
     this.addWaiting(entry);
@@ -322,6 +349,18 @@
     else this.running.set(requestId, replicas);
   }
 
+  private noteRun(replicaId: string, run: RunningRequest): void {
+    const runs = this.runs.get(replicaId) ?? new Set();
+    runs.add(run);
+    this.runs.set(replicaId, runs);
+  }
+
+  private endRun(replicaId: string, run: RunningRequest): void {
+    const runs = this.runs.get(replicaId);
+    runs?.delete(run);
+    if (runs?.size === 0) this.runs.delete(replicaId);
+  }
+
   private states(): ReplicaState[] {
     return this.services.directory.availableOf(this.service);
   }
@@ -341,6 +380,7 @@
       workBeforeMs,
       workWaitingMs: this.waiting.totalWorkMs,
       drainPerMs: drainRate(this.states(), this.services),
+      slotWaitMs: this.slotWaitMs(monotonicMs()),
       hasRoom: this.waiting.size === 0 && this.room.free > 0,
       workMs: entry.workMs,
       leftMs: entry.endsAtMs - monotonicMs(),
--- a/src/coordination/requests/service-relay.ts
+++ b/src/coordination/requests/service-relay.ts
@@ -121,6 +121,8 @@
   private lastReason = 'none available';
   /** Attempts that run or may have run: the request counts once for its tenant while there is any. */
   private countedAttempts = 0;
+  /** Pending attempts that still wait at this node: they have certainly not run. */
+  private readonly waitingHere = new Set<object>();
   private uncount = () => {};
 
   constructor(
@@ -180,11 +182,18 @@
 
   private start(pending: Set<Promise<Attempt>>): void {
     const isExtra = pending.size > 0;
-    const sent = this.send(this.toCall(isExtra), this.isRepeatable);
+    const attempt = {};
+    const onHandOver = (mayRun: boolean) => {
+      if (mayRun) this.waitingHere.delete(attempt);
+      else this.waitingHere.add(attempt);
+    };
+    this.waitingHere.add(attempt);
     this.noteSent();
+    const sent = this.send({ ...this.toCall(isExtra), onHandOver }, this.isRepeatable);
     this.hedgeFromMs = monotonicMs() + this.hedgeDelayMs();
     const tracked: Promise<Attempt> = sent.then((result) => {
       pending.delete(tracked);
+      this.waitingHere.delete(attempt);
       const { outcome, replica, hasEndedReplica } = result;
       if (replica && outcome.kind !== 'declined') this.hasReachedReplica = true;
       if (replica) this.tried.add(replica.id);
@@ -301,7 +310,10 @@
     return { kind: 'refused', reason: this.lastReason, retryAfterMs, attempts: this.attempts };
   }
 
+  /** An attempt that still waits here is withdrawn before it can run; where no other was made, the request has not run. */
   private timedOut(): RelayOutcome {
+    for (const _ of this.waitingHere) this.noteNotRun();
+    this.waitingHere.clear();
     if (this.countedAttempts === 0) return this.exhausted();
     this.lastReason = `the time is over; ${this.countedAttempts} attempt(s) made; before: ${this.lastReason}`;
     return this.failed(true);
--- a/src/state/admission/admission.ts
+++ b/src/state/admission/admission.ts
@@ -12,6 +12,8 @@
   readonly workWaitingMs: number;
   /** Usual time of requests that the replicas end in a millisecond. */
   readonly drainPerMs: number;
+  /** Least expected time until a replica frees a slot, milliseconds; 0 where a slot is free or nothing is known. */
+  readonly slotWaitMs: number;
   /** Whether a place is free that it could have now. */
   readonly hasRoom: boolean;
   /** Time that it takes once it runs, milliseconds. */
@@ -38,7 +40,8 @@
  */
 export function admit(terms: AdmissionTerms, chance: number): Admission {
   if (terms.hasRoom) return { kind: 'admitted', expectedWaitMs: 0 };
-  const expectedWaitMs = terms.workBeforeMs / Math.max(terms.drainPerMs, Number.EPSILON);
+  const queueWaitMs = terms.workBeforeMs / Math.max(terms.drainPerMs, Number.EPSILON);
+  const expectedWaitMs = Math.max(queueWaitMs, terms.slotWaitMs);
   if (expectedWaitMs + terms.workMs <= terms.leftMs) return { kind: 'admitted', expectedWaitMs };
   return { kind: 'refused', retryAfterMs: retryAfterMs(terms, chance) };
 }
--- a/test/coordination/dispatch/homes.test.ts
+++ b/test/coordination/dispatch/homes.test.ts
@@ -152,6 +152,25 @@
     expect(receivedAs(waitingId)).to.have.length(0);
   });
 
+  it('that cannot have a slot in time are rejected as not run, at the home and over the hop', async () => {
+    for (const replica of replicas) replica.workMs = 3_000;
+    const filling = Array.from({ length: replicas.length * SLOTS }, () => lookup(home));
+    await until('every slot is taken', () => replicas.every(({ running }) => running === SLOTS));
+    const startedAt = monotonicMs();
+    const ids = [nextId(), nextId()];
+    const answers = await Promise.all([
+      lookup(home, ids[0]),
+      lookup(others[0] as ServiceNodeProcess, ids[1]),
+    ]);
+    expect(monotonicMs() - startedAt).to.be.lessThan(1_500);
+    for (const answer of answers) {
+      expect(answer?.status, answer?.body.toString()).to.equal(503);
+      expect(Number(answer?.headers['retry-after'])).to.be.greaterThan(0);
+    }
+    for (const id of ids) expect(receivedAs(id)).to.have.length(0);
+    await Promise.all(filling);
+  });
+
   it('are not cut off when the home is stopped: what runs ends, what waits goes elsewhere', async () => {
     for (const replica of replicas) replica.workMs = 200;
     const underWay = Array.from({ length: 40 }, (_, index) =>
--- a/test/coordination/dispatch/service-queue.test.ts
+++ b/test/coordination/dispatch/service-queue.test.ts
@@ -143,6 +143,39 @@
     expect(open.some(({ id }) => id === 'waited')).to.equal(false);
   });
 
+  it('rejects what waits before its deadline, so that the node which has the caller hears of it in time', async () => {
+    await fill();
+    const endsAtMs = monotonicMs() + 300;
+    const handedOver: boolean[] = [];
+    const waiting = call({ endsAtMs, onHandOver: (mayRun) => handedOver.push(mayRun) });
+    const refused = await queue.dispatch(waiting);
+    expect(refused.outcome.kind).to.equal('declined');
+    expect(refused.retryAfterMs).to.be.greaterThan(0);
+    expect(endsAtMs - monotonicMs()).to.be.greaterThan(0);
+    expect(handedOver).to.deep.equal([]);
+  });
+
+  it('rejects on arrival what has less time than every replica has kept its requests', async () => {
+    await fill();
+    const filledAtMs = monotonicMs();
+    await until('they have run for long', () => monotonicMs() - filledAtMs > 150);
+    const startedAt = monotonicMs();
+    const refused = await queue.dispatch(call({ leftMs: 120 }));
+    expect(monotonicMs() - startedAt).to.be.lessThan(15);
+    expect(refused.outcome.kind).to.equal('declined');
+    expect(refused.retryAfterMs).to.be.greaterThan(0);
+  });
+
+  it('tells when a request is handed to a replica, and when one that was declined waits again', async () => {
+    const handedOver: boolean[] = [];
+    void queue.dispatch(call({ onHandOver: (mayRun) => handedOver.push(mayRun) }));
+    await turn();
+    expect(handedOver).to.deep.equal([true]);
+    open[0]?.end(FULL);
+    await until('it is sent again', () => open.length === 2);
+    expect(handedOver).to.deep.equal([true, false, true]);
+  });
+
   it('takes a caller that has left out of the queue at once', async () => {
     await fill();
     const leaving = new AbortController();
--- /dev/null
+++ b/test/coordination/requests/service-relay.test.ts
@@ -0,0 +1,92 @@
+/** The end of a relayed request at its deadline: what was never handed over has not run. Without a network. */
+import { expect } from 'chai';
+import { monotonicMs } from '../../../src/common/clock.js';
+import { ServiceMetrics } from '../../../src/common/service-metrics.js';
+import type { DispatchCall, DispatchResult } from '../../../src/coordination/dispatch/dispatch-call.js';
+import { RequestQuarantine } from '../../../src/coordination/requests/request-quarantine.js';
+import { type RelayedRequest, ServiceRelay } from '../../../src/coordination/requests/service-relay.js';
+import type { Route } from '../../../src/protocol/routing-configuration.js';
+
+const TIMEOUT_MS = 80;
+const ROUTE = {
+  name: 'lookup',
+  kind: 'safe',
+  service: 's',
+  timeoutMs: TIMEOUT_MS,
+  targetLatencyMs: 1_000,
+  maxAttempts: 3,
+} as unknown as Route;
+
+describe('a relayed request at its deadline', () => {
+  let calls: DispatchCall[];
+  let counted: number;
+
+  beforeEach(() => {
+    calls = [];
+    counted = 0;
+  });
+
+  /** Relays a request whose attempts end only when they are aborted; `onCall` plays the queue or the other node. */
+  function relay(onCall: (call: DispatchCall) => void) {
+    const quarantine = new RequestQuarantine({
+      store: {} as never,
+      metrics: new ServiceMetrics(),
+      logger: { record: () => {} },
+    });
+    const send = (call: DispatchCall) =>
+      new Promise<DispatchResult>((resolve) => {
+        calls.push(call);
+        const cancel = () => resolve({ outcome: { kind: 'cancelled' }, hasEndedReplica: false });
+        call.signal.addEventListener('abort', cancel);
+        onCall(call);
+      });
+    const countRun = () => {
+      counted += 1;
+      return () => {
+        counted -= 1;
+      };
+    };
+    const splitter = { next: () => ({ service: 's', weight: 1 }) };
+    return new ServiceRelay(splitter as never, send, quarantine, countRun).relay({
+      id: 'request-1',
+      method: 'POST',
+      path: '/x',
+      host: 'h',
+      tenant: 't',
+      headers: {},
+      body: Buffer.from('x'),
+      route: ROUTE,
+      snapshot: { version: 1 },
+      deadlineMs: monotonicMs() + 10_000,
+      signal: new AbortController().signal,
+      isHedged: true,
+      rank: 0,
+      party: 'p',
+      isPatient: false,
+      aimAtMs: monotonicMs() + 1_000,
+    } as unknown as RelayedRequest);
+  }
+
+  it('has not run while it waits here: it is rejected, withdrawn at once and not counted', async () => {
+    const outcome = await relay(() => {});
+    expect(outcome.kind).to.equal('refused');
+    if (outcome.kind === 'refused') expect(outcome.retryAfterMs).to.be.greaterThan(0);
+    expect(calls[0]?.signal.aborted).to.equal(true);
+    expect(counted).to.equal(0);
+  });
+
+  it('may have run once it was handed over: it fails, and counts', async () => {
+    const outcome = await relay((call) => call.onHandOver?.(true));
+    expect(outcome).to.include({ kind: 'failed', isTimeout: true });
+    expect(counted).to.equal(1);
+  });
+
+  it('has not run when what it was handed to did not take it and it waits here again', async () => {
+    const outcome = await relay((call) => {
+      call.onHandOver?.(true);
+      call.onHandOver?.(false);
+    });
+    expect(outcome.kind).to.equal('refused');
+    expect(counted).to.equal(0);
+  });
+});
--- a/test/coordination/requests/service-requests.test.ts
+++ b/test/coordination/requests/service-requests.test.ts
@@ -146,10 +146,16 @@
     await startNode();
     const holding = system.lookup(node, 'request-1');
     await until('the replica works', () => system.replicas[0]?.running === 1);
+    const sentAtMs = performance.now();
     const refused = await system.lookup(node, 'request-2');
     expect(refused?.status).to.equal(503);
     expect(Number(refused?.headers['retry-after'])).to.be.greaterThan(0);
+    expect(performance.now() - sentAtMs, 'once it is known, well before the time-out').to.be.lessThan(1_500);
+    const alsoRefused = await system.lookup(node, 'request-3', { [HEADER.deadlineMs]: '300' });
+    expect(alsoRefused?.status, 'held for longer than the time left').to.equal(503);
+    expect(performance.now() - sentAtMs).to.be.lessThan(1_700);
     await holding;
+    expect(system.replicas[0]?.received.map(({ id }) => id)).to.deep.equal(['request-1']);
   });
 
   it('does not reach a replica that took over the address of another', async () => {
--- a/test/state/admission/admission.test.ts
+++ b/test/state/admission/admission.test.ts
@@ -9,6 +9,7 @@
   workBeforeMs: 0,
   workWaitingMs: 0,
   drainPerMs: 8,
+  slotWaitMs: 0,
   hasRoom: false,
   workMs: 40,
   leftMs: 800,
@@ -24,6 +25,8 @@
       'a place is free',
     ).to.equal('admitted');
     expect(admit(terms({ leftMs: 30 }), 0).kind).to.equal('refused');
+    expect(admit(terms({ slotWaitMs: 770 }), 0).kind, 'no slot in time').to.equal('refused');
+    expect(admit(terms({ slotWaitMs: 750 }), 0).kind).to.equal('admitted');
   });
 
   it('names a time to come back when there is room, spread, and within what callers heed', () => {
@@ -31,6 +34,7 @@
       workBeforeMs: fc.nat(200_000),
       workWaitingMs: fc.nat(200_000),
       drainPerMs: fc.double({ min: 0, max: 50, noNaN: true }),
+      slotWaitMs: fc.double({ min: 0, max: 10_000, noNaN: true }),
       hasRoom: fc.boolean(),
       workMs: fc.double({ min: 1, max: 2_000, noNaN: true }),
       leftMs: fc.double({ min: 0, max: 10_000, noNaN: true }),
--- /dev/null
+++ b/test/state/admission/slot-wait.test.ts
@@ -0,0 +1,35 @@
+/** How long no slot becomes free, from the requests that run. */
+import { expect } from 'chai';
+import { type RunningRequest, slotWaitMs } from '../../../src/state/admission/slot-wait.js';
+
+const NOW_MS = 10_000;
+const WORK_MS = 50;
+
+function request(elapsedMs: number, leftMs = 60_000): RunningRequest {
+  return { sentAtMs: NOW_MS - elapsedMs, workMs: WORK_MS, deadlineMs: NOW_MS + leftMs };
+}
+
+function replica(slots: number, ...running: RunningRequest[]) {
+  return { slots, running, runningCount: running.length };
+}
+
+describe('the wait for a slot', () => {
+  it('is as long again as the shortest of the overlong requests has run', () => {
+    expect(slotWaitMs([replica(1, request(900))], NOW_MS)).to.equal(900);
+    expect(slotWaitMs([replica(2, request(900), request(400)), replica(1, request(700))], NOW_MS)).to.equal(
+      400,
+    );
+  });
+
+  it('ends at the deadline of a request that runs', () => {
+    expect(slotWaitMs([replica(1, request(900, 200))], NOW_MS)).to.equal(200);
+    expect(slotWaitMs([replica(1, request(900, -5))], NOW_MS)).to.equal(0);
+  });
+
+  it('is unknown, and so none, while a slot is free, others may hold it, or a request runs as long as usual', () => {
+    expect(slotWaitMs([], NOW_MS)).to.equal(0);
+    expect(slotWaitMs([replica(2, request(900))], NOW_MS)).to.equal(0);
+    expect(slotWaitMs([replica(1, request(900)), replica(1)], NOW_MS)).to.equal(0);
+    expect(slotWaitMs([replica(2, request(900), request(WORK_MS))], NOW_MS)).to.equal(0);
+  });
+});
