--- a/emulator/application/application-server.ts
+++ b/emulator/application/application-server.ts
@@ -5,7 +5,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import Type, { type Static } from 'typebox';
 import { sleep } from '../../src/common/clock.js';
-import { NOT_ADMITTED_HEADER } from '../../src/protocol/engine.js';
+import { NOT_ADMITTED_HEADER } from '../../src/protocol/resource/engine.js';
 import { Validator } from '../../src/protocol/validation.js';
 import { readWhole } from '../../src/transport/http-client.js';
 import { type HttpServer, sendJson } from '../../src/transport/http-server.js';
--- a/emulator/clients/trainer-loop.ts
+++ b/emulator/clients/trainer-loop.ts
@@ -4,8 +4,8 @@
  */
 import { monotonicMs, sleep } from '../../src/common/clock.js';
 import { Random } from '../../src/common/random.js';
-import type { Batch, Sample } from '../../src/protocol/trainer.js';
-import { TrainerClient } from '../../src/protocol/trainer-client.js';
+import type { Batch, Sample } from '../../src/protocol/resource/trainer.js';
+import { TrainerClient } from '../../src/protocol/resource/trainer-client.js';
 import { HttpClient } from '../../src/transport/http-client.js';
 
 /** What a trainer does. */
--- a/emulator/cluster.ts
+++ b/emulator/cluster.ts
@@ -2,10 +2,10 @@
 import { createPlatformStore } from '../platform/store-factory.js';
 import { sleep } from '../src/common/clock.js';
 import { sha256Hex, uniqueId } from '../src/common/identifier.js';
-import { ThymecoveNode } from '../src/node/node.js';
-import { checkSettings, type Settings } from '../src/node/settings.js';
-import { OperatorClient } from '../src/protocol/operator-client.js';
-import type { Role } from '../src/protocol/resource.js';
+import { ThymecoveNode } from '../src/node/resource/node.js';
+import { checkSettings, type Settings } from '../src/node/resource/settings.js';
+import { OperatorClient } from '../src/protocol/resource/operator-client.js';
+import type { Role } from '../src/protocol/resource/resource.js';
 import { formatProblems } from '../src/protocol/validation.js';
 import { HttpClient } from '../src/transport/http-client.js';
 import { ApplicationServer } from './application/application-server.js';
--- a/emulator/declarations.ts
+++ b/emulator/declarations.ts
@@ -1,5 +1,5 @@
 /** Declarations of the emulator's system: one model service, one application service, one trainer. */
-import { API_VERSION } from '../src/protocol/resource.js';
+import { API_VERSION } from '../src/protocol/resource/resource.js';
 
 export const EMULATOR_TRAINER = 'demo-trainer';
 export const EMULATOR_MODEL = 'demo-model';
--- a/emulator/engine/engine-server.ts
+++ b/emulator/engine/engine-server.ts
@@ -5,7 +5,7 @@
   EngineRequestSchema,
   NOT_ADMITTED_HEADER,
   STREAM_END,
-} from '../../src/protocol/engine.js';
+} from '../../src/protocol/resource/engine.js';
 import { formatProblems, Validator } from '../../src/protocol/validation.js';
 import { HttpClient } from '../../src/transport/http-client.js';
 import { callerGone, type HttpServer, sendJson } from '../../src/transport/http-server.js';
--- a/emulator/engine/engine.ts
+++ b/emulator/engine/engine.ts
@@ -5,7 +5,12 @@
  */
 import { monotonicMs, sleep } from '../../src/common/clock.js';
 import { Random } from '../../src/common/random.js';
-import type { EngineChunk, EngineOrder, EngineRequest, EngineState } from '../../src/protocol/engine.js';
+import type {
+  EngineChunk,
+  EngineOrder,
+  EngineRequest,
+  EngineState,
+} from '../../src/protocol/resource/engine.js';
 
 /** How an engine works and how fast. */
 export interface EngineOptions {
--- a/emulator/platform/platform-server.ts
+++ b/emulator/platform/platform-server.ts
@@ -4,8 +4,8 @@
  */
 import { STORE_PATH } from '../../platform/names.js';
 import { sleep } from '../../src/common/clock.js';
-import type { Machine } from '../../src/protocol/machine-list.js';
-import { MachineSchema } from '../../src/protocol/machine-list.js';
+import type { Machine } from '../../src/protocol/resource/machine-list.js';
+import { MachineSchema } from '../../src/protocol/resource/machine-list.js';
 import { Validator } from '../../src/protocol/validation.js';
 import { type Handler, type HttpServer, sendJson } from '../../src/transport/http-server.js';
 import { createStandInServer, FaultInjector, readControlJson } from '../faults.js';
--- a/emulator/usage/usage-server.ts
+++ b/emulator/usage/usage-server.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo, Socket } from 'node:net';
 import { CLOUD_PATH, HEADER } from '../../platform/names.js';
 import { monotonicMs, sleep } from '../../src/common/clock.js';
-import type { TenantCounts } from '../../src/protocol/usage.js';
+import type { TenantCounts } from '../../src/protocol/service/usage.js';
 
 /** A report that was received. */
 export interface ReceivedReport {
--- a/scripts/generate-resource-docs.ts
+++ b/scripts/generate-resource-docs.ts
@@ -1,7 +1,7 @@
 /** Writes `docs/RESOURCES.md` from the TypeBox schemas; with `--check` only tells whether it is up to date. */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import { API_VERSION, KINDS, READ_ONLY_KINDS, STORED_KINDS } from '../src/protocol/resource.js';
+import { API_VERSION, KINDS, READ_ONLY_KINDS, STORED_KINDS } from '../src/protocol/resource/resource.js';
 
 interface SchemaNode {
   readonly type?: string;
--- a/scripts/layer-rules.ts
+++ b/scripts/layer-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Which file of the product may import which: layers go one way, rooms within a layer too, and a room is entered through
- * its index.
+ * Which file of the product may import which: layers go one way, rooms within a layer too, a room is entered through its index, and
+ * what serves one of the two interfaces does not import what serves the other.
  */
 import { dirname, join, normalize } from 'node:path';
 
@@ -24,22 +24,49 @@
   'src/cli': ['src/node', 'src/state', 'src/protocol', 'src/transport', 'src/common'],
 };
 
-/** Rooms of a layer; each may import those before it. */
+/**
+ * Rooms of a layer; each may import those before it. Rooms below `resource` serve nodes of the product's own interface, rooms below
+ * `service` those of a platform's, all others both.
+ */
 const ROOMS: Readonly<Record<string, readonly string[]>> = {
-  'src/state': ['store', 'leases', 'configuration', 'replicas', 'admission', 'usage', 'jobs', 'samples'],
+  'src/protocol': [],
+  'src/state': [
+    'store',
+    'resource/tables',
+    'resource/leases',
+    'resource/configuration',
+    'resource/backends',
+    'resource/samples',
+    'service/store',
+    'service/configuration',
+    'service/replicas',
+    'service/admission',
+    'service/usage',
+    'service/jobs',
+  ],
   'src/coordination': [
-    'configuration',
-    'membership',
-    'duties',
-    'usage',
-    'dispatch',
-    'requests',
-    'weights',
-    'samples',
-    'jobs',
+    'feeds',
+    'resource/configuration',
+    'resource/membership',
+    'resource/singleton-tasks',
+    'resource/requests',
+    'resource/weights',
+    'resource/rollouts',
+    'service/membership',
+    'service/leadership',
+    'service/usage',
+    'service/dispatch',
+    'service/requests',
+    'service/weights',
+    'service/generation',
+    'service/jobs',
   ],
+  'src/node': [],
 };
 
+/** Folders of a layer that hold what serves one interface only. */
+const INTERFACES = ['resource', 'service'] as const;
+
 const IMPORT = /from\s+'(\.[^']+)'|import\s+'(\.[^']+)'/g;
 
 /** The layer that a path stands in, for example `src/state`. */
@@ -48,11 +75,18 @@
   return parts[0] === ADAPTER ? ADAPTER : parts.slice(0, 2).join('/');
 }
 
-/** The room that a path stands in, if its layer has rooms and the path is not a file of the layer itself. */
-function roomOf(path: string): string | undefined {
-  const rooms = ROOMS[layerOf(path)];
+/** The interface that a path serves, if it serves one only. */
+function interfaceOf(path: string): string | undefined {
   const folder = path.split('/')[2];
-  return rooms && folder && !folder.endsWith('.ts') ? folder : undefined;
+  return layerOf(path) in ROOMS ? INTERFACES.find((name) => name === folder) : undefined;
+}
+
+/** The room that a path stands in, if its layer has rooms and the path is not a file above them. */
+function roomOf(path: string): string | undefined {
+  if ((ROOMS[layerOf(path)] ?? []).length === 0) return undefined;
+  const folders = path.split('/').slice(2, -1);
+  const room = folders.slice(0, interfaceOf(path) === undefined ? 1 : 2);
+  return room.length === 0 || room.join('/') === interfaceOf(path) ? undefined : room.join('/');
 }
 
 /** Paths that a source imports, from the root of the repository. */
@@ -71,6 +105,15 @@
     : `${from}: ${layerOf(from)} must not import ${target}`;
 }
 
+/** What breaks the division between the two interfaces. */
+function interfaceBreach(from: string, to: string): string | undefined {
+  const [importer, imported] = [interfaceOf(from), interfaceOf(to)];
+  if (imported === undefined || importer === imported || !(layerOf(from) in ROOMS)) return undefined;
+  return importer === undefined
+    ? `${from}: serves both interfaces and must not import ${to}`
+    : `${from}: the ${importer} interface must not import the ${imported} interface`;
+}
+
 /** What breaks the order of rooms, or enters one past its index. */
 function roomBreach(from: string, to: string): string | undefined {
   const layer = layerOf(to);
@@ -90,9 +133,11 @@
 export function importBreaches(source: Source): string[] {
   const isProduct = source.path.startsWith('src/');
   return importsOf(source).flatMap((target) =>
-    [isProduct ? layerBreach(source.path, target) : undefined, roomBreach(source.path, target)].filter(
-      (breach) => breach !== undefined,
-    ),
+    [
+      isProduct ? layerBreach(source.path, target) : undefined,
+      isProduct ? interfaceBreach(source.path, target) : undefined,
+      roomBreach(source.path, target),
+    ].filter((breach) => breach !== undefined),
   );
 }
 
--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,7 +1,7 @@
 /** The command line, for whatever store a program brings. */
 import { runSafely, subcommands } from 'cmd-ts';
 import { configureLogging } from '../common/logging.js';
-import type { StoreFactory } from '../node/node.js';
+import type { StoreFactory } from '../node/resource/node.js';
 import { applyCommand, diffCommand, validateCommand } from './commands/declare.js';
 import {
   describeCommand,
--- a/src/cli/commands/declare.ts
+++ b/src/cli/commands/declare.ts
@@ -2,9 +2,9 @@
 import { array, boolean, command, flag, multioption, number, option, optional, string } from 'cmd-ts';
 import { monotonicMs, sleep } from '../../common/clock.js';
 import { uniqueId } from '../../common/identifier.js';
-import type { Changeset, ChangesetAnswer } from '../../protocol/operator.js';
-import { type OperatorClient, problemOf } from '../../protocol/operator-client.js';
 import type { ProtocolError } from '../../protocol/protocol-error.js';
+import type { Changeset, ChangesetAnswer } from '../../protocol/resource/operator.js';
+import { type OperatorClient, problemOf } from '../../protocol/resource/operator-client.js';
 import { type ConnectionValues, connectionFlags, outputFlag, withOperator } from '../connection.js';
 import { type Declaration, loadDeclarations } from '../declarations.js';
 import { ExitCode } from '../exit-codes.js';
--- a/src/cli/commands/inspect.ts
+++ b/src/cli/commands/inspect.ts
@@ -1,8 +1,8 @@
 /** `thymecove get`, `describe`, `watch`, `explain` and `status`. */
 import { command, number, option, optional, positional, string } from 'cmd-ts';
-import type { Explanation, Status } from '../../protocol/operator.js';
-import type { ShownResource } from '../../protocol/operator-client.js';
-import { KINDS, ROLLOUT_KIND } from '../../protocol/resource.js';
+import type { Explanation, Status } from '../../protocol/resource/operator.js';
+import type { ShownResource } from '../../protocol/resource/operator-client.js';
+import { KINDS, ROLLOUT_KIND } from '../../protocol/resource/resource.js';
 import { connectionFlags, outputFlag, withOperator } from '../connection.js';
 import { ExitCode } from '../exit-codes.js';
 import { formatTable, printNote, printResult, reportFailure } from '../output.js';
--- a/src/cli/commands/node.ts
+++ b/src/cli/commands/node.ts
@@ -1,8 +1,8 @@
 /** `thymecove node`: runs a node until it is told to stop. */
 import { command, number, option, optional, string } from 'cmd-ts';
 import { configureLogging } from '../../common/logging.js';
-import { type StoreFactory, ThymecoveNode } from '../../node/node.js';
-import { loadSettings } from '../../node/settings.js';
+import { type StoreFactory, ThymecoveNode } from '../../node/resource/node.js';
+import { loadSettings } from '../../node/resource/settings.js';
 import { ExitCode } from '../exit-codes.js';
 import { printNote } from '../output.js';
 
--- a/src/cli/connection.ts
+++ b/src/cli/connection.ts
@@ -1,7 +1,7 @@
 /** Flags by which a command reaches a node, and the client made of them. */
 import { readFileSync } from 'node:fs';
 import { oneOf, option, optional, string } from 'cmd-ts';
-import { OperatorClient } from '../protocol/operator-client.js';
+import { OperatorClient } from '../protocol/resource/operator-client.js';
 import { HttpClient } from '../transport/http-client.js';
 import { ExitCode } from './exit-codes.js';
 import { type OutputFormat, printNote } from './output.js';
--- a/src/cli/declarations.ts
+++ b/src/cli/declarations.ts
@@ -3,8 +3,8 @@
 import { join } from 'node:path';
 import { err, ok, type Result } from 'neverthrow';
 import { parseAllDocuments } from 'yaml';
-import { checkManifest, type Manifest } from '../protocol/manifest.js';
-import { READ_ONLY_KINDS, resourceKey } from '../protocol/resource.js';
+import { checkManifest, type Manifest } from '../protocol/resource/manifest.js';
+import { READ_ONLY_KINDS, resourceKey } from '../protocol/resource/resource.js';
 import type { FieldProblem } from '../protocol/validation.js';
 
 /** A declaration and where it stands. */
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,7 +1,7 @@
 /** Exit codes of the command line; documented in docs/OPERATIONS.md. */
 
-import { problemOf } from '../protocol/operator-client.js';
 import type { ProtocolError } from '../protocol/protocol-error.js';
+import { problemOf } from '../protocol/resource/operator-client.js';
 
 /** What an exit code says. */
 export const ExitCode = {
--- a/src/cli/job-accounts.ts
+++ b/src/cli/job-accounts.ts
@@ -1,6 +1,6 @@
 /** What operators see of batch jobs: one account a job, read from the store, without asking any node. */
 import { ok, type Result } from 'neverthrow';
-import type { JobHead, JobRepository } from '../state/jobs/index.js';
+import type { JobHead, JobRepository } from '../state/service/jobs/index.js';
 import type { StateError } from '../state/state-error.js';
 import { formatTable } from './output.js';
 
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,8 +1,8 @@
 /** Output of the command line: results to standard output, everything else to standard error. */
 import Table from 'cli-table3';
 import { stringify } from 'yaml';
-import { problemOf } from '../protocol/operator-client.js';
 import type { ProtocolError } from '../protocol/protocol-error.js';
+import { problemOf } from '../protocol/resource/operator-client.js';
 import { exitCodeOf } from './exit-codes.js';
 
 /** Forms of output. */
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -1,11 +1,11 @@
 /** What an apply would change: declarations beside the resources that are in force. */
 import { err, ok, type Result } from 'neverthrow';
-import type { Manifest } from '../protocol/manifest.js';
-import type { Changeset } from '../protocol/operator.js';
-import type { OperatorClient, ShownResource } from '../protocol/operator-client.js';
 import type { ProtocolError } from '../protocol/protocol-error.js';
-import { KINDS, READ_ONLY_KINDS, type Resource, resourceKey } from '../protocol/resource.js';
-import { sameDeclaration } from '../state/configuration/index.js';
+import type { Manifest } from '../protocol/resource/manifest.js';
+import type { Changeset } from '../protocol/resource/operator.js';
+import type { OperatorClient, ShownResource } from '../protocol/resource/operator-client.js';
+import { KINDS, READ_ONLY_KINDS, type Resource, resourceKey } from '../protocol/resource/resource.js';
+import { sameDeclaration } from '../state/resource/configuration/index.js';
 import type { Declaration } from './declarations.js';
 
 /** A planned change. */
--- a/src/cli/usage-accounts.ts
+++ b/src/cli/usage-accounts.ts
@@ -1,8 +1,8 @@
 /** What operators see of usage: one account a window, read from the store, without asking any node. */
 import type { Result } from 'neverthrow';
-import type { TenantCounts } from '../protocol/usage.js';
+import type { TenantCounts } from '../protocol/service/usage.js';
+import type { StoredReport, UsageRepository } from '../state/service/usage/index.js';
 import type { StateError } from '../state/state-error.js';
-import type { StoredReport, UsageRepository } from '../state/usage/index.js';
 import { formatTable } from './output.js';
 
 /** A window in the words of an operator. */
--- a/src/coordination/configuration/index.ts
+++ b/src/coordination/feeds/index.ts
@@ -1,4 +1,3 @@
-export { ConfigFollower } from './config-follower.js';
 export {
   FEED_WAIT_MS,
   type FeedHandler,
--- a/src/coordination/configuration/config-follower.ts
+++ b/src/coordination/resource/configuration/config-follower.ts
@@ -3,12 +3,12 @@
  * accepted when the store has committed it. Each answer of the store confirms the configuration, counted from the moment
  * of asking, so that a node that was paused or is cut off knows that it may be behind.
  */
-import { sleep } from '../../common/clock.js';
-import { startElapsed } from '../../common/elapsed-time.js';
-import type { LifecycleObserver } from '../../common/lifecycle.js';
-import type { RecordStore } from '../../protocol/record-store.js';
-import type { ConfigStore, ConfigView, FreshnessLease } from '../../state/configuration/index.js';
-import { CONFIGURATION_TABLE } from '../../state/store/index.js';
+import { sleep } from '../../../common/clock.js';
+import { startElapsed } from '../../../common/elapsed-time.js';
+import type { LifecycleObserver } from '../../../common/lifecycle.js';
+import type { RecordStore } from '../../../protocol/record-store.js';
+import type { ConfigStore, ConfigView, FreshnessLease } from '../../../state/resource/configuration/index.js';
+import { CONFIGURATION_TABLE } from '../../../state/resource/tables/index.js';
 
 const RETRY_DELAY_MS = 100;
 
--- /dev/null
+++ b/src/coordination/resource/configuration/index.ts
@@ -0,0 +1,1 @@
+export { ConfigFollower } from './config-follower.js';
--- a/src/coordination/coordination-error.ts
+++ b/src/coordination/resource/coordination-error.ts
@@ -1,7 +1,8 @@
 /** Failures of the coordination layer: what became of a piece of work, in the terms of a refusal. */
-import type { Executed, RefusalCode } from '../protocol/problem.js';
-import type { ProtocolError } from '../protocol/protocol-error.js';
-import type { StateError, VersionPair } from '../state/state-error.js';
+
+import type { ProtocolError } from '../../protocol/protocol-error.js';
+import type { Executed, RefusalCode } from '../../protocol/resource/problem.js';
+import type { StateError, VersionPair } from '../../state/state-error.js';
 
 /** Work that was refused or failed. `executed` is `no` only when it is certain that it did not run. */
 export class CoordinationError extends Error {
--- a/src/coordination/membership/machine-watch.ts
+++ b/src/coordination/resource/membership/machine-watch.ts
@@ -3,13 +3,13 @@
  * resources, so that a leaving machine reaches every node the way every other change does.
  */
 import { ok } from 'neverthrow';
-import { sleep } from '../../common/clock.js';
-import { uniqueId } from '../../common/identifier.js';
-import type { Logger } from '../../common/logging.js';
-import type { Machine, MachineListClient } from '../../protocol/machine-list.js';
-import type { Manifest } from '../../protocol/manifest.js';
-import { API_VERSION } from '../../protocol/resource.js';
-import type { ConfigStore, ConfigView, WantedChange } from '../../state/configuration/index.js';
+import { sleep } from '../../../common/clock.js';
+import { uniqueId } from '../../../common/identifier.js';
+import type { Logger } from '../../../common/logging.js';
+import type { Machine, MachineListClient } from '../../../protocol/resource/machine-list.js';
+import type { Manifest } from '../../../protocol/resource/manifest.js';
+import { API_VERSION } from '../../../protocol/resource/resource.js';
+import type { ConfigStore, ConfigView, WantedChange } from '../../../state/resource/configuration/index.js';
 
 /** Changes put into one revision at most. */
 const CHANGES_PER_COMMIT = 100;
--- a/src/coordination/membership/node-registry.ts
+++ b/src/coordination/resource/membership/node-registry.ts
@@ -3,11 +3,16 @@
  * node whose record stood still for too long, in time in which the store could be read, is taken for dead.
  */
 import { ok } from 'neverthrow';
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { LifecycleObserver } from '../../common/lifecycle.js';
-import type { NodeRecord } from '../../protocol/peer.js';
-import type { ChangedRecord, RecordAddress, RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import { type FeedHandler, type FeedObserver, RecordFeed, readPartition } from '../configuration/index.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { LifecycleObserver } from '../../../common/lifecycle.js';
+import type {
+  ChangedRecord,
+  RecordAddress,
+  RecordStore,
+  StoredRecord,
+} from '../../../protocol/record-store.js';
+import type { NodeRecord } from '../../../protocol/resource/peer.js';
+import { type FeedHandler, type FeedObserver, RecordFeed, readPartition } from '../../feeds/index.js';
 
 const NODE_TABLE = 'nodes';
 /** Silence of the store after which nothing is concluded from silence of nodes, as a multiple of the expiry. */
--- a/src/coordination/jobs/revision-report.ts
+++ b/src/coordination/resource/membership/revision-report.ts
@@ -1,7 +1,7 @@
 /** Who holds a revision of the configuration: asked of every node that may be alive. */
-import type { PeerClient } from '../../protocol/peer.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { NodeRegistry } from '../membership/index.js';
+import type { PeerClient } from '../../../protocol/resource/peer.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { NodeRegistry } from './node-registry.js';
 
 /** Who holds a revision. */
 export interface RevisionHolders {
--- a/src/coordination/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -5,14 +5,14 @@
  */
 import type { ServerResponse } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
-import type { Metrics } from '../../common/metrics.js';
-import { NOT_ADMITTED_HEADER } from '../../protocol/engine.js';
-import { retryAfterMs } from '../../protocol/json-exchange.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import type { BackendEntry } from '../../state/replicas/index.js';
-import type { HeaderMap, HttpClient, IncomingResponse } from '../../transport/http-client.js';
-import type { TransportError } from '../../transport/transport-error.js';
+import type { Metrics } from '../../../common/metrics.js';
+import { NOT_ADMITTED_HEADER } from '../../../protocol/resource/engine.js';
+import { retryAfterMs } from '../../../protocol/resource/json-exchange.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { BackendEntry } from '../../../state/resource/backends/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import type { HeaderMap, HttpClient, IncomingResponse } from '../../../transport/http-client.js';
+import type { TransportError } from '../../../transport/transport-error.js';
 import { CoordinationError, worseOf } from '../coordination-error.js';
 import { isPastDeadline, type RequestContext, timeLeftMs } from './request-context.js';
 import type { Route, Router } from './router.js';
--- a/src/coordination/requests/index.ts
+++ b/src/coordination/resource/requests/index.ts
@@ -8,9 +8,6 @@
   TIMEOUT_HEADER,
   writeRelayedHead,
 } from './application-relay.js';
-export { QuarantineExchange } from './quarantine-exchange.js';
 export { isPastDeadline, type RequestContext, timeLeftMs } from './request-context.js';
-export { RequestQuarantine } from './request-quarantine.js';
 export { isAllowedZone, type RouteQuery, Router } from './router.js';
-export { type RelayedRequest, type RelayOutcome, ServiceRelay } from './service-relay.js';
 export { NODE_TABLE, type NodeEvent, type NodeState, WorkGate } from './work-gate.js';
--- a/src/coordination/requests/request-context.ts
+++ b/src/coordination/resource/requests/request-context.ts
@@ -1,6 +1,6 @@
 /** What goes along with a request through the node. */
-import { monotonicMs } from '../../common/clock.js';
-import type { Principal } from '../../state/configuration/index.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { Principal } from '../../../state/resource/configuration/index.js';
 
 /** A request that is being served. */
 export interface RequestContext {
--- a/src/coordination/requests/router.ts
+++ b/src/coordination/resource/requests/router.ts
@@ -4,12 +4,12 @@
  * all would send every node to the same one.
  */
 import { err, ok, type Result } from 'neverthrow';
-import type { Random } from '../../common/random.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { DecisionInputs } from '../../state/decision-log.js';
-import type { BackendEntry, BackendRegistry } from '../../state/replicas/index.js';
-import { rankByRendezvous } from '../../state/replicas/index.js';
+import type { Random } from '../../../common/random.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { BackendEntry, BackendRegistry } from '../../../state/resource/backends/index.js';
+import { rankByRendezvous } from '../../../state/resource/backends/index.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { DecisionInputs } from '../../../state/resource/decision-log.js';
 
 /** What the work asks of a back end. */
 export interface RouteQuery {
--- a/src/coordination/requests/work-gate.ts
+++ b/src/coordination/resource/requests/work-gate.ts
@@ -1,8 +1,8 @@
 /** Whether this node may take new work at all: it serves, and its configuration is confirmed. */
 import { err, ok, type Result } from 'neverthrow';
-import type { Lifecycle } from '../../common/lifecycle.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { FreshnessLease } from '../../state/configuration/index.js';
+import type { Lifecycle } from '../../../common/lifecycle.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { FreshnessLease } from '../../../state/resource/configuration/index.js';
 import { CoordinationError } from '../coordination-error.js';
 
 /** Lifecycle of a node. */
--- a/src/coordination/samples/delivery.ts
+++ b/src/coordination/resource/rollouts/delivery.ts
@@ -1,13 +1,13 @@
 /** Delivery of samples to trainers: draws through any node, with a wait for the first sample. */
 import { err, ok, type Result } from 'neverthrow';
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { Metrics } from '../../common/metrics.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { Batch, DrawRequest } from '../../protocol/trainer.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import type { BatchLedger, DrawOutcome, DrawTerms } from '../../state/samples/index.js';
-import { isWithinBound } from '../../state/samples/index.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { Metrics } from '../../../common/metrics.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { Batch, DrawRequest } from '../../../protocol/resource/trainer.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import type { BatchLedger, DrawOutcome, DrawTerms } from '../../../state/resource/samples/index.js';
+import { isWithinBound } from '../../../state/resource/samples/index.js';
 import { type CoordinationError, fromState } from '../coordination-error.js';
 import { newestPublished } from '../weights/index.js';
 
--- a/src/coordination/samples/event-transcript.ts
+++ b/src/coordination/resource/rollouts/event-transcript.ts
@@ -3,8 +3,8 @@
  * needed: at the end of a sample, or to resume on another engine after a cut.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { parseEventLine, STREAM_END } from '../../protocol/engine.js';
-import type { Segment } from '../../protocol/trainer.js';
+import { parseEventLine, STREAM_END } from '../../../protocol/resource/engine.js';
+import type { Segment } from '../../../protocol/resource/trainer.js';
 
 const EVENT_END = Buffer.from('\n\n');
 const END_EVENT = Buffer.from(`data: ${STREAM_END}\n\n`);
--- a/src/coordination/samples/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -3,13 +3,13 @@
  * repeatable; what has been generated is kept and its weight versions stay with it.
  */
 import { err, ok, type Result } from 'neverthrow';
-import type { Metrics } from '../../common/metrics.js';
-import type { EngineClient, EngineRequest, EngineStream } from '../../protocol/engine.js';
-import type { ProtocolError } from '../../protocol/protocol-error.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import type { BackendEntry } from '../../state/replicas/index.js';
-import { toTransportError } from '../../transport/transport-error.js';
+import type { Metrics } from '../../../common/metrics.js';
+import type { ProtocolError } from '../../../protocol/protocol-error.js';
+import type { EngineClient, EngineRequest, EngineStream } from '../../../protocol/resource/engine.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { BackendEntry } from '../../../state/resource/backends/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import { toTransportError } from '../../../transport/transport-error.js';
 import { CoordinationError, fromBackend, worseOf } from '../coordination-error.js';
 import type { RouteQuery, Router, WorkGate } from '../requests/index.js';
 import { isPastDeadline, type RequestContext } from '../requests/index.js';
--- a/src/coordination/samples/rollout-owner.ts
+++ b/src/coordination/resource/rollouts/rollout-owner.ts
@@ -3,18 +3,18 @@
  * slots whose sample expired. Whatever it knows it has read from the ledger, so another node goes on where it
  * stopped.
  */
-import { monotonicMs, sleep } from '../../common/clock.js';
-import { newRequestId, sha256Hex } from '../../common/identifier.js';
-import type { LifecycleObserver } from '../../common/lifecycle.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { Sample } from '../../protocol/trainer.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import type { HeldLease } from '../../state/leases/index.js';
-import type { LoadedRollout, RolloutLedger, SlotTask } from '../../state/samples/index.js';
-import { formatSampleId, isWithinBound, oldestVersion } from '../../state/samples/index.js';
-import type { DutySignals, DutyTask } from '../duties/index.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import { newRequestId, sha256Hex } from '../../../common/identifier.js';
+import type { LifecycleObserver } from '../../../common/lifecycle.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { Sample } from '../../../protocol/resource/trainer.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import type { HeldLease } from '../../../state/resource/leases/index.js';
+import type { LoadedRollout, RolloutLedger, SlotTask } from '../../../state/resource/samples/index.js';
+import { formatSampleId, isWithinBound, oldestVersion } from '../../../state/resource/samples/index.js';
 import type { RequestContext } from '../requests/index.js';
+import type { DutySignals, DutyTask } from '../singleton-tasks/index.js';
 import { newestPublished } from '../weights/index.js';
 import type { GeneratedText } from './event-transcript.js';
 import type { Generator } from './generation.js';
--- a/src/coordination/samples/sample-committer.ts
+++ b/src/coordination/resource/rollouts/sample-committer.ts
@@ -1,7 +1,7 @@
 /** Commits finished samples in batches, so that the platform sees few calls however many samples there are. */
-import { sleep } from '../../common/clock.js';
-import type { HeldLease } from '../../state/leases/index.js';
-import type { CommitVerdict, FinishedSample, RolloutLedger } from '../../state/samples/index.js';
+import { sleep } from '../../../common/clock.js';
+import type { HeldLease } from '../../../state/resource/leases/index.js';
+import type { CommitVerdict, FinishedSample, RolloutLedger } from '../../../state/resource/samples/index.js';
 
 /** What became of a sample that was handed in. */
 export type CommitOutcome = CommitVerdict | 'lease-lost';
--- a/src/coordination/duties/lease-duties.ts
+++ b/src/coordination/resource/singleton-tasks/lease-duties.ts
@@ -3,12 +3,12 @@
  * the machine list) is a lease that any node may hold. The nodes first in line for a duty, by rendezvous weight
  * among the active members, try to take it; whoever holds it runs its task until the lease is lost.
  */
-import { sleep } from '../../common/clock.js';
-import { Lifecycle, type LifecycleObserver } from '../../common/lifecycle.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import type { HeldLease, LeaseStore } from '../../state/leases/index.js';
-import { rankByRendezvous } from '../../state/replicas/index.js';
+import { sleep } from '../../../common/clock.js';
+import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
+import { rankByRendezvous } from '../../../state/resource/backends/index.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import type { HeldLease, LeaseStore } from '../../../state/resource/leases/index.js';
 import type { NodeRegistry } from '../membership/index.js';
 
 /** What tells a duty's task to end. */
--- a/src/coordination/weights/engine-monitor.ts
+++ b/src/coordination/resource/weights/engine-monitor.ts
@@ -2,10 +2,10 @@
  * Watches the engines that this node uses: one task for each, asking for its state. An engine that is as it should
  * be is asked rarely; one that is changing, failing, or behind the version that it is to load is asked often.
  */
-import { sleep } from '../../common/clock.js';
-import type { EngineClient } from '../../protocol/engine.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { BackendEntry } from '../../state/replicas/index.js';
+import { sleep } from '../../../common/clock.js';
+import type { EngineClient } from '../../../protocol/resource/engine.js';
+import type { BackendEntry } from '../../../state/resource/backends/index.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { Router } from '../requests/index.js';
 import { targetVersion } from './version-policy.js';
 import { shouldDrain } from './weight-rollout.js';
--- a/src/coordination/weights/index.ts
+++ b/src/coordination/resource/weights/index.ts
@@ -1,4 +1,3 @@
 export { EngineMonitor } from './engine-monitor.js';
 export { isApproved, newestPublished, targetVersion } from './version-policy.js';
-export { WeightOrders } from './weight-orders.js';
 export { isAssigned, shouldDrain, WeightRollout, type WeightRolloutParts } from './weight-rollout.js';
--- a/src/coordination/weights/version-policy.ts
+++ b/src/coordination/resource/weights/version-policy.ts
@@ -1,6 +1,6 @@
 /** Which version of a model is the newest, and which one is to be loaded. */
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { ConfigView } from '../../state/configuration/index.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
 
 type ModelVersions = ReadonlyMap<string, readonly ResourceOf<'ModelVersion'>[]>;
 
--- a/src/coordination/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -4,18 +4,18 @@
  * an engine that has heard a later owner refuses an earlier one.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { sleep } from '../../common/clock.js';
-import { Lifecycle, type LifecycleObserver } from '../../common/lifecycle.js';
-import type { EngineClient, EngineOrder, EngineState } from '../../protocol/engine.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import type { HeldLease } from '../../state/leases/index.js';
-import type { BackendEntry, BackendRegistry } from '../../state/replicas/index.js';
-import { partitionOf } from '../../state/replicas/index.js';
-import type { DutyTask } from '../duties/index.js';
+import { sleep } from '../../../common/clock.js';
+import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
+import type { EngineClient, EngineOrder, EngineState } from '../../../protocol/resource/engine.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { BackendEntry, BackendRegistry } from '../../../state/resource/backends/index.js';
+import { partitionOf } from '../../../state/resource/backends/index.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import type { HeldLease } from '../../../state/resource/leases/index.js';
 import type { WorkGate } from '../requests/index.js';
 import { isAllowedZone } from '../requests/index.js';
+import type { DutyTask } from '../singleton-tasks/index.js';
 import { targetVersion } from './version-policy.js';
 
 type SwapState = 'current' | 'loading' | 'failed';
--- a/src/coordination/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -1,5 +1,5 @@
 /** A request on its way to some replica of a service, and what became of it. */
-import type { ReplicaRequest } from '../../protocol/replica.js';
+import type { ReplicaRequest } from '../../../protocol/service/replica.js';
 import type { AttemptOutcome } from './replica-exchange.js';
 
 /** A request for some replica of a service. Times are on the monotonic clock, milliseconds. */
--- a/src/coordination/dispatch/home-dispatch.ts
+++ b/src/coordination/service/dispatch/home-dispatch.ts
@@ -7,9 +7,9 @@
  * this node's own zone takes its place, then this node itself. Nothing depends on there being one home only: replicas decline what
  * is too much.
  */
-import { monotonicMs } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import {
   type DispatchMessage,
   type DispatchOutcomeMessage,
@@ -17,8 +17,13 @@
   MAX_DISPATCHED_BODY_BYTES,
   type PeerDispatch,
   type PeerDispatchOptions,
-} from '../../protocol/dispatch-peer.js';
-import { type FleetMember, homeCount, type ReplicaDirectory, rankHomes } from '../../state/replicas/index.js';
+} from '../../../protocol/service/dispatch-peer.js';
+import {
+  type FleetMember,
+  homeCount,
+  type ReplicaDirectory,
+  rankHomes,
+} from '../../../state/service/replicas/index.js';
 import type { DispatchCall, DispatchResult, ServiceRoom } from './dispatch-call.js';
 import { ACKNOWLEDGE_MS, HomeHealth } from './home-health.js';
 import type { AttemptOutcome } from './replica-exchange.js';
--- a/src/coordination/dispatch/home-health.ts
+++ b/src/coordination/service/dispatch/home-health.ts
@@ -2,7 +2,7 @@
  * Which homes take calls, as one node finds out by calling them. A home acknowledges a call before its replica has answered; one
  * that does not is passed over for a while, and the next in line takes its place.
  */
-import { monotonicMs } from '../../common/clock.js';
+import { monotonicMs } from '../../../common/clock.js';
 
 /**
  * A home that has not acknowledged a call for this long is passed over, milliseconds: less than a caller's usual aim leaves for a
--- a/src/coordination/dispatch/replica-end-check.ts
+++ b/src/coordination/service/dispatch/replica-end-check.ts
@@ -3,9 +3,9 @@
  * where a process has ended nothing listens any more, until its successor has started seconds later. One that starts again at
  * the same address is known by its announcement.
  */
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { ReplicaState } from '../../state/replicas/index.js';
-import { type ListenerState, probeListener } from '../../transport/listener-probe.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { ReplicaState } from '../../../state/service/replicas/index.js';
+import { type ListenerState, probeListener } from '../../../transport/listener-probe.js';
 
 /** Longest wait for the machine's word, milliseconds: a caller may be waiting for the next attempt. */
 const PROBE_TIMEOUT_MS = 300;
--- a/src/coordination/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -1,11 +1,11 @@
 /** One attempt at one replica, and what its outcome allows: whether the request ran, and whether the answer counts. */
-import { monotonicMs } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { ReplicaAnswer, ReplicaClient, ReplicaRequest } from '../../protocol/replica.js';
-import type { ReplicaState } from '../../state/replicas/index.js';
-import { readWhole } from '../../transport/http-client.js';
-import type { TransportError } from '../../transport/transport-error.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { ReplicaAnswer, ReplicaClient, ReplicaRequest } from '../../../protocol/service/replica.js';
+import type { ReplicaState } from '../../../state/service/replicas/index.js';
+import { readWhole } from '../../../transport/http-client.js';
+import type { TransportError } from '../../../transport/transport-error.js';
 import type { ReplicaEndCheck } from './replica-end-check.js';
 import { digestOf } from './request-digest.js';
 
--- a/src/coordination/dispatch/service-queue.ts
+++ b/src/coordination/service/dispatch/service-queue.ts
@@ -6,9 +6,9 @@
  * What waits is judged again before it is sent: by then its caller may have left, its time may be over, or the configuration
  * may not allow it any more.
  */
-import { monotonicMs } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import {
   type AdmissionTerms,
   admit,
@@ -20,7 +20,7 @@
   type Waiting,
   type WaitingBounds,
   WaitingList,
-} from '../../state/admission/index.js';
+} from '../../../state/service/admission/index.js';
 import {
   type ChoiceTerms,
   chooseReplica,
@@ -29,7 +29,7 @@
   type ReplicaState,
   roomOf,
   WorkTimes,
-} from '../../state/replicas/index.js';
+} from '../../../state/service/replicas/index.js';
 import type { DispatchCall, DispatchResult, ServiceRoom } from './dispatch-call.js';
 import type { AttemptOutcome, ReplicaExchange } from './replica-exchange.js';
 
--- a/src/coordination/samples/generation-attempt.ts
+++ b/src/coordination/service/generation/generation-attempt.ts
@@ -1,11 +1,11 @@
 /** One attempt to generate a sample, or the rest of it, at one model replica. */
-import { monotonicMs } from '../../common/clock.js';
-import type { JobItem } from '../../protocol/batch-job.js';
-import { EventStreamParser, type StreamEvent } from '../../protocol/event-stream.js';
-import type { ReplicaAnswer, ReplicaClient } from '../../protocol/replica.js';
-import type { ReplicaState } from '../../state/replicas/index.js';
-import { readWhole } from '../../transport/http-client.js';
-import { toTransportError } from '../../transport/transport-error.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { JobItem } from '../../../protocol/service/batch-job.js';
+import { EventStreamParser, type StreamEvent } from '../../../protocol/service/event-stream.js';
+import type { ReplicaAnswer, ReplicaClient } from '../../../protocol/service/replica.js';
+import type { ReplicaState } from '../../../state/service/replicas/index.js';
+import { readWhole } from '../../../transport/http-client.js';
+import { toTransportError } from '../../../transport/transport-error.js';
 import { defectOf } from '../dispatch/index.js';
 import type { SampleText } from './sample-text.js';
 
--- a/src/coordination/samples/index.ts
+++ b/src/coordination/service/generation/index.ts
@@ -1,6 +1,3 @@
-export { Delivery } from './delivery.js';
-export { EventTranscript } from './event-transcript.js';
-export { type GenerationOrder, Generator } from './generation.js';
 export {
   type AttemptPace,
   attemptGeneration,
@@ -8,7 +5,6 @@
   type GenerationTerms,
 } from './generation-attempt.js';
 export { Placement, type PlacementRequest } from './placement.js';
-export { RolloutOwner, type RolloutOwnerParts } from './rollout-owner.js';
 export { SampleLengths } from './sample-lengths.js';
 export { SampleMoves } from './sample-moves.js';
 export { SampleScorer } from './sample-scorer.js';
--- a/src/coordination/samples/placement.ts
+++ b/src/coordination/service/generation/placement.ts
@@ -2,7 +2,7 @@
  * Places generation requests on model replicas: each replica gets as many at once as its engine runs. Requests that
  * find no room wait in order; interrupted ones go before new ones.
  */
-import type { ReplicaDirectory, ReplicaState } from '../../state/replicas/index.js';
+import type { ReplicaDirectory, ReplicaState } from '../../../state/service/replicas/index.js';
 
 /** How often waiting requests are looked at again without a reason, milliseconds: suspicions end in silence. */
 const RECHECK_MS = 50;
--- a/src/coordination/samples/sample-lengths.ts
+++ b/src/coordination/service/generation/sample-lengths.ts
@@ -3,7 +3,7 @@
  * they are made fastest. Submitters estimate the tokens of a sample; how many tokens an event carries is learnt from
  * finished samples.
  */
-import type { JobItem } from '../../protocol/batch-job.js';
+import type { JobItem } from '../../../protocol/service/batch-job.js';
 
 /** Weight of the newest sample in the moving average. */
 const AVERAGE_WEIGHT = 0.05;
--- a/src/coordination/samples/sample-moves.ts
+++ b/src/coordination/service/generation/sample-moves.ts
@@ -2,8 +2,8 @@
  * Decides when a running sample goes on at another replica. The rest of a sample is made there from its last event, so a
  * move costs little more than reading the prompt and the text again.
  */
-import { monotonicMs } from '../../common/clock.js';
-import type { ReplicaState } from '../../state/replicas/index.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { ReplicaState } from '../../../state/service/replicas/index.js';
 import type { FastestReplica } from './placement.js';
 
 /** Moves of one sample at most. */
--- a/src/coordination/samples/sample-scorer.ts
+++ b/src/coordination/service/generation/sample-scorer.ts
@@ -1,7 +1,7 @@
 /** Scores finished samples: a request to an application service whose answer's signature is the score. */
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { ScoringCall } from '../../protocol/batch-job.js';
-import type { RoutingTable } from '../../state/configuration/index.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { ScoringCall } from '../../../protocol/service/batch-job.js';
+import type { RoutingTable } from '../../../state/service/configuration/index.js';
 import type { ServiceRelay } from '../requests/index.js';
 
 /** How scoring ended. */
--- a/src/coordination/samples/sample-text.ts
+++ b/src/coordination/service/generation/sample-text.ts
@@ -1,5 +1,5 @@
 /** The text of a sample while it is made: its events in order and the weight versions that made them. */
-import type { PartialText } from '../../protocol/batch-job.js';
+import type { PartialText } from '../../../protocol/service/batch-job.js';
 
 /** Collects events; an attempt at another replica goes on after the last one. */
 export class SampleText {
--- a/src/coordination/jobs/index.ts
+++ b/src/coordination/service/jobs/index.ts
@@ -2,4 +2,3 @@
 export { JobForwarding } from './job-forwarding.js';
 export { JobOwnership } from './job-owner.js';
 export type { SubmissionParser } from './job-run.js';
-export { reportRevision } from './revision-report.js';
--- a/src/coordination/jobs/item-run.ts
+++ b/src/coordination/service/jobs/item-run.ts
@@ -1,15 +1,27 @@
 /** Runs one item of a job from its first event to its score. */
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { JobItem, JobResult, JobSpecification, PartialText } from '../../protocol/batch-job.js';
-import type { ReplicaClient } from '../../protocol/replica.js';
-import type { Route } from '../../protocol/routing-configuration.js';
-import type { RoutingSnapshot, RoutingTable, TargetSplitter } from '../../state/configuration/index.js';
-import type { ReplicaDirectory, ReplicaState, WeightVersions } from '../../state/replicas/index.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type {
+  JobItem,
+  JobResult,
+  JobSpecification,
+  PartialText,
+} from '../../../protocol/service/batch-job.js';
+import type { ReplicaClient } from '../../../protocol/service/replica.js';
+import type { Route } from '../../../protocol/service/routing-configuration.js';
+import type {
+  RoutingSnapshot,
+  RoutingTable,
+  TargetSplitter,
+} from '../../../state/service/configuration/index.js';
+import type {
+  ReplicaDirectory,
+  ReplicaState,
+  WeightVersions,
+} from '../../../state/service/replicas/index.js';
 import { digestOf, type IdentifiedRequest, type ReplicaEndCheck } from '../dispatch/index.js';
-import type { RequestQuarantine } from '../requests/index.js';
-import type { Placement, PlacementRequest, SampleLengths, SampleScorer } from '../samples/index.js';
+import type { Placement, PlacementRequest, SampleLengths, SampleScorer } from '../generation/index.js';
 import {
   type AttemptPace,
   attemptGeneration,
@@ -17,7 +29,8 @@
   type GenerationTerms,
   SampleMoves,
   SampleText,
-} from '../samples/index.js';
+} from '../generation/index.js';
+import type { RequestQuarantine } from '../requests/index.js';
 
 /** What items of a node's jobs share. */
 export interface ItemServices {
--- a/src/coordination/jobs/job-calls.ts
+++ b/src/coordination/service/jobs/job-calls.ts
@@ -1,7 +1,7 @@
 /** Calls of submitters about batch jobs: submit, read results by position, read an item's body, end. */
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { JobSpecification } from '../../protocol/batch-job.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { JobSpecification } from '../../../protocol/service/batch-job.js';
 import type {
   EndOutcome,
   ItemOutcome,
@@ -9,9 +9,9 @@
   JobSubmission,
   ReadOutcome,
   SubmissionOutcome,
-} from '../../protocol/job-calls.js';
-import { belongsTo, type JobHead, type JobRepository } from '../../state/jobs/index.js';
-import type { ResultCache } from '../../state/samples/index.js';
+} from '../../../protocol/service/job-calls.js';
+import type { ResultCache } from '../../../state/service/jobs/index.js';
+import { belongsTo, type JobHead, type JobRepository } from '../../../state/service/jobs/index.js';
 import type { JobForwarding } from './job-forwarding.js';
 import type { JobOwnership } from './job-owner.js';
 import type { SubmissionParser } from './job-run.js';
--- a/src/coordination/jobs/job-forwarding.ts
+++ b/src/coordination/service/jobs/job-forwarding.ts
@@ -1,7 +1,7 @@
 /** Passes calls about jobs on from a node that the store does not serve to others that it may serve. */
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { JobPeer } from '../../protocol/job-calls.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { JobPeer } from '../../../protocol/service/job-calls.js';
 import type { PeerAddresses } from '../membership/index.js';
 
 /** Nodes that are asked for one call at most. */
--- a/src/coordination/jobs/job-owner.ts
+++ b/src/coordination/service/jobs/job-owner.ts
@@ -4,19 +4,19 @@
  * lost, or has handed it back, is claimed in a transaction on its head, so that one node gets it. A new process on the
  * owner's machine knows that its former self is dead and claims at once.
  */
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { JobSpecification } from '../../protocol/batch-job.js';
-import type { ChangedRecord, RecordStore } from '../../protocol/record-store.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { ChangedRecord, RecordStore } from '../../../protocol/record-store.js';
+import type { JobSpecification } from '../../../protocol/service/batch-job.js';
 import {
   JOB_TABLE,
   type JobHead,
   type JobOwner,
   type JobRepository,
   toJobHead,
-} from '../../state/jobs/index.js';
-import type { FeedHandler } from '../configuration/index.js';
+} from '../../../state/service/jobs/index.js';
+import type { FeedHandler } from '../../feeds/index.js';
 import type { SessionMonitor } from '../membership/index.js';
 import { JobRun, type JobRunEnd, type JobRunServices } from './job-run.js';
 
--- a/src/coordination/jobs/job-run.ts
+++ b/src/coordination/service/jobs/job-run.ts
@@ -1,12 +1,17 @@
 /** Runs one job as its owner: generates, scores and lists what is not listed yet, and keeps texts on the way. */
 import { setMaxListeners } from 'node:events';
-import { monotonicMs, sleep } from '../../common/clock.js';
-import { groupBy } from '../../common/collections.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { JobItem, JobResult, JobSpecification, PartialText } from '../../protocol/batch-job.js';
-import type { Route } from '../../protocol/routing-configuration.js';
-import type { JobHead, JobRepository } from '../../state/jobs/index.js';
-import type { ReplicaState } from '../../state/replicas/index.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import { groupBy } from '../../../common/collections.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type {
+  JobItem,
+  JobResult,
+  JobSpecification,
+  PartialText,
+} from '../../../protocol/service/batch-job.js';
+import type { Route } from '../../../protocol/service/routing-configuration.js';
+import type { JobHead, JobRepository } from '../../../state/service/jobs/index.js';
+import type { ReplicaState } from '../../../state/service/replicas/index.js';
 import { type ItemJob, ItemRun, type ItemServices } from './item-run.js';
 import { type ListedJob, type ListerServices, ResultLister } from './result-lister.js';
 import { WantedGroups } from './wanted-groups.js';
--- a/src/coordination/jobs/result-lister.ts
+++ b/src/coordination/service/jobs/result-lister.ts
@@ -5,12 +5,11 @@
  * result that is listed alone ends a read that waits, and the last one may then lie there until the next read. So results
  * are gathered, and listed at once when the submitter has what it waits for, or when they are due.
  */
-import { type Clock, SYSTEM_CLOCK } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { JobResult } from '../../protocol/batch-job.js';
-import type { JobHead, JobRepository } from '../../state/jobs/index.js';
-import type { ResultCache } from '../../state/samples/index.js';
+import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { JobResult } from '../../../protocol/service/batch-job.js';
+import type { JobHead, JobRepository, ResultCache } from '../../../state/service/jobs/index.js';
 
 /** Results that finish within this time share a transaction, milliseconds. */
 const GATHER_MS = 15;
--- a/src/coordination/jobs/wanted-groups.ts
+++ b/src/coordination/service/jobs/wanted-groups.ts
@@ -2,8 +2,8 @@
  * Which groups of a job its submitter still waits for. It ends the job once a number of groups are whole, those that an
  * earlier job left unfinished among them.
  */
-import { groupBy } from '../../common/collections.js';
-import type { JobItem } from '../../protocol/batch-job.js';
+import { groupBy } from '../../../common/collections.js';
+import type { JobItem } from '../../../protocol/service/batch-job.js';
 
 /** The groups of one job. */
 export class WantedGroups {
--- a/src/coordination/duties/duty-lease.ts
+++ b/src/coordination/service/leadership/duty-lease.ts
@@ -4,11 +4,11 @@
  * targets of the newest acts and when each of these began at the latest, so a successor acts at once on all targets but
  * those on which another machine may have acted a moment ago.
  */
-import { ConditionVariable } from '../../common/condition-variable.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import { SYSTEM_TIME, startElapsed, type TimeSources } from '../../common/elapsed-time.js';
-import type { RecordAddress, RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import type { JobOwner } from '../../state/jobs/index.js';
+import { ConditionVariable } from '../../../common/condition-variable.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import { SYSTEM_TIME, startElapsed, type TimeSources } from '../../../common/elapsed-time.js';
+import type { RecordAddress, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
+import type { JobOwner } from '../../../state/service/jobs/index.js';
 import { SESSION_TABLE, type SessionMonitor } from '../membership/index.js';
 import { ANY_TARGET, addActs, allowsAct, type RecentAct } from './recent-acts.js';
 
--- /dev/null
+++ b/src/coordination/service/leadership/index.ts
@@ -0,0 +1,1 @@
+export { DutyLease } from './duty-lease.js';
--- a/src/coordination/membership/announcements.ts
+++ b/src/coordination/service/membership/announcements.ts
@@ -4,14 +4,19 @@
  */
 
 import type { Result } from 'neverthrow';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { ChangedRecord, RecordAddress, RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import type { Replica } from '../../protocol/replica.js';
-import type { RoutingConfiguration } from '../../protocol/routing-configuration.js';
-import type { RoutingTable } from '../../state/configuration/index.js';
-import type { ReplicaDirectory, WeightVersions } from '../../state/replicas/index.js';
-import { type FeedHandler, readPartition } from '../configuration/index.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type {
+  ChangedRecord,
+  RecordAddress,
+  RecordStore,
+  StoredRecord,
+} from '../../../protocol/record-store.js';
+import type { Replica } from '../../../protocol/service/replica.js';
+import type { RoutingConfiguration } from '../../../protocol/service/routing-configuration.js';
+import type { RoutingTable } from '../../../state/service/configuration/index.js';
+import type { ReplicaDirectory, WeightVersions } from '../../../state/service/replicas/index.js';
+import { type FeedHandler, readPartition } from '../../feeds/index.js';
 
 /** How an adapter reads the records of operators and replicas. */
 export interface AnnouncementFormat {
--- a/src/coordination/membership/fleet-directory.ts
+++ b/src/coordination/service/membership/fleet-directory.ts
@@ -2,9 +2,9 @@
  * All nodes at work, from their announcements in the store. Each node follows the table, so that all hear of one that comes or
  * leaves within a second. A node that was lost without a word is in the table until its announcement is old; who calls it finds out.
  */
-import type { ChangedRecord, RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import type { FleetMember } from '../../state/replicas/index.js';
-import { type FeedHandler, readPartition } from '../configuration/index.js';
+import type { ChangedRecord, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
+import type { FleetMember } from '../../../state/service/replicas/index.js';
+import { type FeedHandler, readPartition } from '../../feeds/index.js';
 import { type Announcement, isExpired, parseAnnouncement, SERVING_NODES } from './node-announcement.js';
 
 const ALLOWS_OLD = true;
--- a/src/coordination/membership/fleet-time.ts
+++ b/src/coordination/service/membership/fleet-time.ts
@@ -2,7 +2,7 @@
  * Time of day as the whole fleet sees it: the store's steady clock, plus the median of what the nodes' own clocks add to it.
  * The clock of one machine may be off, or jump by seconds and return; that of the median node is not touched by it.
  */
-import type { RecordStore } from '../../protocol/record-store.js';
+import type { RecordStore } from '../../../protocol/record-store.js';
 
 /** One node's view of the fleet's time. */
 export class FleetTime {
--- a/src/coordination/membership/index.ts
+++ b/src/coordination/service/membership/index.ts
@@ -1,7 +1,5 @@
 export { type AnnouncementFormat, OperatorAnnouncements } from './announcements.js';
 export { FleetDirectory } from './fleet-directory.js';
-export { MachineWatch } from './machine-watch.js';
-export { NodeRegistry } from './node-registry.js';
 export { PeerAddresses } from './peer-addresses.js';
 export { PeerConfiguration } from './peer-configuration.js';
 export { ReplicaAnnouncements } from './replica-announcements.js';
--- a/src/coordination/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -3,10 +3,10 @@
  * follow it in the order of their names, so that the cost for each node stays the same however many there are. Now and
  * then it counts all nodes.
  */
-import { type Clock, SYSTEM_CLOCK } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { RecordAddress, RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import { readPartition } from '../configuration/index.js';
+import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { RecordAddress, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
+import { readPartition } from '../../feeds/index.js';
 import { FleetTime } from './fleet-time.js';
 import { type Announcement, isExpired, parseAnnouncement, SERVING_NODES } from './node-announcement.js';
 
--- a/src/coordination/membership/peer-configuration.ts
+++ b/src/coordination/service/membership/peer-configuration.ts
@@ -4,9 +4,9 @@
  * serve this node at all, also that it is there, so that others will take this node's jobs over. Versions only rise,
  * whoever brings them.
  */
-import { type Clock, SYSTEM_CLOCK } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { PeerConfigurationAnswer } from '../../protocol/configuration-peer.js';
+import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { PeerConfigurationAnswer } from '../../../protocol/service/configuration-peer.js';
 
 /** How often a node looks whether it hears of changes, milliseconds. */
 const LOOK_MS = 400;
--- a/src/coordination/membership/replica-announcements.ts
+++ b/src/coordination/service/membership/replica-announcements.ts
@@ -6,13 +6,13 @@
  * before it started again. Until that is settled neither life gets requests. A life that lives writes its record again within
  * a beat; so if it was a late write, the known life is back by then, and if the record stays, its life is the one that lives.
  */
-import { type Clock, SYSTEM_CLOCK } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { ChangedRecord, RecordStore } from '../../protocol/record-store.js';
-import type { Replica } from '../../protocol/replica.js';
-import type { LifeOrder, ReplicaDirectory } from '../../state/replicas/index.js';
-import { type FeedHandler, readPartition } from '../configuration/index.js';
+import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { ChangedRecord, RecordStore } from '../../../protocol/record-store.js';
+import type { Replica } from '../../../protocol/service/replica.js';
+import type { LifeOrder, ReplicaDirectory } from '../../../state/service/replicas/index.js';
+import { type FeedHandler, readPartition } from '../../feeds/index.js';
 import { ALLOWS_OLD, ANNOUNCED_PARTITION, type Announced, type AnnouncementFormat } from './announcements.js';
 
 /** Beats of a replica after which a record stands for the life that lives: one may be lost, and one is under way. */
--- a/src/coordination/membership/session-monitor.ts
+++ b/src/coordination/service/membership/session-monitor.ts
@@ -7,10 +7,10 @@
  * nodes there are, so that all together look as often as a few would; one that finds an old beat looks often until it
  * knows whether the holder is lost.
  */
-import { type Clock, SYSTEM_CLOCK } from '../../common/clock.js';
-import { ConditionVariable } from '../../common/condition-variable.js';
-import type { RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import type { JobOwner } from '../../state/jobs/index.js';
+import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
+import { ConditionVariable } from '../../../common/condition-variable.js';
+import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
+import type { JobOwner } from '../../../state/service/jobs/index.js';
 
 /** Table of the beats, and of whatever else every node looks at together with them. */
 export const SESSION_TABLE = 'sessions';
--- a/src/coordination/requests/fatal-run-reports.ts
+++ b/src/coordination/service/requests/fatal-run-reports.ts
@@ -2,12 +2,12 @@
  * Brings what one node learns of requests that end replicas to all others: writes it into the store until the store takes it,
  * keeps the newest reports for nodes that the store does not serve, and removes what has expired.
  */
-import { type Clock, SYSTEM_CLOCK } from '../../common/clock.js';
-import { ConditionVariable } from '../../common/condition-variable.js';
-import { TokenBucket } from '../../common/token-bucket.js';
-import { type FatalRunMessage, MAX_REPORTS } from '../../protocol/fatal-run-peer.js';
-import type { RecordStore, RecordWrite, StoredRecord } from '../../protocol/record-store.js';
-import { FATAL_RUN_EXPIRY_MS, parseFatalRunReport, timeOf } from '../../state/replicas/index.js';
+import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
+import { ConditionVariable } from '../../../common/condition-variable.js';
+import { TokenBucket } from '../../../common/token-bucket.js';
+import type { RecordStore, RecordWrite, StoredRecord } from '../../../protocol/record-store.js';
+import { type FatalRunMessage, MAX_REPORTS } from '../../../protocol/service/fatal-run-peer.js';
+import { FATAL_RUN_EXPIRY_MS, parseFatalRunReport, timeOf } from '../../../state/service/replicas/index.js';
 
 /** Records in one transaction at most. */
 const MAX_RECORDS = 100;
--- /dev/null
+++ b/src/coordination/service/requests/index.ts
@@ -0,0 +1,3 @@
+export { QuarantineExchange } from './quarantine-exchange.js';
+export { RequestQuarantine } from './request-quarantine.js';
+export { type RelayedRequest, type RelayOutcome, ServiceRelay } from './service-relay.js';
--- a/src/coordination/requests/quarantine-exchange.ts
+++ b/src/coordination/service/requests/quarantine-exchange.ts
@@ -2,7 +2,7 @@
  * What a node that the store does not serve learns from other nodes of requests that end replicas, and tells them: it would
  * put replicas at risk under requests that all others hold back, and keep to itself what ends here.
  */
-import type { FatalRunAnswer, FatalRunMessage } from '../../protocol/fatal-run-peer.js';
+import type { FatalRunAnswer, FatalRunMessage } from '../../../protocol/service/fatal-run-peer.js';
 import type { RequestQuarantine } from './request-quarantine.js';
 
 /** How often a node that is not served asks when it has nothing to tell, milliseconds. */
--- a/src/coordination/requests/request-quarantine.ts
+++ b/src/coordination/service/requests/request-quarantine.ts
@@ -4,10 +4,10 @@
  * that start later read it there. The store is never waited for: a node judges by what it knows. A node that the store does
  * not serve exchanges reports with others (`quarantine-exchange.ts`).
  */
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { FatalRunMessage } from '../../protocol/fatal-run-peer.js';
-import type { ChangedRecord, RecordStore, StoredRecord } from '../../protocol/record-store.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { ChangedRecord, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
+import type { FatalRunMessage } from '../../../protocol/service/fatal-run-peer.js';
 import {
   FATAL_RUN_EXPIRY_MS,
   FATAL_RUN_PARTITION,
@@ -17,9 +17,9 @@
   toFatalRunRecord,
   toServedRecord,
   type Verdict,
-} from '../../state/replicas/index.js';
-import { FOLLOWED_TABLE } from '../../state/store/index.js';
-import { type FeedHandler, readPartition } from '../configuration/index.js';
+} from '../../../state/service/replicas/index.js';
+import { FOLLOWED_TABLE } from '../../../state/service/store/index.js';
+import { type FeedHandler, readPartition } from '../../feeds/index.js';
 import { digestOf, type IdentifiedRequest, type UsedReplica } from '../dispatch/index.js';
 import { FatalRunReports } from './fatal-run-reports.js';
 
--- a/src/coordination/requests/service-relay.ts
+++ b/src/coordination/service/requests/service-relay.ts
@@ -4,10 +4,10 @@
  * run them. The final answer is given at once: at the deadline, at the route's time-out, or when nothing is left to try. Under
  * a request that ends replicas no more of them are put at risk than it takes to tell.
  */
-import { monotonicMs } from '../../common/clock.js';
-import type { Route } from '../../protocol/routing-configuration.js';
-import type { RoutingSnapshot, TargetSplitter } from '../../state/configuration/index.js';
-import type { Verdict } from '../../state/replicas/index.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { Route } from '../../../protocol/service/routing-configuration.js';
+import type { RoutingSnapshot, TargetSplitter } from '../../../state/service/configuration/index.js';
+import type { Verdict } from '../../../state/service/replicas/index.js';
 import type { DispatchCall, DispatchResult, WholeAnswer } from '../dispatch/index.js';
 import type { RequestQuarantine } from './request-quarantine.js';
 
--- a/src/coordination/usage/usage-accounting.ts
+++ b/src/coordination/service/usage/usage-accounting.ts
@@ -1,12 +1,12 @@
 /** Usage accounting of one node: counting, keeping the counts, and reporting them while this node holds the duty. */
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import type { UsageSettings } from '../../protocol/service-settings.js';
-import type { UsageSink } from '../../protocol/usage.js';
-import type { JobOwner } from '../../state/jobs/index.js';
-import { UsageRepository } from '../../state/usage/index.js';
-import type { DutyLease } from '../duties/index.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
+import type { UsageSettings } from '../../../protocol/service/service-settings.js';
+import type { UsageSink } from '../../../protocol/service/usage.js';
+import type { JobOwner } from '../../../state/service/jobs/index.js';
+import { UsageRepository } from '../../../state/service/usage/index.js';
+import type { DutyLease } from '../leadership/index.js';
 import type { PeerAddresses } from '../membership/index.js';
 import { UsageCounter } from './usage-counter.js';
 import { UsageDuty } from './usage-duty.js';
--- a/src/coordination/usage/usage-counter.ts
+++ b/src/coordination/service/usage/usage-counter.ts
@@ -3,8 +3,8 @@
  * to a replica, so that it is counted even if this process ends while the replica works; it no longer counts when the replica
  * says that it did not run it.
  */
-import { ConditionVariable } from '../../common/condition-variable.js';
-import type { TenantCounts } from '../../protocol/usage.js';
+import { ConditionVariable } from '../../../common/condition-variable.js';
+import type { TenantCounts } from '../../../protocol/service/usage.js';
 import type { UsageWindows } from './usage-window.js';
 
 /** Windows that are remembered: counts that the store could not take for longer are lost, and said so. */
--- a/src/coordination/usage/usage-duty.ts
+++ b/src/coordination/service/usage/usage-duty.ts
@@ -3,12 +3,12 @@
  * that any successor sends the very same; it is decided as soon as every node has closed the window, and else as late as a
  * report in time allows.
  */
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { TenantCounts, UsageSink } from '../../protocol/usage.js';
-import type { StoredReport, UsageRepository } from '../../state/usage/index.js';
-import type { DutyLease } from '../duties/index.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { TenantCounts, UsageSink } from '../../../protocol/service/usage.js';
+import type { StoredReport, UsageRepository } from '../../../state/service/usage/index.js';
+import type { DutyLease } from '../leadership/index.js';
 import type { UsageWindows } from './usage-window.js';
 import { EARLIER_WINDOWS, missingNodes, sumOf } from './window-counts.js';
 
--- a/src/coordination/usage/usage-writer.ts
+++ b/src/coordination/service/usage/usage-writer.ts
@@ -3,8 +3,8 @@
  * of all nodes together, and once more when a window is over. A node whose counts of a window are closed has nothing to add
  * to it, so that the report need not wait for longer.
  */
-import { type Clock, SYSTEM_CLOCK } from '../../common/clock.js';
-import type { UsageRepository, UsageSource } from '../../state/usage/index.js';
+import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
+import type { UsageRepository, UsageSource } from '../../../state/service/usage/index.js';
 import type { UsageCounter } from './usage-counter.js';
 import type { UsageWindows } from './usage-window.js';
 
--- a/src/coordination/usage/window-counts.ts
+++ b/src/coordination/service/usage/window-counts.ts
@@ -1,6 +1,6 @@
 /** What is known of a window before it is reported: its sums, and which nodes may still have something to add. */
-import type { TenantCounts } from '../../protocol/usage.js';
-import type { StoredCount } from '../../state/usage/index.js';
+import type { TenantCounts } from '../../../protocol/service/usage.js';
+import type { StoredCount } from '../../../state/service/usage/index.js';
 
 /** Windows before one that tell which nodes are at work. */
 export const EARLIER_WINDOWS = 2;
--- /dev/null
+++ b/src/coordination/service/weights/index.ts
@@ -0,0 +1,1 @@
+export { WeightOrders } from './weight-orders.js';
--- a/src/coordination/weights/weight-orders.ts
+++ b/src/coordination/service/weights/weight-orders.ts
@@ -2,13 +2,22 @@
  * Orders that bring model replicas to the newest named weight version. One node gives them, under a duty lease that the
  * store confirms before each order. Few replicas load at once, so that the others go on working.
  */
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
-import type { LoadMode, OrderOutcome, ReplicaClient, ReplicaReport } from '../../protocol/replica.js';
-import type { RoutingTable } from '../../state/configuration/index.js';
-import type { ReplicaDirectory, ReplicaState, WeightVersions } from '../../state/replicas/index.js';
-import type { DutyLease } from '../duties/index.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type {
+  LoadMode,
+  OrderOutcome,
+  ReplicaClient,
+  ReplicaReport,
+} from '../../../protocol/service/replica.js';
+import type { RoutingTable } from '../../../state/service/configuration/index.js';
+import type {
+  ReplicaDirectory,
+  ReplicaState,
+  WeightVersions,
+} from '../../../state/service/replicas/index.js';
+import type { DutyLease } from '../leadership/index.js';
 import { type FollowedModel, orderLoads } from './load-order.js';
 import { type PlannedModel, planReplicas, usefulReplicas } from './weight-plan.js';
 
--- a/src/node/api/api-server.ts
+++ b/src/node/resource/api/api-server.ts
@@ -1,14 +1,14 @@
 /** The node's HTTP interface: authentication, roles, refusals and counts around the handlers. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Result } from 'neverthrow';
-import { monotonicMs } from '../../common/clock.js';
-import { newRequestId } from '../../common/identifier.js';
-import type { Logger } from '../../common/logging.js';
-import type { Metrics } from '../../common/metrics.js';
-import { CoordinationError } from '../../coordination/coordination-error.js';
-import type { Role } from '../../protocol/resource.js';
-import type { AccessControl, Principal } from '../../state/configuration/index.js';
-import { HttpServer } from '../../transport/http-server.js';
+import { monotonicMs } from '../../../common/clock.js';
+import { newRequestId } from '../../../common/identifier.js';
+import type { Logger } from '../../../common/logging.js';
+import type { Metrics } from '../../../common/metrics.js';
+import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import type { Role } from '../../../protocol/resource/resource.js';
+import type { AccessControl, Principal } from '../../../state/resource/configuration/index.js';
+import { HttpServer } from '../../../transport/http-server.js';
 import { type Exchange, sendProblem } from './exchange.js';
 
 /** Handles an exchange: it has answered, or returns the refusal to send. */
--- a/src/node/api/caller-routes.ts
+++ b/src/node/resource/api/caller-routes.ts
@@ -1,9 +1,9 @@
 /** Routes of callers: application services and completions. */
 import { err, ok, type Result } from 'neverthrow';
-import { monotonicMs } from '../../common/clock.js';
-import { sha256Hex } from '../../common/identifier.js';
-import { CoordinationError, fromState } from '../../coordination/coordination-error.js';
-import type { WorkGate } from '../../coordination/requests/index.js';
+import { monotonicMs } from '../../../common/clock.js';
+import { sha256Hex } from '../../../common/identifier.js';
+import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import type { WorkGate } from '../../../coordination/resource/requests/index.js';
 import {
   type ApplicationRelay,
   type ApplicationRequest,
@@ -15,15 +15,15 @@
   TIMEOUT_HEADER,
   timeLeftMs,
   writeRelayedHead,
-} from '../../coordination/requests/index.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import type { AdmissionLimits } from '../../state/replicas/index.js';
-import type { ClaimStore, HeldClaim, RecordedAnswer } from '../../state/samples/index.js';
-import { readWhole } from '../../transport/http-client.js';
-import { callerGone } from '../../transport/http-server.js';
-import { copyBody } from '../../transport/stream-write.js';
+} from '../../../coordination/resource/requests/index.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import type { AdmissionLimits } from '../../../state/resource/backends/index.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import type { ClaimStore, HeldClaim, RecordedAnswer } from '../../../state/resource/samples/index.js';
+import { readWhole } from '../../../transport/http-client.js';
+import { callerGone } from '../../../transport/http-server.js';
+import { copyBody } from '../../../transport/stream-write.js';
 import type { Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readBody } from './exchange.js';
 
--- a/src/node/api/change-routes.ts
+++ b/src/node/resource/api/change-routes.ts
@@ -1,15 +1,19 @@
 /** Routes that change resources: put, patch, delete, approve, changesets. */
 import { err, ok, type Result } from 'neverthrow';
-import { wallTime } from '../../common/clock.js';
-import { uniqueId } from '../../common/identifier.js';
-import { CoordinationError, fromState } from '../../coordination/coordination-error.js';
-import { checkManifest, isKind, type Manifest } from '../../protocol/manifest.js';
-import { ApprovalRequestSchema, type Changeset, ChangesetSchema } from '../../protocol/operator.js';
-import { READ_ONLY_KINDS, type Resource, type ResourceOf } from '../../protocol/resource.js';
-import { Validator } from '../../protocol/validation.js';
-import type { CommitOutcome, WantedChange } from '../../state/configuration/index.js';
-import { StateError } from '../../state/state-error.js';
-import { sendJson } from '../../transport/http-server.js';
+import { wallTime } from '../../../common/clock.js';
+import { uniqueId } from '../../../common/identifier.js';
+import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import { checkManifest, isKind, type Manifest } from '../../../protocol/resource/manifest.js';
+import {
+  ApprovalRequestSchema,
+  type Changeset,
+  ChangesetSchema,
+} from '../../../protocol/resource/operator.js';
+import { READ_ONLY_KINDS, type Resource, type ResourceOf } from '../../../protocol/resource/resource.js';
+import { Validator } from '../../../protocol/validation.js';
+import type { CommitOutcome, WantedChange } from '../../../state/resource/configuration/index.js';
+import { StateError } from '../../../state/state-error.js';
+import { sendJson } from '../../../transport/http-server.js';
 import type { ApiHandler, Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readAnyJson, readJson } from './exchange.js';
 import { mergePatch } from './merge-patch.js';
--- a/src/node/api/completion-routes.ts
+++ b/src/node/resource/api/completion-routes.ts
@@ -1,13 +1,17 @@
 /** Routes of callers of model services: `/v1/completions` and `/v1/chat/completions`, streamed or whole. */
 import { err, ok, type Result } from 'neverthrow';
-import { CoordinationError } from '../../coordination/coordination-error.js';
-import type { RequestContext } from '../../coordination/requests/index.js';
-import { REQUEST_ID_HEADER } from '../../coordination/requests/index.js';
-import type { EventTranscript, GenerationOrder, Generator } from '../../coordination/samples/index.js';
-import { type CompletionRequest, CompletionRequestSchema } from '../../protocol/engine.js';
-import { Validator } from '../../protocol/validation.js';
-import { sendJson } from '../../transport/http-server.js';
-import { writeChunk } from '../../transport/stream-write.js';
+import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import type { RequestContext } from '../../../coordination/resource/requests/index.js';
+import { REQUEST_ID_HEADER } from '../../../coordination/resource/requests/index.js';
+import type {
+  EventTranscript,
+  GenerationOrder,
+  Generator,
+} from '../../../coordination/resource/rollouts/index.js';
+import { type CompletionRequest, CompletionRequestSchema } from '../../../protocol/resource/engine.js';
+import { Validator } from '../../../protocol/validation.js';
+import { sendJson } from '../../../transport/http-server.js';
+import { writeChunk } from '../../../transport/stream-write.js';
 import type { Route } from './api-server.js';
 import { type CallerParts, contextOf, noteRefusal, withinLimits } from './caller-routes.js';
 import { type Exchange, InvalidRequestError, readJson, toProblem } from './exchange.js';
--- a/src/node/api/exchange.ts
+++ b/src/node/resource/api/exchange.ts
@@ -2,12 +2,12 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
-import { CoordinationError } from '../../coordination/coordination-error.js';
-import { PROBLEM_MEDIA_TYPE, type Problem, STATUS_OF_CODE } from '../../protocol/problem.js';
-import type { FieldProblem, Validator } from '../../protocol/validation.js';
-import type { Principal } from '../../state/configuration/index.js';
-import { readWhole } from '../../transport/http-client.js';
-import { sendJson } from '../../transport/http-server.js';
+import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import { PROBLEM_MEDIA_TYPE, type Problem, STATUS_OF_CODE } from '../../../protocol/resource/problem.js';
+import type { FieldProblem, Validator } from '../../../protocol/validation.js';
+import type { Principal } from '../../../state/resource/configuration/index.js';
+import { readWhole } from '../../../transport/http-client.js';
+import { sendJson } from '../../../transport/http-server.js';
 
 /** A request whose content is wrong; names the fields. */
 export class InvalidRequestError extends CoordinationError {
--- a/src/node/api/explain-routes.ts
+++ b/src/node/resource/api/explain-routes.ts
@@ -1,18 +1,22 @@
 /** Routes that explain: decisions about a request, a sample or a back end, and the status of the node. */
 import { err, ok, type Result } from 'neverthrow';
-import { parseRequestId } from '../../common/identifier.js';
-import { CoordinationError, fromState } from '../../coordination/coordination-error.js';
-import type { NodeRegistry } from '../../coordination/membership/index.js';
-import type { Router } from '../../coordination/requests/index.js';
-import type { Explanation, Status } from '../../protocol/operator.js';
-import type { PeerClient } from '../../protocol/peer.js';
-import type { ConfigView, FreshnessLease } from '../../state/configuration/index.js';
-import { type DecisionLog, type DecisionRecord, findFlushedDecisions } from '../../state/decision-log.js';
-import type { BackendEntry, BackendRegistry } from '../../state/replicas/index.js';
-import type { BatchLedger } from '../../state/samples/index.js';
-import { parseSampleId } from '../../state/samples/index.js';
-import type { Objects } from '../../state/store/index.js';
-import { sendJson } from '../../transport/http-server.js';
+import { parseRequestId } from '../../../common/identifier.js';
+import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import type { NodeRegistry } from '../../../coordination/resource/membership/index.js';
+import type { Router } from '../../../coordination/resource/requests/index.js';
+import type { Explanation, Status } from '../../../protocol/resource/operator.js';
+import type { PeerClient } from '../../../protocol/resource/peer.js';
+import type { BackendEntry, BackendRegistry } from '../../../state/resource/backends/index.js';
+import type { ConfigView, FreshnessLease } from '../../../state/resource/configuration/index.js';
+import {
+  type DecisionLog,
+  type DecisionRecord,
+  findFlushedDecisions,
+} from '../../../state/resource/decision-log.js';
+import type { BatchLedger } from '../../../state/resource/samples/index.js';
+import { parseSampleId } from '../../../state/resource/samples/index.js';
+import type { Objects } from '../../../state/resource/tables/index.js';
+import { sendJson } from '../../../transport/http-server.js';
 import type { Route } from './api-server.js';
 import type { Exchange } from './exchange.js';
 import { statusOf } from './resource-status.js';
--- a/src/node/api/health-routes.ts
+++ b/src/node/resource/api/health-routes.ts
@@ -1,8 +1,8 @@
 /** Routes for health and metrics; they ask for no token. */
 import { ok } from 'neverthrow';
-import type { Metrics } from '../../common/metrics.js';
-import type { WorkGate } from '../../coordination/requests/index.js';
-import { sendJson } from '../../transport/http-server.js';
+import type { Metrics } from '../../../common/metrics.js';
+import type { WorkGate } from '../../../coordination/resource/requests/index.js';
+import { sendJson } from '../../../transport/http-server.js';
 import type { Route } from './api-server.js';
 
 /** Routes of `/healthz` (the process answers), `/readyz` (it takes new work) and `/metrics`. */
--- a/src/node/api/peer-routes.ts
+++ b/src/node/resource/api/peer-routes.ts
@@ -1,12 +1,12 @@
 /** Routes of other nodes. */
 import { ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
-import type { CoordinationError } from '../../coordination/coordination-error.js';
-import { DecisionQuerySchema, RevisionQuerySchema } from '../../protocol/peer.js';
-import { Validator } from '../../protocol/validation.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import { sendJson } from '../../transport/http-server.js';
+import type { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import { DecisionQuerySchema, RevisionQuerySchema } from '../../../protocol/resource/peer.js';
+import { Validator } from '../../../protocol/validation.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import { sendJson } from '../../../transport/http-server.js';
 import type { Route } from './api-server.js';
 import { type Exchange, readJson } from './exchange.js';
 
--- a/src/node/api/read-routes.ts
+++ b/src/node/resource/api/read-routes.ts
@@ -3,10 +3,10 @@
  * first, so that it shows every change that any node has accepted; while the store is away it shows what this node knows.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { CoordinationError, fromState } from '../../coordination/coordination-error.js';
-import { reportRevision } from '../../coordination/jobs/index.js';
-import { type Resource, ROLLOUT_KIND } from '../../protocol/resource.js';
-import { sendJson } from '../../transport/http-server.js';
+import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import { reportRevision } from '../../../coordination/resource/membership/index.js';
+import { type Resource, ROLLOUT_KIND } from '../../../protocol/resource/resource.js';
+import { sendJson } from '../../../transport/http-server.js';
 import type { ApiHandler, Route } from './api-server.js';
 import { type Exchange, InvalidRequestError } from './exchange.js';
 import { kindOf, type ResourceParts, withStatus } from './resource-common.js';
--- a/src/node/api/resource-common.ts
+++ b/src/node/resource/api/resource-common.ts
@@ -1,15 +1,15 @@
 /** What reading and changing resources share. */
 import { err, ok, type Result } from 'neverthrow';
-import type { ConfigFollower } from '../../coordination/configuration/index.js';
-import { CoordinationError } from '../../coordination/coordination-error.js';
-import type { NodeRegistry } from '../../coordination/membership/index.js';
-import { isKind } from '../../protocol/manifest.js';
-import type { PeerClient } from '../../protocol/peer.js';
-import { KINDS, type Kind, type Resource, ROLLOUT_KIND } from '../../protocol/resource.js';
-import type { ConfigStore, ConfigView } from '../../state/configuration/index.js';
-import type { DecisionLog } from '../../state/decision-log.js';
-import type { BackendRegistry } from '../../state/replicas/index.js';
-import type { RolloutLedger } from '../../state/samples/index.js';
+import type { ConfigFollower } from '../../../coordination/resource/configuration/index.js';
+import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import type { NodeRegistry } from '../../../coordination/resource/membership/index.js';
+import { isKind } from '../../../protocol/resource/manifest.js';
+import type { PeerClient } from '../../../protocol/resource/peer.js';
+import { KINDS, type Kind, type Resource, ROLLOUT_KIND } from '../../../protocol/resource/resource.js';
+import type { BackendRegistry } from '../../../state/resource/backends/index.js';
+import type { ConfigStore, ConfigView } from '../../../state/resource/configuration/index.js';
+import type { DecisionLog } from '../../../state/resource/decision-log.js';
+import type { RolloutLedger } from '../../../state/resource/samples/index.js';
 import type { Exchange } from './exchange.js';
 import { statusOf } from './resource-status.js';
 
--- a/src/node/api/resource-status.ts
+++ b/src/node/resource/api/resource-status.ts
@@ -1,9 +1,14 @@
 /** Status of resources, worked out by the node that answers. */
 
-import { isApproved, isAssigned, shouldDrain, targetVersion } from '../../coordination/weights/index.js';
-import type { Condition, Resource, ResourceOf, ResourceStatus } from '../../protocol/resource.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { BackendRegistry } from '../../state/replicas/index.js';
+import {
+  isApproved,
+  isAssigned,
+  shouldDrain,
+  targetVersion,
+} from '../../../coordination/resource/weights/index.js';
+import type { Condition, Resource, ResourceOf, ResourceStatus } from '../../../protocol/resource/resource.js';
+import type { BackendRegistry } from '../../../state/resource/backends/index.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
 
 function condition(type: string, isTrue: boolean, reason: string, message: string): Condition {
   return { type, status: isTrue ? 'True' : 'False', reason, message };
--- a/src/node/api/trainer-routes.ts
+++ b/src/node/resource/api/trainer-routes.ts
@@ -1,14 +1,18 @@
 /** Routes of trainers: submit, draw, acknowledge, cancel, progress. */
 import { err, ok, type Result } from 'neverthrow';
-import { CoordinationError, fromState } from '../../coordination/coordination-error.js';
-import type { WorkGate } from '../../coordination/requests/index.js';
-import type { Delivery } from '../../coordination/samples/index.js';
-import type { ResourceOf } from '../../protocol/resource.js';
-import { AcknowledgementSchema, DrawRequestSchema, RolloutSubmissionSchema } from '../../protocol/trainer.js';
-import { Validator } from '../../protocol/validation.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import type { BatchLedger, RolloutLedger } from '../../state/samples/index.js';
-import { callerGone, sendJson } from '../../transport/http-server.js';
+import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import type { WorkGate } from '../../../coordination/resource/requests/index.js';
+import type { Delivery } from '../../../coordination/resource/rollouts/index.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
+import {
+  AcknowledgementSchema,
+  DrawRequestSchema,
+  RolloutSubmissionSchema,
+} from '../../../protocol/resource/trainer.js';
+import { Validator } from '../../../protocol/validation.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import type { BatchLedger, RolloutLedger } from '../../../state/resource/samples/index.js';
+import { callerGone, sendJson } from '../../../transport/http-server.js';
 import type { ApiHandler, Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readJson } from './exchange.js';
 
--- a/src/node/api/watch.ts
+++ b/src/node/resource/api/watch.ts
@@ -1,12 +1,12 @@
 /** Watches: changes of a kind as NDJSON, with bookmarks while nothing changes. */
 import { err, ok, type Result } from 'neverthrow';
-import { sleep } from '../../common/clock.js';
-import { CoordinationError } from '../../coordination/coordination-error.js';
-import type { ConfigEntry } from '../../protocol/configuration-entry.js';
-import type { Kind } from '../../protocol/resource.js';
-import type { ConfigView } from '../../state/configuration/index.js';
-import { callerGone } from '../../transport/http-server.js';
-import { writeChunk } from '../../transport/stream-write.js';
+import { sleep } from '../../../common/clock.js';
+import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import type { ConfigEntry } from '../../../protocol/resource/configuration-entry.js';
+import type { Kind } from '../../../protocol/resource/resource.js';
+import type { ConfigView } from '../../../state/resource/configuration/index.js';
+import { callerGone } from '../../../transport/http-server.js';
+import { writeChunk } from '../../../transport/stream-write.js';
 import { type Exchange, InvalidRequestError } from './exchange.js';
 
 const BOOKMARK_INTERVAL_MS = 5_000;
--- a/src/node/coordination-parts.ts
+++ b/src/node/resource/coordination-parts.ts
@@ -1,23 +1,23 @@
 /** The coordination layer of a node, put together. */
-import { uniqueId } from '../common/identifier.js';
-import type { Lifecycle, LifecycleObserver } from '../common/lifecycle.js';
-import { Random } from '../common/random.js';
-import { ConfigFollower } from '../coordination/configuration/index.js';
-import { LeaseDuties } from '../coordination/duties/index.js';
-import { MachineWatch, NodeRegistry } from '../coordination/membership/index.js';
+import { uniqueId } from '../../common/identifier.js';
+import type { Lifecycle, LifecycleObserver } from '../../common/lifecycle.js';
+import { Random } from '../../common/random.js';
+import { ConfigFollower } from '../../coordination/resource/configuration/index.js';
+import { MachineWatch, NodeRegistry } from '../../coordination/resource/membership/index.js';
 import {
   ApplicationRelay,
   type NodeEvent,
   type NodeState,
   Router,
   WorkGate,
-} from '../coordination/requests/index.js';
-import { Delivery, Generator } from '../coordination/samples/index.js';
-import { EngineMonitor } from '../coordination/weights/index.js';
-import { EngineClient } from '../protocol/engine.js';
-import { MachineListClient } from '../protocol/machine-list.js';
-import { type NodeRecord, PeerClient } from '../protocol/peer.js';
-import type { HttpClient } from '../transport/http-client.js';
+} from '../../coordination/resource/requests/index.js';
+import { Delivery, Generator } from '../../coordination/resource/rollouts/index.js';
+import { LeaseDuties } from '../../coordination/resource/singleton-tasks/index.js';
+import { EngineMonitor } from '../../coordination/resource/weights/index.js';
+import { EngineClient } from '../../protocol/resource/engine.js';
+import { MachineListClient } from '../../protocol/resource/machine-list.js';
+import { type NodeRecord, PeerClient } from '../../protocol/resource/peer.js';
+import type { HttpClient } from '../../transport/http-client.js';
 import { listDuties } from './duties.js';
 import type { Settings, Timing } from './settings.js';
 import type { StateParts } from './state-parts.js';
--- a/src/node/duties.ts
+++ b/src/node/resource/duties.ts
@@ -1,10 +1,10 @@
 /** The duties that the configuration asks for, each a lease that any node may hold. */
 
-import type { Duty } from '../coordination/duties/index.js';
-import type { MachineWatch } from '../coordination/membership/index.js';
-import { RolloutOwner, type RolloutOwnerParts } from '../coordination/samples/index.js';
-import { WeightRollout, type WeightRolloutParts } from '../coordination/weights/index.js';
-import type { ConfigView } from '../state/configuration/index.js';
+import type { MachineWatch } from '../../coordination/resource/membership/index.js';
+import { RolloutOwner, type RolloutOwnerParts } from '../../coordination/resource/rollouts/index.js';
+import type { Duty } from '../../coordination/resource/singleton-tasks/index.js';
+import { WeightRollout, type WeightRolloutParts } from '../../coordination/resource/weights/index.js';
+import type { ConfigView } from '../../state/resource/configuration/index.js';
 
 /** What the tasks need. */
 export interface DutyParts {
--- a/src/node/node.ts
+++ b/src/node/resource/node.ts
@@ -1,11 +1,11 @@
 /** A node: its layers put together, started, and stopped without cutting off what is in flight. */
-import { sleep } from '../common/clock.js';
-import { Lifecycle } from '../common/lifecycle.js';
-import { createLogger, type Logger } from '../common/logging.js';
-import { Metrics } from '../common/metrics.js';
-import { NODE_TABLE, type NodeEvent, type NodeState } from '../coordination/requests/index.js';
-import type { RecordStore } from '../protocol/record-store.js';
-import { HttpClient } from '../transport/http-client.js';
+import { sleep } from '../../common/clock.js';
+import { Lifecycle } from '../../common/lifecycle.js';
+import { createLogger, type Logger } from '../../common/logging.js';
+import { Metrics } from '../../common/metrics.js';
+import { NODE_TABLE, type NodeEvent, type NodeState } from '../../coordination/resource/requests/index.js';
+import type { RecordStore } from '../../protocol/record-store.js';
+import { HttpClient } from '../../transport/http-client.js';
 import { ApiServer } from './api/api-server.js';
 import { callerRoutes } from './api/caller-routes.js';
 import { changeRoutes } from './api/change-routes.js';
--- a/src/node/settings.ts
+++ b/src/node/resource/settings.ts
@@ -6,9 +6,9 @@
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
 import { parse } from 'yaml';
-import { sha256Hex } from '../common/identifier.js';
-import { TokenGrant } from '../protocol/resource.js';
-import { type FieldProblem, Validator } from '../protocol/validation.js';
+import { sha256Hex } from '../../common/identifier.js';
+import { TokenGrant } from '../../protocol/resource/resource.js';
+import { type FieldProblem, Validator } from '../../protocol/validation.js';
 
 const CLOSED = { additionalProperties: false } as const;
 const Milliseconds = (description: string, minimum = 1) =>
--- a/src/node/state-parts.ts
+++ b/src/node/resource/state-parts.ts
@@ -1,13 +1,18 @@
 /** The state layer of a node, put together. */
-import { uniqueId } from '../common/identifier.js';
-import type { LifecycleObserver } from '../common/lifecycle.js';
-import type { RecordStore } from '../protocol/record-store.js';
-import { AccessControl, ConfigStore, ConfigView, FreshnessLease } from '../state/configuration/index.js';
-import { DecisionLog } from '../state/decision-log.js';
-import { LeaseStore } from '../state/leases/index.js';
-import { AdmissionLimits, BackendRegistry } from '../state/replicas/index.js';
-import { BatchLedger, ClaimStore, RolloutLedger } from '../state/samples/index.js';
-import { RowTable, StoredObjects } from '../state/store/index.js';
+import { uniqueId } from '../../common/identifier.js';
+import type { LifecycleObserver } from '../../common/lifecycle.js';
+import type { RecordStore } from '../../protocol/record-store.js';
+import { AdmissionLimits, BackendRegistry } from '../../state/resource/backends/index.js';
+import {
+  AccessControl,
+  ConfigStore,
+  ConfigView,
+  FreshnessLease,
+} from '../../state/resource/configuration/index.js';
+import { DecisionLog } from '../../state/resource/decision-log.js';
+import { LeaseStore } from '../../state/resource/leases/index.js';
+import { BatchLedger, ClaimStore, RolloutLedger } from '../../state/resource/samples/index.js';
+import { RowTable, StoredObjects } from '../../state/resource/tables/index.js';
 import { peerGrant, type Settings, type Timing } from './settings.js';
 
 const DEFAULT_CALLS_PER_SECOND = 200;
--- a/src/node/dispatch-parts.ts
+++ b/src/node/service/dispatch-parts.ts
@@ -1,6 +1,6 @@
 /** Puts together how requests of callers and scoring calls reach replicas: queues here, homes elsewhere, the fleet they are found in. */
-import type { DecisionLogger } from '../common/decision-logger.js';
-import type { ServiceMetrics } from '../common/service-metrics.js';
+import type { DecisionLogger } from '../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../common/service-metrics.js';
 import {
   type DispatchCall,
   HomeDispatch,
@@ -8,19 +8,19 @@
   ServiceQueues,
   toCall,
   toOutcomeMessage,
-} from '../coordination/dispatch/index.js';
-import { FleetDirectory } from '../coordination/membership/index.js';
+} from '../../coordination/service/dispatch/index.js';
+import { FleetDirectory } from '../../coordination/service/membership/index.js';
+import type { RecordStore } from '../../protocol/record-store.js';
 import type {
   DispatchMessage,
   DispatchOutcomeMessage,
   Framed,
   PeerDispatch,
   PeerDispatchOptions,
-} from '../protocol/dispatch-peer.js';
-import type { RecordStore } from '../protocol/record-store.js';
-import type { ServiceSettings } from '../protocol/service-settings.js';
-import type { RoutingTable } from '../state/configuration/index.js';
-import type { ReplicaDirectory, ReplicaState } from '../state/replicas/index.js';
+} from '../../protocol/service/dispatch-peer.js';
+import type { ServiceSettings } from '../../protocol/service/service-settings.js';
+import type { RoutingTable } from '../../state/service/configuration/index.js';
+import type { ReplicaDirectory, ReplicaState } from '../../state/service/replicas/index.js';
 
 /** Requests that may wait at one node, and the part of its memory that their bodies may take. */
 const MAX_WAITING = 2_000;
--- a/src/node/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -3,20 +3,16 @@
  * the replicas' wire format and the operators' records, and translates its callers' requests into the calls below.
  */
 import { setMaxListeners } from 'node:events';
-import { monotonicMs, SYSTEM_CLOCK, sleep } from '../common/clock.js';
-import type { DecisionLogger } from '../common/decision-logger.js';
-import { uniqueId } from '../common/identifier.js';
-import type { ServiceMetrics } from '../common/service-metrics.js';
-import {
-  FEED_WAIT_MS,
-  type FeedObserver,
-  RecordFeed,
-  SharedTable,
-} from '../coordination/configuration/index.js';
-import { ReplicaEndCheck, ReplicaExchange } from '../coordination/dispatch/index.js';
-import { DutyLease } from '../coordination/duties/index.js';
-import type { SubmissionParser } from '../coordination/jobs/index.js';
-import { JobCalls, JobForwarding, JobOwnership } from '../coordination/jobs/index.js';
+import { monotonicMs, SYSTEM_CLOCK, sleep } from '../../common/clock.js';
+import type { DecisionLogger } from '../../common/decision-logger.js';
+import { uniqueId } from '../../common/identifier.js';
+import type { ServiceMetrics } from '../../common/service-metrics.js';
+import { FEED_WAIT_MS, type FeedObserver, RecordFeed, SharedTable } from '../../coordination/feeds/index.js';
+import { ReplicaEndCheck, ReplicaExchange } from '../../coordination/service/dispatch/index.js';
+import { Placement, SampleLengths, SampleScorer } from '../../coordination/service/generation/index.js';
+import type { SubmissionParser } from '../../coordination/service/jobs/index.js';
+import { JobCalls, JobForwarding, JobOwnership } from '../../coordination/service/jobs/index.js';
+import { DutyLease } from '../../coordination/service/leadership/index.js';
 import {
   type AnnouncementFormat,
   OperatorAnnouncements,
@@ -24,24 +20,30 @@
   PeerConfiguration,
   ReplicaAnnouncements,
   SessionMonitor,
-} from '../coordination/membership/index.js';
-import { QuarantineExchange, RequestQuarantine, ServiceRelay } from '../coordination/requests/index.js';
-import { Placement, SampleLengths, SampleScorer } from '../coordination/samples/index.js';
-import { UsageAccounting } from '../coordination/usage/index.js';
-import { WeightOrders } from '../coordination/weights/index.js';
-import type { PeerConfigurationAnswer } from '../protocol/configuration-peer.js';
-import type { DispatchMessage, DispatchOutcomeMessage, Framed } from '../protocol/dispatch-peer.js';
-import type { FatalRunAnswer, FatalRunMessage } from '../protocol/fatal-run-peer.js';
-import type { JobPeer } from '../protocol/job-calls.js';
-import type { RecordStore } from '../protocol/record-store.js';
-import type { ReplicaClient } from '../protocol/replica.js';
-import type { ServiceSettings, UsageSettings } from '../protocol/service-settings.js';
-import type { UsageSink } from '../protocol/usage.js';
-import { RoutingTable, TargetSplitter } from '../state/configuration/index.js';
-import type { JobOwner } from '../state/jobs/index.js';
-import { JobRepository } from '../state/jobs/index.js';
-import { FATAL_RUN_PARTITION, ReplicaDirectory, WeightVersions } from '../state/replicas/index.js';
-import { ResultCache } from '../state/samples/index.js';
+} from '../../coordination/service/membership/index.js';
+import {
+  QuarantineExchange,
+  RequestQuarantine,
+  ServiceRelay,
+} from '../../coordination/service/requests/index.js';
+import { UsageAccounting } from '../../coordination/service/usage/index.js';
+import { WeightOrders } from '../../coordination/service/weights/index.js';
+import type { RecordStore } from '../../protocol/record-store.js';
+import type { PeerConfigurationAnswer } from '../../protocol/service/configuration-peer.js';
+import type {
+  DispatchMessage,
+  DispatchOutcomeMessage,
+  Framed,
+} from '../../protocol/service/dispatch-peer.js';
+import type { FatalRunAnswer, FatalRunMessage } from '../../protocol/service/fatal-run-peer.js';
+import type { JobPeer } from '../../protocol/service/job-calls.js';
+import type { ReplicaClient } from '../../protocol/service/replica.js';
+import type { ServiceSettings, UsageSettings } from '../../protocol/service/service-settings.js';
+import type { UsageSink } from '../../protocol/service/usage.js';
+import { RoutingTable, TargetSplitter } from '../../state/service/configuration/index.js';
+import type { JobOwner } from '../../state/service/jobs/index.js';
+import { JobRepository, ResultCache } from '../../state/service/jobs/index.js';
+import { FATAL_RUN_PARTITION, ReplicaDirectory, WeightVersions } from '../../state/service/replicas/index.js';
 import { DispatchParts, type PeerCall } from './dispatch-parts.js';
 
 /** Duty of giving orders to model replicas. */
--- a/src/node/service-process.ts
+++ b/src/node/service/service-process.ts
@@ -1,18 +1,22 @@
 /** The process of a serving node: its listeners, its signals, and what it measures of itself. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { monotonicMs } from '../common/clock.js';
-import type { StandardOutputLogger } from '../common/decision-logger.js';
-import type { ServiceMetrics } from '../common/service-metrics.js';
-import { CONFIGURATION_PATH, NEWER_THAN } from '../protocol/configuration-peer.js';
+import { monotonicMs } from '../../common/clock.js';
+import type { StandardOutputLogger } from '../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../common/service-metrics.js';
+import { CONFIGURATION_PATH, NEWER_THAN } from '../../protocol/service/configuration-peer.js';
 import {
   DISPATCH_PATH,
   MAX_DISPATCH_BYTES,
   parseDispatch,
   renderDispatchOutcome,
-} from '../protocol/dispatch-peer.js';
-import { FATAL_RUNS_PATH, MAX_MESSAGE_BYTES, parseFatalRunQuestion } from '../protocol/fatal-run-peer.js';
-import type { ServiceSettings } from '../protocol/service-settings.js';
-import { callerGone, HttpServer, readRequestBody, sendJson } from '../transport/http-server.js';
+} from '../../protocol/service/dispatch-peer.js';
+import {
+  FATAL_RUNS_PATH,
+  MAX_MESSAGE_BYTES,
+  parseFatalRunQuestion,
+} from '../../protocol/service/fatal-run-peer.js';
+import type { ServiceSettings } from '../../protocol/service/service-settings.js';
+import { callerGone, HttpServer, readRequestBody, sendJson } from '../../transport/http-server.js';
 import type { ServiceNode } from './service-node.js';
 
 const MAX_HEADER_BYTES = 64 * 1024;
--- a/src/protocol/engine.ts
+++ b/src/protocol/resource/engine.ts
@@ -5,11 +5,11 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
-import type { HttpClient, IncomingResponse } from '../transport/http-client.js';
-import { readWhole } from '../transport/http-client.js';
+import type { HttpClient, IncomingResponse } from '../../transport/http-client.js';
+import { readWhole } from '../../transport/http-client.js';
+import { fromTransport, ProtocolError } from '../protocol-error.js';
+import { Validator } from '../validation.js';
 import { exchangeJson, retryAfterMs } from './json-exchange.js';
-import { fromTransport, ProtocolError } from './protocol-error.js';
-import { Validator } from './validation.js';
 
 const CLOSED = { additionalProperties: false } as const;
 
--- a/src/protocol/json-exchange.ts
+++ b/src/protocol/resource/json-exchange.ts
@@ -1,9 +1,9 @@
 /** JSON request and response over the transport, with the answer checked against a schema. */
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
-import type { HttpClient, OutgoingRequest, WholeResponse } from '../transport/http-client.js';
-import { fromTransport, ProtocolError } from './protocol-error.js';
-import { formatProblems, type Validator } from './validation.js';
+import type { HttpClient, OutgoingRequest, WholeResponse } from '../../transport/http-client.js';
+import { fromTransport, ProtocolError } from '../protocol-error.js';
+import { formatProblems, type Validator } from '../validation.js';
 
 /** A JSON call. */
 export interface JsonCall extends Omit<OutgoingRequest, 'body'> {
--- a/src/protocol/machine-list.ts
+++ b/src/protocol/resource/machine-list.ts
@@ -1,10 +1,10 @@
 /** The platform's list of live and leaving machines: wire format and client. The list lags. */
 import type { Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
-import type { HttpClient } from '../transport/http-client.js';
+import type { HttpClient } from '../../transport/http-client.js';
+import type { ProtocolError } from '../protocol-error.js';
+import { Validator } from '../validation.js';
 import { exchangeJson } from './json-exchange.js';
-import type { ProtocolError } from './protocol-error.js';
-import { Validator } from './validation.js';
 
 export const MachineSchema = Type.Object({
   name: Type.String(),
--- a/src/protocol/manifest.ts
+++ b/src/protocol/resource/manifest.ts
@@ -1,7 +1,7 @@
 /** Checking of declared resources, the same offline (`validate`) and on the server. */
 import { err, ok, type Result } from 'neverthrow';
+import { type FieldProblem, Validator } from '../validation.js';
 import { KINDS, type Kind, ManifestSchemas, type Metadata, type Resource } from './resource.js';
-import { type FieldProblem, Validator } from './validation.js';
 
 /** A declared resource that passed the check; metadata set by the server may be missing. */
 export type Manifest = Omit<Resource, 'metadata'> & {
--- a/src/protocol/operator-client.ts
+++ b/src/protocol/resource/operator-client.ts
@@ -1,7 +1,9 @@
 /** Client of operators: what the command line uses. */
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type TSchema } from 'typebox';
-import type { HttpClient } from '../transport/http-client.js';
+import type { HttpClient } from '../../transport/http-client.js';
+import { fromTransport, ProtocolError } from '../protocol-error.js';
+import { Validator } from '../validation.js';
 import { exchangeJson } from './json-exchange.js';
 import type { Manifest } from './manifest.js';
 import {
@@ -16,8 +18,6 @@
   StatusSchema,
 } from './operator.js';
 import { type Problem, ProblemSchema } from './problem.js';
-import { fromTransport, ProtocolError } from './protocol-error.js';
-import { Validator } from './validation.js';
 
 /** A resource as the interface shows it. */
 export interface ShownResource {
--- a/src/protocol/peer.ts
+++ b/src/protocol/resource/peer.ts
@@ -1,10 +1,10 @@
 /** Messages between nodes: TypeBox with JSON over HTTP. */
 import type { Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
-import type { HttpClient } from '../transport/http-client.js';
+import type { HttpClient } from '../../transport/http-client.js';
+import type { ProtocolError } from '../protocol-error.js';
+import { Validator } from '../validation.js';
 import { exchangeJson } from './json-exchange.js';
-import type { ProtocolError } from './protocol-error.js';
-import { Validator } from './validation.js';
 
 /** What a node tells of itself in the store. */
 export const NodeRecordSchema = Type.Object({
--- a/src/protocol/trainer-client.ts
+++ b/src/protocol/resource/trainer-client.ts
@@ -1,9 +1,10 @@
 /** Client of trainers. A trainer may send each call to any node. */
 import type { Result } from 'neverthrow';
 import Type, { type TSchema } from 'typebox';
-import type { HttpClient } from '../transport/http-client.js';
+import type { HttpClient } from '../../transport/http-client.js';
+import type { ProtocolError } from '../protocol-error.js';
+import { Validator } from '../validation.js';
 import { exchangeJson } from './json-exchange.js';
-import type { ProtocolError } from './protocol-error.js';
 import { API_VERSION } from './resource.js';
 import {
   type Batch,
@@ -13,7 +14,6 @@
   RolloutProgressSchema,
   type RolloutSubmission,
 } from './trainer.js';
-import { Validator } from './validation.js';
 
 const batch = new Validator(BatchSchema);
 const progress = new Validator(RolloutProgressSchema);
--- a/src/protocol/configuration-peer.ts
+++ b/src/protocol/service/configuration-peer.ts
@@ -1,5 +1,5 @@
 /** The configuration as one node asks another for it, over the port that only nodes reach. */
-import type { HttpClient } from '../transport/http-client.js';
+import type { HttpClient } from '../../transport/http-client.js';
 
 /** Path of the question, and its parameter: the version that the asking node has. */
 export const CONFIGURATION_PATH = '/configuration';
--- a/src/protocol/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -6,9 +6,9 @@
 import type { Readable } from 'node:stream';
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
-import { type HttpClient, readWhole } from '../transport/http-client.js';
-import { TransportError } from '../transport/transport-error.js';
-import { Validator } from './validation.js';
+import { type HttpClient, readWhole } from '../../transport/http-client.js';
+import { TransportError } from '../../transport/transport-error.js';
+import { Validator } from '../validation.js';
 
 /** Path of the exchange. */
 export const DISPATCH_PATH = '/dispatch';
--- a/src/protocol/fatal-run-peer.ts
+++ b/src/protocol/service/fatal-run-peer.ts
@@ -3,8 +3,8 @@
  * JSON. The caller sends what the store has not taken of it, and gets what the other node knows.
  */
 import Type, { type Static } from 'typebox';
-import type { HttpClient } from '../transport/http-client.js';
-import { Validator } from './validation.js';
+import type { HttpClient } from '../../transport/http-client.js';
+import { Validator } from '../validation.js';
 
 /** Path of the exchange. */
 export const FATAL_RUNS_PATH = '/fatal-runs';
--- a/src/protocol/replica.ts
+++ b/src/protocol/service/replica.ts
@@ -1,7 +1,7 @@
 /** Replicas of a service, and what can be asked of them. An adapter implements `ReplicaClient` for a wire format. */
 import type { Readable } from 'node:stream';
 import type { Result } from 'neverthrow';
-import type { TransportError } from '../transport/transport-error.js';
+import type { TransportError } from '../../transport/transport-error.js';
 
 /** A replica as it announces itself. One that starts again may keep its `id`; `bornMs` tells its lives apart. */
 export interface Replica {
--- a/src/protocol/usage.ts
+++ b/src/protocol/service/usage.ts
@@ -1,6 +1,6 @@
 /** Usage of tenants, as it is reported to whoever accounts for it: one report for each window of time. */
 import type { Result } from 'neverthrow';
-import type { TransportError } from '../transport/transport-error.js';
+import type { TransportError } from '../../transport/transport-error.js';
 
 /** Requests that began to run, by tenant. */
 export type TenantCounts = Readonly<Record<string, number>>;
--- a/src/state/replicas/admission-limits.ts
+++ b/src/state/resource/backends/admission-limits.ts
@@ -1,5 +1,5 @@
 /** Limits on the requests that a node has in flight, by service and by caller. */
-import type { ResourceOf } from '../../protocol/resource.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
 
 const DEFAULT_MAX_IN_FLIGHT = 1_024;
 const DEFAULT_MAX_IN_FLIGHT_PER_CALLER = 256;
--- a/src/state/replicas/backend-registry.ts
+++ b/src/state/resource/backends/backend-registry.ts
@@ -2,10 +2,10 @@
  * What this node knows of each back end: its declaration, its own report, the machine list's word, and the
  * work that this node has in flight there.
  */
-import { monotonicMs } from '../../common/clock.js';
-import { Lifecycle, type LifecycleObserver } from '../../common/lifecycle.js';
-import type { EngineState } from '../../protocol/engine.js';
-import type { ResourceOf } from '../../protocol/resource.js';
+import { monotonicMs } from '../../../common/clock.js';
+import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
+import type { EngineState } from '../../../protocol/resource/engine.js';
+import type { ResourceOf } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from '../configuration/index.js';
 
 /** Lifecycle of a back end, as one node sees it. */
--- a/src/state/configuration/access-control.ts
+++ b/src/state/resource/configuration/access-control.ts
@@ -1,6 +1,6 @@
 /** Who may do what: bearer tokens as hashes, from the settings and from AccessPolicy resources. */
 import { createHash, timingSafeEqual } from 'node:crypto';
-import type { Role, TokenGrant } from '../../protocol/resource.js';
+import type { Role, TokenGrant } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from './config-view.js';
 
 /** A caller that presented a known token. */
--- a/src/state/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -6,12 +6,17 @@
  * Resource, `config/operation/{operationId}` {revision}, `published/{model}` {version}.
  */
 import { err, ok, type Result } from 'neverthrow';
-import type { ConfigEntry } from '../../protocol/configuration-entry.js';
-import type { Manifest } from '../../protocol/manifest.js';
-import { API_VERSION, type Metadata, type Resource, resourceKey } from '../../protocol/resource.js';
-import { StateError } from '../state-error.js';
-import type { Row, Transaction } from '../store/index.js';
-import { scanAll, type Table } from '../store/index.js';
+import type { ConfigEntry } from '../../../protocol/resource/configuration-entry.js';
+import type { Manifest } from '../../../protocol/resource/manifest.js';
+import {
+  API_VERSION,
+  type Metadata,
+  type Resource,
+  resourceKey,
+} from '../../../protocol/resource/resource.js';
+import { StateError } from '../../state-error.js';
+import type { Row, Transaction } from '../tables/index.js';
+import { scanAll, type Table } from '../tables/index.js';
 
 const HEAD_KEY = 'config/head';
 const RESOURCE_PREFIX = 'config/resource/';
--- a/src/state/configuration/config-view.ts
+++ b/src/state/resource/configuration/config-view.ts
@@ -1,6 +1,11 @@
 /** The configuration in force on this node: resources at one revision, which only grows. */
-import type { ConfigEntry } from '../../protocol/configuration-entry.js';
-import { type Kind, type Resource, type ResourceOf, resourceKey } from '../../protocol/resource.js';
+import type { ConfigEntry } from '../../../protocol/resource/configuration-entry.js';
+import {
+  type Kind,
+  type Resource,
+  type ResourceOf,
+  resourceKey,
+} from '../../../protocol/resource/resource.js';
 
 /** A change as watchers see it. */
 export interface ConfigEvent {
--- a/src/state/configuration/index.ts
+++ b/src/state/resource/configuration/index.ts
@@ -9,5 +9,3 @@
 } from './config-store.js';
 export { ConfigView } from './config-view.js';
 export { FreshnessLease } from './freshness-lease.js';
-export { type Access, RoutingSnapshot, RoutingTable, TargetSplitter } from './routing-table.js';
-export { fingerprintOf } from './tenant-directory.js';
--- a/src/state/decision-log.ts
+++ b/src/state/resource/decision-log.ts
@@ -4,8 +4,8 @@
  */
 import { promisify } from 'node:util';
 import { gunzip, gzip } from 'node:zlib';
-import { sleep, wallTime } from '../common/clock.js';
-import type { Objects } from './store/index.js';
+import { sleep, wallTime } from '../../common/clock.js';
+import type { Objects } from './tables/index.js';
 
 const compress = promisify(gzip);
 const decompress = promisify(gunzip);
--- a/src/state/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -10,9 +10,9 @@
  * Rows: `session/{nodeId}` {session, beat}, `lease/{name}` {holder, session, epoch}, `lease-epoch/{name}` {epoch}.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { monotonicMs } from '../../common/clock.js';
-import { StateError } from '../state-error.js';
-import type { Row, Table } from '../store/index.js';
+import { monotonicMs } from '../../../common/clock.js';
+import { StateError } from '../../state-error.js';
+import type { Row, Table } from '../tables/index.js';
 
 interface SessionRow {
   readonly session: string;
--- a/src/state/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -6,10 +6,10 @@
  * void: they are generated again, and the cursor gets a new attempt without them.
  */
 import { err, ok, type Result } from 'neverthrow';
-import type { Batch, DrawRequest, Sample } from '../../protocol/trainer.js';
+import type { Batch, DrawRequest, Sample } from '../../../protocol/resource/trainer.js';
+import { StateError } from '../../state-error.js';
 import { publishedKey, publishedVersion } from '../configuration/index.js';
-import { StateError } from '../state-error.js';
-import type { Objects, Row, Table } from '../store/index.js';
+import type { Objects, Row, Table } from '../tables/index.js';
 import {
   type Candidate,
   cursorClash,
--- a/src/state/samples/claim-store.ts
+++ b/src/state/resource/samples/claim-store.ts
@@ -5,10 +5,10 @@
  * Rows: `claim/{service}/{hash of identity and key}` ClaimRow; bodies of answers in `claims/{claimId}`.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { sleep } from '../../common/clock.js';
-import { sha256Hex, uniqueId } from '../../common/identifier.js';
-import { StateError } from '../state-error.js';
-import type { Objects, Table } from '../store/index.js';
+import { sleep } from '../../../common/clock.js';
+import { sha256Hex, uniqueId } from '../../../common/identifier.js';
+import { StateError } from '../../state-error.js';
+import type { Objects, Table } from '../tables/index.js';
 
 /** The recorded answer. */
 export interface RecordedAnswer {
--- a/src/state/samples/draw-rules.ts
+++ b/src/state/resource/samples/draw-rules.ts
@@ -1,8 +1,8 @@
 /** The rules of a draw: which cursor may be drawn, and the transaction that hands samples out or discards them. */
-import { sha256Hex } from '../../common/identifier.js';
-import type { DrawRequest } from '../../protocol/trainer.js';
-import { StateError } from '../state-error.js';
-import type { Row, Transaction } from '../store/index.js';
+import { sha256Hex } from '../../../common/identifier.js';
+import type { DrawRequest } from '../../../protocol/resource/trainer.js';
+import { StateError } from '../../state-error.js';
+import type { Row, Transaction } from '../tables/index.js';
 import {
   type CursorRow,
   type DeliveredRow,
--- a/src/state/samples/index.ts
+++ b/src/state/resource/samples/index.ts
@@ -2,7 +2,6 @@
 export { ClaimStore, type HeldClaim, type RecordedAnswer } from './claim-store.js';
 export type { DrawTerms } from './draw-rules.js';
 export { formatSampleId, isWithinBound, oldestVersion, parseSampleId } from './ledger-rows.js';
-export { ResultCache } from './result-cache.js';
 export {
   type CommitVerdict,
   type FinishedSample,
--- a/src/state/samples/ledger-rows.ts
+++ b/src/state/resource/samples/ledger-rows.ts
@@ -11,7 +11,7 @@
  * | `cursor/{trainer}` | CursorRow | at each draw and acknowledgement |
  * | `delivered/{trainer}/{sampleId}` | DeliveredRow | when drawn |
  */
-import type { Segment } from '../../protocol/trainer.js';
+import type { Segment } from '../../../protocol/resource/trainer.js';
 
 const SLOT_DIGITS = 7;
 
--- a/src/state/samples/rollout-ledger.ts
+++ b/src/state/resource/samples/rollout-ledger.ts
@@ -4,12 +4,12 @@
  * the sample was generated is still the newest one.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { sha256Hex, uniqueId } from '../../common/identifier.js';
-import type { RolloutProgress, RolloutSubmission, Sample } from '../../protocol/trainer.js';
+import { sha256Hex, uniqueId } from '../../../common/identifier.js';
+import type { RolloutProgress, RolloutSubmission, Sample } from '../../../protocol/resource/trainer.js';
+import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
-import { StateError } from '../state-error.js';
-import type { Objects, Row } from '../store/index.js';
-import { scanAll, type Table } from '../store/index.js';
+import type { Objects, Row } from '../tables/index.js';
+import { scanAll, type Table } from '../tables/index.js';
 import {
   type ExpiredSample,
   ledgerKeys,
--- /dev/null
+++ b/src/state/resource/tables/index.ts
@@ -0,0 +1,9 @@
+export {
+  CONFIGURATION_TABLE,
+  type Row,
+  RowTable,
+  scanAll,
+  type Table,
+  type Transaction,
+} from './row-table.js';
+export { type Objects, StoredObjects } from './stored-objects.js';
--- a/src/state/store/row-table.ts
+++ b/src/state/resource/tables/row-table.ts
@@ -5,16 +5,16 @@
  * followed without all the others.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { monotonicMs, sleep } from '../../common/clock.js';
-import { Lifecycle, type LifecycleObserver } from '../../common/lifecycle.js';
-import { TokenBucket } from '../../common/token-bucket.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
+import { TokenBucket } from '../../../common/token-bucket.js';
 import type {
   RecordAddress,
   RecordStore,
   RecordStoreError,
   StoredRecord,
-} from '../../protocol/record-store.js';
-import { StateError } from '../state-error.js';
+} from '../../../protocol/record-store.js';
+import { StateError } from '../../state-error.js';
 
 /** A row. */
 export interface Row {
--- a/src/state/store/stored-objects.ts
+++ b/src/state/resource/tables/stored-objects.ts
@@ -1,10 +1,10 @@
 /** The store's objects as the rest of the node sees them: within the node's share of the rate, and counted. */
 import { err, type Result } from 'neverthrow';
-import { sleep } from '../../common/clock.js';
-import type { Metrics } from '../../common/metrics.js';
-import { TokenBucket } from '../../common/token-bucket.js';
-import type { RecordStore, RecordStoreError } from '../../protocol/record-store.js';
-import type { StateError } from '../state-error.js';
+import { sleep } from '../../../common/clock.js';
+import type { Metrics } from '../../../common/metrics.js';
+import { TokenBucket } from '../../../common/token-bucket.js';
+import type { RecordStore, RecordStoreError } from '../../../protocol/record-store.js';
+import type { StateError } from '../../state-error.js';
 import { fromStore } from './row-table.js';
 
 const MAX_TRIES = 3;
--- /dev/null
+++ b/src/state/service/configuration/index.ts
@@ -0,0 +1,2 @@
+export { type Access, RoutingSnapshot, RoutingTable, TargetSplitter } from './routing-table.js';
+export { fingerprintOf } from './tenant-directory.js';
--- a/src/state/configuration/routing-table.ts
+++ b/src/state/service/configuration/routing-table.ts
@@ -1,5 +1,5 @@
 /** The configuration in force, indexed by host and path prefix. It never goes back to an older version. */
-import type { Replica } from '../../protocol/replica.js';
+import type { Replica } from '../../../protocol/service/replica.js';
 import type {
   CallerLimits,
   Route,
@@ -7,7 +7,7 @@
   RoutingConfiguration,
   ServiceDefinition,
   Tenant,
-} from '../../protocol/routing-configuration.js';
+} from '../../../protocol/service/routing-configuration.js';
 import { TenantDirectory } from './tenant-directory.js';
 
 /** Whether a caller may send a request. */
--- a/src/state/configuration/tenant-directory.ts
+++ b/src/state/service/configuration/tenant-directory.ts
@@ -1,6 +1,6 @@
 /** Tenants by their API keys, as one configuration has them. */
 import { createHash } from 'node:crypto';
-import type { Tenant } from '../../protocol/routing-configuration.js';
+import type { Tenant } from '../../../protocol/service/routing-configuration.js';
 
 /** Who a caller is, by what it shows. */
 export type CallerIdentity =
--- a/src/state/jobs/job-contents.ts
+++ b/src/state/service/jobs/job-contents.ts
@@ -3,10 +3,10 @@
  * conditional on the head's version.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { uniqueId } from '../../common/identifier.js';
-import type { PartialText } from '../../protocol/batch-job.js';
-import type { RecordStore, RecordWrite, StoredRecord } from '../../protocol/record-store.js';
-import { StateError } from '../state-error.js';
+import { uniqueId } from '../../../common/identifier.js';
+import type { RecordStore, RecordWrite, StoredRecord } from '../../../protocol/record-store.js';
+import type { PartialText } from '../../../protocol/service/batch-job.js';
+import { StateError } from '../../state-error.js';
 import { readRange, settle } from '../store/index.js';
 import {
   headAddress,
--- a/src/state/jobs/job-record.ts
+++ b/src/state/service/jobs/job-record.ts
@@ -1,6 +1,6 @@
 /** Records of batch jobs: their shape in the store and where each one lies. */
-import { spread } from '../../common/spread.js';
-import type { RecordAddress } from '../../protocol/record-store.js';
+import { spread } from '../../../common/spread.js';
+import type { RecordAddress } from '../../../protocol/record-store.js';
 import { FOLLOWED_TABLE } from '../store/index.js';
 
 /** Tables of the product. */
--- a/src/state/jobs/job-repository.ts
+++ b/src/state/service/jobs/job-repository.ts
@@ -3,10 +3,11 @@
  * conditional on the head, so that only its owner can make it.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { monotonicMs } from '../../common/clock.js';
-import type { RecordStore, RecordWrite, StoredRecord } from '../../protocol/record-store.js';
-import { StateError } from '../state-error.js';
-import { ConflictError, readCurrent, readRange, settle } from '../store/index.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { RecordStore, RecordWrite, StoredRecord } from '../../../protocol/record-store.js';
+import { StateError } from '../../state-error.js';
+import { readCurrent } from '../../store/index.js';
+import { ConflictError, readRange, settle } from '../store/index.js';
 import { JobContents } from './job-contents.js';
 import {
   belongsTo,
--- a/src/state/replicas/index.ts
+++ b/src/state/service/replicas/index.ts
@@ -1,5 +1,3 @@
-export { AdmissionLimits } from './admission-limits.js';
-export { BackendEntry, BackendRegistry } from './backend-registry.js';
 export {
   FATAL_RUN_PARTITION,
   type FatalRunReport,
@@ -9,7 +7,6 @@
   toServedRecord,
 } from './fatal-run-record.js';
 export { FATAL_RUN_EXPIRY_MS, type FatalRun, FatalRuns, type Verdict } from './fatal-runs.js';
-export { partitionOf, rankByRendezvous } from './rendezvous.js';
 export { type Choice, type ChoiceTerms, chooseReplica, drainRate, roomOf } from './replica-choice.js';
 export { ReplicaDirectory } from './replica-directory.js';
 export { type LifeOrder, orderOfLives, type ReplicaLife } from './replica-life.js';
--- a/src/state/replicas/replica-directory.ts
+++ b/src/state/service/replicas/replica-directory.ts
@@ -1,5 +1,5 @@
 /** Replicas that are known, and the choice among them. */
-import type { Replica } from '../../protocol/replica.js';
+import type { Replica } from '../../../protocol/service/replica.js';
 import { type LifeOrder, orderOfLives } from './replica-life.js';
 import { ReplicaState } from './replica-state.js';
 
--- a/src/state/replicas/replica-state.ts
+++ b/src/state/service/replicas/replica-state.ts
@@ -1,6 +1,6 @@
 /** One life of a replica, with what this node has learnt of it from traffic. */
-import { monotonicMs } from '../../common/clock.js';
-import type { Replica, ReplicaLoad } from '../../protocol/replica.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { Replica, ReplicaLoad } from '../../../protocol/service/replica.js';
 
 /** How long a replica is avoided after a first failure, milliseconds; doubles with each further one. */
 const SUSPICION_BASE_MS = 250;
--- a/src/state/store/instrumented-store.ts
+++ b/src/state/service/store/instrumented-store.ts
@@ -1,9 +1,9 @@
 /** The record store with counters, latency histograms and a lifecycle that says whether it answers. */
 import type { Result } from 'neverthrow';
-import { monotonicMs } from '../../common/clock.js';
-import type { DecisionLogger } from '../../common/decision-logger.js';
-import { Lifecycle } from '../../common/lifecycle.js';
-import type { ServiceMetrics } from '../../common/service-metrics.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import { Lifecycle } from '../../../common/lifecycle.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type {
   RecordChanges,
   RecordPage,
@@ -12,7 +12,7 @@
   RecordStoreError,
   RecordStoreFailure,
   RecordTransaction,
-} from '../../protocol/record-store.js';
+} from '../../../protocol/record-store.js';
 import { OverdueCalls } from './overdue-calls.js';
 
 type Health = 'answering' | 'slow' | 'silent';
--- a/src/state/store/overdue-calls.ts
+++ b/src/state/service/store/overdue-calls.ts
@@ -5,7 +5,7 @@
  * take now, its answer is lost, and waiting for it only delays the repeat. While calls wait, a small question is asked now
  * and then, so that there is something to be answered.
  */
-import { monotonicMs } from '../../common/clock.js';
+import { monotonicMs } from '../../../common/clock.js';
 
 /** A call is never given up before this, milliseconds. */
 const SHORTEST_WAIT_MS = 150;
--- a/src/state/store/read-range.ts
+++ b/src/state/service/store/read-range.ts
@@ -1,7 +1,7 @@
 /** Reads a range of records that may be longer than one page. */
 import { err, ok, type Result } from 'neverthrow';
-import type { RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import { StateError } from '../state-error.js';
+import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
+import { StateError } from '../../state-error.js';
 
 /** Records of a range, read page by page; the version is that of the first page. */
 export async function readRange(
--- a/src/state/store/settled-transaction.ts
+++ b/src/state/service/store/settled-transaction.ts
@@ -4,9 +4,9 @@
  * sure that only one of the repeats is carried out.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { monotonicMs, sleep } from '../../common/clock.js';
-import type { RecordStore, RecordTransaction, StoredRecord } from '../../protocol/record-store.js';
-import { StateError } from '../state-error.js';
+import { monotonicMs, sleep } from '../../../common/clock.js';
+import type { RecordStore, RecordTransaction, StoredRecord } from '../../../protocol/record-store.js';
+import { StateError } from '../../state-error.js';
 
 const FIRST_PAUSE_MS = 20;
 const LONGEST_PAUSE_MS = 300;
--- a/src/state/usage/usage-record.ts
+++ b/src/state/service/usage/usage-record.ts
@@ -1,7 +1,7 @@
 /** Records of usage: what each process has counted in a window, and what was decided to report of it. */
-import { spread } from '../../common/spread.js';
-import type { RecordAddress } from '../../protocol/record-store.js';
-import type { TenantCounts } from '../../protocol/usage.js';
+import { spread } from '../../../common/spread.js';
+import type { RecordAddress } from '../../../protocol/record-store.js';
+import type { TenantCounts } from '../../../protocol/service/usage.js';
 
 export const COUNT_TABLE = 'usage-counts';
 export const REPORT_TABLE = 'usage-reports';
--- a/src/state/usage/usage-repository.ts
+++ b/src/state/service/usage/usage-repository.ts
@@ -4,10 +4,10 @@
  * it is sent, so that every holder of the duty sends the same.
  */
 import { err, ok, Result } from 'neverthrow';
-import { monotonicMs } from '../../common/clock.js';
-import type { RecordAddress, RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import type { TenantCounts } from '../../protocol/usage.js';
-import type { StateError } from '../state-error.js';
+import { monotonicMs } from '../../../common/clock.js';
+import type { RecordAddress, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
+import type { TenantCounts } from '../../../protocol/service/usage.js';
+import type { StateError } from '../../state-error.js';
 import { ConflictError, readRange, settle } from '../store/index.js';
 import {
   COUNT_PARTITIONS,
--- a/test/bench/soak-checks.test.ts
+++ b/test/bench/soak-checks.test.ts
@@ -11,7 +11,7 @@
 import type { ReadResult, TrainerJob } from '../../emulator/clients/job-trainer.js';
 import type { ReceivedOrder, ReceivedRequest } from '../../emulator/replica/replica-server.js';
 import type { ReceivedReport } from '../../emulator/usage/usage-server.js';
-import type { TenantCounts } from '../../src/protocol/usage.js';
+import type { TenantCounts } from '../../src/protocol/service/usage.js';
 
 const JOB: TrainerJob = {
   id: 'job-1',
--- a/test/cli/usage-accounts.test.ts
+++ b/test/cli/usage-accounts.test.ts
@@ -3,7 +3,7 @@
 import { once } from 'node:events';
 import { resolve } from 'node:path';
 import { expect } from 'chai';
-import { REPORT_PARTITION, REPORT_TABLE, windowKey } from '../../src/state/usage/usage-record.js';
+import { REPORT_PARTITION, REPORT_TABLE, windowKey } from '../../src/state/service/usage/usage-record.js';
 import { kill, ServiceSystem } from '../support/service-system.js';
 import { bearing, tenantConfiguration } from '../support/tenants.js';
 import { until } from '../support/wait.js';
--- a/test/coordination/configuration/record-feed.test.ts
+++ b/test/coordination/feeds/record-feed.test.ts
@@ -7,7 +7,7 @@
   type FeedHandler,
   type FeedObserver,
   RecordFeed,
-} from '../../../src/coordination/configuration/record-feed.js';
+} from '../../../src/coordination/feeds/record-feed.js';
 import type { ChangedRecord, RecordStore } from '../../../src/protocol/record-store.js';
 import { until } from '../../support/wait.js';
 
--- a/test/coordination/configuration/configuration.test.ts
+++ b/test/coordination/resource/configuration/configuration.test.ts
@@ -1,11 +1,11 @@
 /** Accepted configuration is in force everywhere within seconds and never reverts. */
 import { expect } from 'chai';
-import { EMULATOR_APPLICATION } from '../../../emulator/declarations.js';
-import { sleep } from '../../../src/common/clock.js';
-import { uniqueId } from '../../../src/common/identifier.js';
-import { killProcess } from '../../support/processes.js';
-import { type SystemNode, TestSystem } from '../../support/system.js';
-import { until } from '../../support/wait.js';
+import { EMULATOR_APPLICATION } from '../../../../emulator/declarations.js';
+import { sleep } from '../../../../src/common/clock.js';
+import { uniqueId } from '../../../../src/common/identifier.js';
+import { killProcess } from '../../../support/processes.js';
+import { type SystemNode, TestSystem } from '../../../support/system.js';
+import { until } from '../../../support/wait.js';
 
 /** Calls that a node must go on refusing once it has refused. */
 const CALLS_AFTER_REFUSAL = 40;
--- a/test/coordination/requests/at-most-once.test.ts
+++ b/test/coordination/resource/requests/at-most-once.test.ts
@@ -1,8 +1,8 @@
 /** A request that is not repeatable runs at most once, and "not run" is true. */
 import { expect } from 'chai';
-import { uniqueId } from '../../../src/common/identifier.js';
-import { type SystemBackend, type SystemNode, TestSystem } from '../../support/system.js';
-import { until } from '../../support/wait.js';
+import { uniqueId } from '../../../../src/common/identifier.js';
+import { type SystemBackend, type SystemNode, TestSystem } from '../../../support/system.js';
+import { until } from '../../../support/wait.js';
 
 describe('requests that are not repeatable', () => {
   const system = new TestSystem({ nodes: 2, applications: 2 });
--- a/test/coordination/requests/callers.test.ts
+++ b/test/coordination/resource/requests/callers.test.ts
@@ -1,16 +1,16 @@
 /** Deadlines, leaving callers, limits, and explanations of what callers were told. */
 import { expect } from 'chai';
-import { EMULATOR_TOKENS } from '../../../emulator/cluster.js';
-import { EMULATOR_APPLICATION, EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../emulator/declarations.js';
-import { PlatformStoreClient } from '../../../platform/store-client.js';
-import { parseRequestId, uniqueId } from '../../../src/common/identifier.js';
-import { Metrics } from '../../../src/common/metrics.js';
-import { EngineClient } from '../../../src/protocol/engine.js';
-import { findFlushedDecisions } from '../../../src/state/decision-log.js';
-import { StoredObjects } from '../../../src/state/store/stored-objects.js';
-import { killProcess } from '../../support/processes.js';
-import { type SystemBackend, type SystemNode, TestSystem } from '../../support/system.js';
-import { until } from '../../support/wait.js';
+import { EMULATOR_TOKENS } from '../../../../emulator/cluster.js';
+import { EMULATOR_APPLICATION, EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../../emulator/declarations.js';
+import { PlatformStoreClient } from '../../../../platform/store-client.js';
+import { parseRequestId, uniqueId } from '../../../../src/common/identifier.js';
+import { Metrics } from '../../../../src/common/metrics.js';
+import { EngineClient } from '../../../../src/protocol/resource/engine.js';
+import { findFlushedDecisions } from '../../../../src/state/resource/decision-log.js';
+import { StoredObjects } from '../../../../src/state/resource/tables/stored-objects.js';
+import { killProcess } from '../../../support/processes.js';
+import { type SystemBackend, type SystemNode, TestSystem } from '../../../support/system.js';
+import { until } from '../../../support/wait.js';
 
 const LIMIT = 3;
 
--- a/test/coordination/requests/drain.test.ts
+++ b/test/coordination/resource/requests/drain.test.ts
@@ -1,12 +1,12 @@
 /** A back end that is leaving receives no new work, and a planned stop cuts off nothing in flight. */
 import { once } from 'node:events';
 import { expect } from 'chai';
-import { EMULATOR_TOKENS } from '../../../emulator/cluster.js';
-import { EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../emulator/declarations.js';
-import { uniqueId } from '../../../src/common/identifier.js';
-import { EngineClient } from '../../../src/protocol/engine.js';
-import { type SystemBackend, type SystemNode, TestSystem } from '../../support/system.js';
-import { until } from '../../support/wait.js';
+import { EMULATOR_TOKENS } from '../../../../emulator/cluster.js';
+import { EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../../emulator/declarations.js';
+import { uniqueId } from '../../../../src/common/identifier.js';
+import { EngineClient } from '../../../../src/protocol/resource/engine.js';
+import { type SystemBackend, type SystemNode, TestSystem } from '../../../support/system.js';
+import { until } from '../../../support/wait.js';
 
 const CALLS = 20;
 
--- a/test/coordination/requests/request-context.test.ts
+++ b/test/coordination/resource/requests/request-context.test.ts
@@ -9,8 +9,8 @@
  */
 import { once } from 'node:events';
 import { expect } from 'chai';
-import { monotonicMs } from '../../../src/common/clock.js';
-import { isPastDeadline, type RequestContext } from '../../../src/coordination/requests/index.js';
+import { monotonicMs } from '../../../../src/common/clock.js';
+import { isPastDeadline, type RequestContext } from '../../../../src/coordination/resource/requests/index.js';
 
 const LATER_MS = 60_000;
 
--- a/test/coordination/samples/event-transcript.test.ts
+++ b/test/coordination/resource/rollouts/event-transcript.test.ts
@@ -1,7 +1,7 @@
 /** Whole events and weight versions however the bytes of a stream are cut up. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { EventTranscript } from '../../../src/coordination/samples/event-transcript.js';
+import { EventTranscript } from '../../../../src/coordination/resource/rollouts/event-transcript.js';
 
 const event = (text: string, tokens: number, version: number, reason: string | null = null) =>
   `data: ${JSON.stringify({ id: 'r', text, tokens, weight_version: version, finish_reason: reason })}\n\n`;
--- a/test/coordination/samples/exactly-once.test.ts
+++ b/test/coordination/resource/rollouts/exactly-once.test.ts
@@ -1,12 +1,12 @@
 /** Every sample reaches its trainer exactly once, whatever dies, pauses or answers late. */
 import { expect } from 'chai';
-import { TrainerLoop, type TrainerReport } from '../../../emulator/clients/trainer-loop.js';
-import { EMULATOR_TOKENS } from '../../../emulator/cluster.js';
-import { EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../emulator/declarations.js';
-import { sleep } from '../../../src/common/clock.js';
-import { killProcess } from '../../support/processes.js';
-import { type SystemBackend, type SystemNode, TestSystem } from '../../support/system.js';
-import { until } from '../../support/wait.js';
+import { TrainerLoop, type TrainerReport } from '../../../../emulator/clients/trainer-loop.js';
+import { EMULATOR_TOKENS } from '../../../../emulator/cluster.js';
+import { EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../../emulator/declarations.js';
+import { sleep } from '../../../../src/common/clock.js';
+import { killProcess } from '../../../support/processes.js';
+import { type SystemBackend, type SystemNode, TestSystem } from '../../../support/system.js';
+import { until } from '../../../support/wait.js';
 
 const BOUND = 1;
 const DUTY = `rollouts/${EMULATOR_TRAINER}/0`;
--- a/test/coordination/duties/duties.test.ts
+++ b/test/coordination/resource/singleton-tasks/duties.test.ts
@@ -1,8 +1,8 @@
 /** Duties spread over the nodes, also over those that join later. */
 import { expect } from 'chai';
-import { EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../emulator/declarations.js';
-import { TestSystem } from '../../support/system.js';
-import { until } from '../../support/wait.js';
+import { EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../../emulator/declarations.js';
+import { TestSystem } from '../../../support/system.js';
+import { until } from '../../../support/wait.js';
 
 const SHARDS = 12;
 
--- a/test/coordination/weights/staleness.test.ts
+++ b/test/coordination/resource/weights/staleness.test.ts
@@ -1,10 +1,10 @@
 /** No delivered sample is older than the staleness bound of its trainer, also when a batch is delivered again. */
 import { expect } from 'chai';
-import { nextSequence, versionsInText } from '../../../emulator/clients/trainer-loop.js';
-import { EMULATOR_MODEL } from '../../../emulator/declarations.js';
-import type { Batch } from '../../../src/protocol/trainer.js';
-import { type SystemNode, TestSystem } from '../../support/system.js';
-import { until } from '../../support/wait.js';
+import { nextSequence, versionsInText } from '../../../../emulator/clients/trainer-loop.js';
+import { EMULATOR_MODEL } from '../../../../emulator/declarations.js';
+import type { Batch } from '../../../../src/protocol/resource/trainer.js';
+import { type SystemNode, TestSystem } from '../../../support/system.js';
+import { until } from '../../../support/wait.js';
 
 describe('the staleness bound', () => {
   const system = new TestSystem({ nodes: 2, engines: 2, stalenessBound: 0 });
--- a/test/coordination/weights/weights.test.ts
+++ b/test/coordination/resource/weights/weights.test.ts
@@ -1,11 +1,11 @@
 /** Weight versions: named truly through swaps, failed swaps, fences, approvals and residency. */
 import { expect } from 'chai';
-import { namesTrueVersions, nextSequence } from '../../../emulator/clients/trainer-loop.js';
-import { EMULATOR_MODEL, EMULATOR_MODEL_SERVICE } from '../../../emulator/declarations.js';
-import { EngineClient } from '../../../src/protocol/engine.js';
-import type { Sample } from '../../../src/protocol/trainer.js';
-import { type SystemBackend, type SystemNode, TestSystem } from '../../support/system.js';
-import { until } from '../../support/wait.js';
+import { namesTrueVersions, nextSequence } from '../../../../emulator/clients/trainer-loop.js';
+import { EMULATOR_MODEL, EMULATOR_MODEL_SERVICE } from '../../../../emulator/declarations.js';
+import { EngineClient } from '../../../../src/protocol/resource/engine.js';
+import type { Sample } from '../../../../src/protocol/resource/trainer.js';
+import { type SystemBackend, type SystemNode, TestSystem } from '../../../support/system.js';
+import { until } from '../../../support/wait.js';
 
 describe('weight versions', () => {
   const system = new TestSystem({
--- a/test/coordination/dispatch/home-dispatch.test.ts
+++ b/test/coordination/service/dispatch/home-dispatch.test.ts
@@ -1,25 +1,28 @@
 /** Requests to the homes of their services: one failure a test, without a network. */
 import { expect } from 'chai';
-import { monotonicMs, sleep } from '../../../src/common/clock.js';
-import { ServiceMetrics } from '../../../src/common/service-metrics.js';
-import type { DispatchCall, DispatchResult } from '../../../src/coordination/dispatch/dispatch-call.js';
+import { monotonicMs, sleep } from '../../../../src/common/clock.js';
+import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
+import type {
+  DispatchCall,
+  DispatchResult,
+} from '../../../../src/coordination/service/dispatch/dispatch-call.js';
 import {
   HomeDispatch,
   needsHomes,
   toCall,
   toOutcomeMessage,
-} from '../../../src/coordination/dispatch/home-dispatch.js';
-import type { ServiceQueues } from '../../../src/coordination/dispatch/service-queues.js';
+} from '../../../../src/coordination/service/dispatch/home-dispatch.js';
+import type { ServiceQueues } from '../../../../src/coordination/service/dispatch/service-queues.js';
 import {
   type DispatchMessage,
   type Framed,
   MAX_DISPATCHED_BODY_BYTES,
   type PeerDispatch,
   type PeerDispatchOptions,
-} from '../../../src/protocol/dispatch-peer.js';
-import { ReplicaDirectory } from '../../../src/state/replicas/replica-directory.js';
-import { type FleetMember, rankHomes } from '../../../src/state/replicas/service-homes.js';
-import { replicaWith } from '../../support/replicas.js';
+} from '../../../../src/protocol/service/dispatch-peer.js';
+import { ReplicaDirectory } from '../../../../src/state/service/replicas/replica-directory.js';
+import { type FleetMember, rankHomes } from '../../../../src/state/service/replicas/service-homes.js';
+import { replicaWith } from '../../../support/replicas.js';
 
 const SERVICE = 's';
 const HERE: DispatchResult = {
--- a/test/coordination/dispatch/homes.test.ts
+++ b/test/coordination/service/dispatch/homes.test.ts
@@ -1,8 +1,8 @@
 /** Requests that reach replicas through the home of their service: real nodes, one failure a test. */
 import { expect } from 'chai';
-import type { ReplicaServer } from '../../../emulator/replica/replica-server.js';
-import { HEADER } from '../../../platform/names.js';
-import { monotonicMs } from '../../../src/common/clock.js';
+import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
+import { HEADER } from '../../../../platform/names.js';
+import { monotonicMs } from '../../../../src/common/clock.js';
 import {
   APPLICATION_SERVICE,
   HOST,
@@ -11,8 +11,8 @@
   type ServiceNodeProcess,
   ServiceSystem,
   usualConfiguration,
-} from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+} from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 /** More nodes than a replica runs requests at once, so that the service has a home. */
 const NODES = 5;
--- a/test/coordination/dispatch/replica-end-check.test.ts
+++ b/test/coordination/service/dispatch/replica-end-check.test.ts
@@ -3,11 +3,14 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
-import { ServiceMetrics } from '../../../src/common/service-metrics.js';
-import { ReplicaEndCheck } from '../../../src/coordination/dispatch/replica-end-check.js';
-import { digestOf, type IdentifiedRequest } from '../../../src/coordination/dispatch/request-digest.js';
-import { ReplicaState } from '../../../src/state/replicas/replica-state.js';
-import { replicaWith } from '../../support/replicas.js';
+import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
+import { ReplicaEndCheck } from '../../../../src/coordination/service/dispatch/replica-end-check.js';
+import {
+  digestOf,
+  type IdentifiedRequest,
+} from '../../../../src/coordination/service/dispatch/request-digest.js';
+import { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
+import { replicaWith } from '../../../support/replicas.js';
 
 const replicaAt = (address: string) => new ReplicaState(replicaWith({ address }));
 
--- a/test/coordination/dispatch/service-queue.test.ts
+++ b/test/coordination/service/dispatch/service-queue.test.ts
@@ -1,15 +1,21 @@
 /** The queue of a service at the node that deals out its places, one failure a test, without a network. */
 import { setImmediate as turn } from 'node:timers/promises';
 import { expect } from 'chai';
-import { monotonicMs } from '../../../src/common/clock.js';
-import { ServiceMetrics } from '../../../src/common/service-metrics.js';
-import type { DispatchCall, DispatchResult } from '../../../src/coordination/dispatch/dispatch-call.js';
-import type { AttemptOutcome, ReplicaExchange } from '../../../src/coordination/dispatch/replica-exchange.js';
-import { ServiceQueue } from '../../../src/coordination/dispatch/service-queue.js';
-import { ReplicaDirectory } from '../../../src/state/replicas/replica-directory.js';
-import type { ReplicaState } from '../../../src/state/replicas/replica-state.js';
-import { replicaWith } from '../../support/replicas.js';
-import { until } from '../../support/wait.js';
+import { monotonicMs } from '../../../../src/common/clock.js';
+import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
+import type {
+  DispatchCall,
+  DispatchResult,
+} from '../../../../src/coordination/service/dispatch/dispatch-call.js';
+import type {
+  AttemptOutcome,
+  ReplicaExchange,
+} from '../../../../src/coordination/service/dispatch/replica-exchange.js';
+import { ServiceQueue } from '../../../../src/coordination/service/dispatch/service-queue.js';
+import { ReplicaDirectory } from '../../../../src/state/service/replicas/replica-directory.js';
+import type { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
+import { replicaWith } from '../../../support/replicas.js';
+import { until } from '../../../support/wait.js';
 
 const SLOTS = 2;
 const ANSWER: AttemptOutcome = {
--- a/test/coordination/samples/placement.test.ts
+++ b/test/coordination/service/generation/placement.test.ts
@@ -1,11 +1,11 @@
 /** Placement on replicas that declined: one request asks whether they take requests again, the others wait. */
 import { setImmediate as turn } from 'node:timers/promises';
 import { expect } from 'chai';
-import { Placement } from '../../../src/coordination/samples/placement.js';
-import { ReplicaDirectory } from '../../../src/state/replicas/replica-directory.js';
-import type { ReplicaState } from '../../../src/state/replicas/replica-state.js';
-import { replicaWith } from '../../support/replicas.js';
-import { until } from '../../support/wait.js';
+import { Placement } from '../../../../src/coordination/service/generation/placement.js';
+import { ReplicaDirectory } from '../../../../src/state/service/replicas/replica-directory.js';
+import type { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
+import { replicaWith } from '../../../support/replicas.js';
+import { until } from '../../../support/wait.js';
 
 const SLOTS = 8;
 const PAUSE_MS = 30;
--- a/test/coordination/samples/sample-lengths.test.ts
+++ b/test/coordination/service/generation/sample-lengths.test.ts
@@ -1,7 +1,7 @@
 /** Expected lengths of samples: the order in which items start, and what is left of a running sample. */
 import { expect } from 'chai';
-import { SampleLengths } from '../../../src/coordination/samples/sample-lengths.js';
-import type { JobItem } from '../../../src/protocol/batch-job.js';
+import { SampleLengths } from '../../../../src/coordination/service/generation/sample-lengths.js';
+import type { JobItem } from '../../../../src/protocol/service/batch-job.js';
 
 const TOKENS_PER_EVENT = 52;
 
--- a/test/coordination/samples/sample-placement.test.ts
+++ b/test/coordination/service/generation/sample-placement.test.ts
@@ -1,8 +1,8 @@
 /** Where and when samples of a job run: the longest first, and on from a replica that turns slow. */
 import { expect } from 'chai';
-import { expectWhole, job } from '../../support/jobs.js';
-import { ServiceSystem, usualConfiguration } from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+import { expectWhole, job } from '../../../support/jobs.js';
+import { ServiceSystem, usualConfiguration } from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 /** Times of an event, milliseconds. */
 const FAST_MS = 5;
--- a/test/coordination/jobs/item-run.test.ts
+++ b/test/coordination/service/jobs/item-run.test.ts
@@ -1,10 +1,14 @@
 /** One item of a job: how it asks for a replica. */
 import { expect } from 'chai';
-import { type ItemJob, ItemRun, type ItemServices } from '../../../src/coordination/jobs/item-run.js';
-import type { PlacementRequest } from '../../../src/coordination/samples/placement.js';
-import { SampleLengths } from '../../../src/coordination/samples/sample-lengths.js';
-import type { JobItem, PartialText } from '../../../src/protocol/batch-job.js';
-import { RoutingTable, TargetSplitter } from '../../../src/state/configuration/routing-table.js';
+import type { PlacementRequest } from '../../../../src/coordination/service/generation/placement.js';
+import { SampleLengths } from '../../../../src/coordination/service/generation/sample-lengths.js';
+import {
+  type ItemJob,
+  ItemRun,
+  type ItemServices,
+} from '../../../../src/coordination/service/jobs/item-run.js';
+import type { JobItem, PartialText } from '../../../../src/protocol/service/batch-job.js';
+import { RoutingTable, TargetSplitter } from '../../../../src/state/service/configuration/routing-table.js';
 
 const OLDEST_VERSION = 3;
 
--- a/test/coordination/jobs/job-owners.test.ts
+++ b/test/coordination/service/jobs/job-owners.test.ts
@@ -1,6 +1,6 @@
 /** Who runs the next job of a model: the owner of the one before, as long as it is at work and stays. */
 import { expect } from 'chai';
-import type { TrainerJob } from '../../../emulator/clients/job-trainer.js';
+import type { TrainerJob } from '../../../../emulator/clients/job-trainer.js';
 import {
   HOST,
   JOB_PATH,
@@ -8,8 +8,8 @@
   MODEL,
   type ServiceNodeProcess,
   ServiceSystem,
-} from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+} from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 /** Beats after which every node has seen the process at work. */
 const SEEN_BEATS = 4;
--- a/test/coordination/jobs/result-lister.test.ts
+++ b/test/coordination/service/jobs/result-lister.test.ts
@@ -1,11 +1,14 @@
 /** When results of a job are listed: together, so that a read waits at the node when the last one comes. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
-import { type ListerServices, ResultLister } from '../../../src/coordination/jobs/result-lister.js';
-import { WantedGroups } from '../../../src/coordination/jobs/wanted-groups.js';
-import type { JobItem } from '../../../src/protocol/batch-job.js';
-import type { JobHead } from '../../../src/state/jobs/job-record.js';
-import { ManualClock } from '../../support/manual-clock.js';
+import {
+  type ListerServices,
+  ResultLister,
+} from '../../../../src/coordination/service/jobs/result-lister.js';
+import { WantedGroups } from '../../../../src/coordination/service/jobs/wanted-groups.js';
+import type { JobItem } from '../../../../src/protocol/service/batch-job.js';
+import type { JobHead } from '../../../../src/state/service/jobs/job-record.js';
+import { ManualClock } from '../../../support/manual-clock.js';
 
 const DUE_MS = 7_500;
 /** Longest time for which a result may wait for others, milliseconds. */
--- a/test/coordination/jobs/service-jobs.test.ts
+++ b/test/coordination/service/jobs/service-jobs.test.ts
@@ -1,9 +1,9 @@
 /** Batch jobs on serving nodes: accepted once, run by one owner, listed once, whatever becomes of owners and store. */
 import { expect } from 'chai';
-import { itemIds } from '../../../emulator/clients/job-trainer.js';
-import { expectWhole, job } from '../../support/jobs.js';
-import { kill, MODEL, type ServiceNodeProcess, ServiceSystem } from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+import { itemIds } from '../../../../emulator/clients/job-trainer.js';
+import { expectWhole, job } from '../../../support/jobs.js';
+import { kill, MODEL, type ServiceNodeProcess, ServiceSystem } from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 /** Time in which a refusal that needs nothing else must be there, milliseconds: a call to the store may take 3,000. */
 const AT_ONCE_MS = 1_500;
--- a/test/coordination/duties/duty-lease.test.ts
+++ b/test/coordination/service/leadership/duty-lease.test.ts
@@ -1,15 +1,15 @@
 /** A lease of a duty: when a successor may act, and on what. */
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
-import { silentDecisionLogger } from '../../../src/common/decision-logger.js';
-import { DutyLease } from '../../../src/coordination/duties/duty-lease.js';
-import type { SessionMonitor } from '../../../src/coordination/membership/session-monitor.js';
+import { silentDecisionLogger } from '../../../../src/common/decision-logger.js';
+import { DutyLease } from '../../../../src/coordination/service/leadership/duty-lease.js';
+import type { SessionMonitor } from '../../../../src/coordination/service/membership/session-monitor.js';
 import {
   type RecordStore,
   RecordStoreError,
   type RecordTransaction,
   type StoredRecord,
-} from '../../../src/protocol/record-store.js';
+} from '../../../../src/protocol/record-store.js';
 
 const DUTY = 'orders';
 /** Time that the acts of two holders on one target are apart, milliseconds. */
--- a/test/coordination/configuration/configuration-while-reads-are-old.test.ts
+++ b/test/coordination/service/membership/configuration-while-reads-are-old.test.ts
@@ -16,16 +16,16 @@
  * new again; three runs. With more frequent changes of other tables two nodes of three were late.
  */
 import { expect } from 'chai';
-import { TABLE } from '../../../platform/names.js';
-import { monotonicMs } from '../../../src/common/clock.js';
+import { TABLE } from '../../../../platform/names.js';
+import { monotonicMs } from '../../../../src/common/clock.js';
 import {
   APPLICATION_SERVICE,
   HOST,
   type ServiceNodeProcess,
   ServiceSystem,
   usualConfiguration,
-} from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+} from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 const NODES = 6;
 /** The operator's bound for a change to be in force, milliseconds. */
--- a/test/coordination/membership/fleet-time.test.ts
+++ b/test/coordination/service/membership/fleet-time.test.ts
@@ -1,6 +1,6 @@
 /** Time of day as the fleet sees it: no single clock decides it. */
 import { expect } from 'chai';
-import { FleetTime } from '../../../src/coordination/membership/fleet-time.js';
+import { FleetTime } from '../../../../src/coordination/service/membership/fleet-time.js';
 
 describe("the fleet's time of day", () => {
   const DAY_MS = 1_700_000_000_000;
--- a/test/coordination/membership/peer-addresses.test.ts
+++ b/test/coordination/service/membership/peer-addresses.test.ts
@@ -1,15 +1,15 @@
 /** Where nodes find each other: a few addresses each, none of nodes that are gone. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
-import type { DecisionLogger } from '../../../src/common/decision-logger.js';
-import { PeerAddresses } from '../../../src/coordination/membership/peer-addresses.js';
+import type { DecisionLogger } from '../../../../src/common/decision-logger.js';
+import { PeerAddresses } from '../../../../src/coordination/service/membership/peer-addresses.js';
 import type {
   RecordRange,
   RecordStore,
   RecordTransaction,
   StoredRecord,
-} from '../../../src/protocol/record-store.js';
-import { ManualClock } from '../../support/manual-clock.js';
+} from '../../../../src/protocol/record-store.js';
+import { ManualClock } from '../../../support/manual-clock.js';
 
 const NODES = 20;
 /** Addresses that one node remembers at most. */
--- a/test/coordination/membership/peer-configuration.test.ts
+++ b/test/coordination/service/membership/peer-configuration.test.ts
@@ -1,8 +1,8 @@
 /** What a node that the store does not serve learns from others. */
 import { expect } from 'chai';
-import { PeerConfiguration } from '../../../src/coordination/membership/peer-configuration.js';
-import type { PeerConfigurationAnswer } from '../../../src/protocol/configuration-peer.js';
-import { ManualClock } from '../../support/manual-clock.js';
+import { PeerConfiguration } from '../../../../src/coordination/service/membership/peer-configuration.js';
+import type { PeerConfigurationAnswer } from '../../../../src/protocol/service/configuration-peer.js';
+import { ManualClock } from '../../../support/manual-clock.js';
 
 const LONG_MS = 10_000;
 
--- a/test/coordination/membership/replica-announcements.test.ts
+++ b/test/coordination/service/membership/replica-announcements.test.ts
@@ -1,15 +1,15 @@
 /** What announcements make known of replicas whose lives follow each other under one id, and of zones out of use. */
 import { expect } from 'chai';
 import { err, ok, type Result } from 'neverthrow';
-import { ServiceMetrics } from '../../../src/common/service-metrics.js';
-import type { AnnouncementFormat } from '../../../src/coordination/membership/announcements.js';
-import { ReplicaAnnouncements } from '../../../src/coordination/membership/replica-announcements.js';
-import type { RecordStore } from '../../../src/protocol/record-store.js';
-import type { Replica } from '../../../src/protocol/replica.js';
-import { ReplicaDirectory } from '../../../src/state/replicas/replica-directory.js';
-import type { ReplicaState } from '../../../src/state/replicas/replica-state.js';
-import { ManualClock } from '../../support/manual-clock.js';
-import { replicaWith } from '../../support/replicas.js';
+import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
+import type { AnnouncementFormat } from '../../../../src/coordination/service/membership/announcements.js';
+import { ReplicaAnnouncements } from '../../../../src/coordination/service/membership/replica-announcements.js';
+import type { RecordStore } from '../../../../src/protocol/record-store.js';
+import type { Replica } from '../../../../src/protocol/service/replica.js';
+import { ReplicaDirectory } from '../../../../src/state/service/replicas/replica-directory.js';
+import type { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
+import { ManualClock } from '../../../support/manual-clock.js';
+import { replicaWith } from '../../../support/replicas.js';
 
 const BEAT_MS = 1_000;
 const BORN_MS = 1_790_000_000_000;
--- a/test/coordination/membership/session-monitor.test.ts
+++ b/test/coordination/service/membership/session-monitor.test.ts
@@ -1,11 +1,11 @@
 /** Beats of holders and their loss, on a store that answers late or not at all. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
-import { Random } from '../../../src/common/random.js';
-import { SessionMonitor } from '../../../src/coordination/membership/session-monitor.js';
-import type { RecordStore, RecordTransaction } from '../../../src/protocol/record-store.js';
-import { ManualClock } from '../../support/manual-clock.js';
-import { until } from '../../support/wait.js';
+import { Random } from '../../../../src/common/random.js';
+import { SessionMonitor } from '../../../../src/coordination/service/membership/session-monitor.js';
+import type { RecordStore, RecordTransaction } from '../../../../src/protocol/record-store.js';
+import { ManualClock } from '../../../support/manual-clock.js';
+import { until } from '../../../support/wait.js';
 
 const SELF = { node: 'node-1', life: 'life-1' };
 const HOLDER = { node: 'node-2', life: 'life-2' };
--- a/test/coordination/requests/fatal-requests.test.ts
+++ b/test/coordination/service/requests/fatal-requests.test.ts
@@ -12,11 +12,16 @@
  * replicas, three each, and were answered 502.
  */
 import { expect } from 'chai';
-import { itemIds } from '../../../emulator/clients/job-trainer.js';
-import type { ReplicaServer } from '../../../emulator/replica/replica-server.js';
-import { job } from '../../support/jobs.js';
-import { kill, LOOKUP_PATH, type ServiceNodeProcess, ServiceSystem } from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+import { itemIds } from '../../../../emulator/clients/job-trainer.js';
+import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
+import { job } from '../../../support/jobs.js';
+import {
+  kill,
+  LOOKUP_PATH,
+  type ServiceNodeProcess,
+  ServiceSystem,
+} from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 const REPLICAS = 4;
 const ROUNDS = 6;
--- a/test/coordination/requests/replica-restart.test.ts
+++ b/test/coordination/service/requests/replica-restart.test.ts
@@ -4,18 +4,18 @@
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import type { ReplicaServer } from '../../../emulator/replica/replica-server.js';
-import { TABLE } from '../../../platform/names.js';
-import { monotonicMs } from '../../../src/common/clock.js';
-import { expectWhole, job } from '../../support/jobs.js';
+import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
+import { TABLE } from '../../../../platform/names.js';
+import { monotonicMs } from '../../../../src/common/clock.js';
+import { expectWhole, job } from '../../../support/jobs.js';
 import {
   APPLICATION_SERVICE,
   MODEL,
   type ServiceNodeProcess,
   ServiceSystem,
   usualConfiguration,
-} from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+} from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 /** Less than a replica that says nothing is waited for: the route's time-out is 2 s. */
 const SOON_MS = 1_200;
--- a/test/coordination/requests/service-relay.test.ts
+++ b/test/coordination/service/requests/service-relay.test.ts
@@ -1,11 +1,17 @@
 /** The end of a relayed request at its deadline: what was never handed over has not run. Without a network. */
 import { expect } from 'chai';
-import { monotonicMs } from '../../../src/common/clock.js';
-import { ServiceMetrics } from '../../../src/common/service-metrics.js';
-import type { DispatchCall, DispatchResult } from '../../../src/coordination/dispatch/dispatch-call.js';
-import { RequestQuarantine } from '../../../src/coordination/requests/request-quarantine.js';
-import { type RelayedRequest, ServiceRelay } from '../../../src/coordination/requests/service-relay.js';
-import type { Route } from '../../../src/protocol/routing-configuration.js';
+import { monotonicMs } from '../../../../src/common/clock.js';
+import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
+import type {
+  DispatchCall,
+  DispatchResult,
+} from '../../../../src/coordination/service/dispatch/dispatch-call.js';
+import { RequestQuarantine } from '../../../../src/coordination/service/requests/request-quarantine.js';
+import {
+  type RelayedRequest,
+  ServiceRelay,
+} from '../../../../src/coordination/service/requests/service-relay.js';
+import type { Route } from '../../../../src/protocol/service/routing-configuration.js';
 
 const TIMEOUT_MS = 80;
 const ROUTE = {
--- a/test/coordination/requests/service-requests.test.ts
+++ b/test/coordination/service/requests/service-requests.test.ts
@@ -2,7 +2,7 @@
 import { spawnSync } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { expect } from 'chai';
-import { HEADER, SETTINGS_VARIABLE } from '../../../platform/names.js';
+import { HEADER, SETTINGS_VARIABLE } from '../../../../platform/names.js';
 import {
   APPLICATION_SERVICE,
   HOST,
@@ -14,8 +14,8 @@
   type ServiceNodeProcess,
   ServiceSystem,
   usualConfiguration,
-} from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+} from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 describe('requests through a serving node', () => {
   let system: ServiceSystem;
--- a/test/coordination/requests/tenants.test.ts
+++ b/test/coordination/service/requests/tenants.test.ts
@@ -1,7 +1,7 @@
 /** Tenants and their keys: who may send what, on whose behalf it runs, and that changes of keys reach every node in time. */
 import { expect } from 'chai';
-import type { ReplicaServer } from '../../../emulator/replica/replica-server.js';
-import { HEADER } from '../../../platform/names.js';
+import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
+import { HEADER } from '../../../../platform/names.js';
 import {
   HOST,
   JOB_PATH,
@@ -10,9 +10,9 @@
   type ServiceNodeProcess,
   ServiceSystem,
   usualConfiguration,
-} from '../../support/service-system.js';
-import { bearing, LARGE, SMALL, tenantConfiguration } from '../../support/tenants.js';
-import { until } from '../../support/wait.js';
+} from '../../../support/service-system.js';
+import { bearing, LARGE, SMALL, tenantConfiguration } from '../../../support/tenants.js';
+import { until } from '../../../support/wait.js';
 
 const UNAUTHORIZED = 401;
 /** Time within which a change of keys must be in force at every node that other nodes reach, milliseconds. */
--- a/test/coordination/usage/usage.test.ts
+++ b/test/coordination/service/usage/usage.test.ts
@@ -1,9 +1,9 @@
 /** Usage of tenants: one report for each window, and never a second one that differs, whatever happens to nodes. */
 import { expect } from 'chai';
-import type { ReplicaServer } from '../../../emulator/replica/replica-server.js';
-import { kill, type ServiceNodeProcess, ServiceSystem } from '../../support/service-system.js';
-import { bearing, begunByWindow, reportBreaches, tenantConfiguration } from '../../support/tenants.js';
-import { until } from '../../support/wait.js';
+import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
+import { kill, type ServiceNodeProcess, ServiceSystem } from '../../../support/service-system.js';
+import { bearing, begunByWindow, reportBreaches, tenantConfiguration } from '../../../support/tenants.js';
+import { until } from '../../../support/wait.js';
 
 const WINDOW_MS = 1_000;
 const DUE_MS = 5_000;
--- a/test/coordination/usage/window-counts.test.ts
+++ b/test/coordination/service/usage/window-counts.test.ts
@@ -1,7 +1,7 @@
 /** When a window of usage is complete, and what it sums up to. */
 import { expect } from 'chai';
-import { missingNodes, sumOf } from '../../../src/coordination/usage/window-counts.js';
-import type { StoredCount } from '../../../src/state/usage/index.js';
+import { missingNodes, sumOf } from '../../../../src/coordination/service/usage/window-counts.js';
+import type { StoredCount } from '../../../../src/state/service/usage/index.js';
 
 const closed = (window: number, node: string, counts: Record<string, number> = {}): StoredCount => ({
   window,
--- a/test/coordination/weights/load-order.test.ts
+++ b/test/coordination/service/weights/load-order.test.ts
@@ -1,6 +1,6 @@
 /** The order of loads when several models are behind. */
 import { expect } from 'chai';
-import { type FollowedModel, orderLoads } from '../../../src/coordination/weights/load-order.js';
+import { type FollowedModel, orderLoads } from '../../../../src/coordination/service/weights/load-order.js';
 
 const all = () => true;
 
--- a/test/coordination/weights/weight-orders.test.ts
+++ b/test/coordination/service/weights/weight-orders.test.ts
@@ -1,20 +1,23 @@
 /** Orders to load weight versions: one giver at a time, late orders void, every model within reach of its versions. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
-import type { ReplicaServer } from '../../../emulator/replica/replica-server.js';
-import { type WeightOrderServices, WeightOrders } from '../../../src/coordination/weights/weight-orders.js';
+import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
+import {
+  type WeightOrderServices,
+  WeightOrders,
+} from '../../../../src/coordination/service/weights/weight-orders.js';
 import {
   planReplicas,
   shareReplicas,
   usefulReplicas,
-} from '../../../src/coordination/weights/weight-plan.js';
-import type { Replica } from '../../../src/protocol/replica.js';
-import { RoutingTable } from '../../../src/state/configuration/routing-table.js';
-import { ReplicaDirectory } from '../../../src/state/replicas/replica-directory.js';
-import { WeightVersions } from '../../../src/state/replicas/weight-versions.js';
-import { replicaWith } from '../../support/replicas.js';
-import { kill, MODEL, type ServiceNodeProcess, ServiceSystem } from '../../support/service-system.js';
-import { until } from '../../support/wait.js';
+} from '../../../../src/coordination/service/weights/weight-plan.js';
+import type { Replica } from '../../../../src/protocol/service/replica.js';
+import { RoutingTable } from '../../../../src/state/service/configuration/routing-table.js';
+import { ReplicaDirectory } from '../../../../src/state/service/replicas/replica-directory.js';
+import { WeightVersions } from '../../../../src/state/service/replicas/weight-versions.js';
+import { replicaWith } from '../../../support/replicas.js';
+import { kill, MODEL, type ServiceNodeProcess, ServiceSystem } from '../../../support/service-system.js';
+import { until } from '../../../support/wait.js';
 
 const LEASE_MS = 1_000;
 
--- a/test/node/bad-input.test.ts
+++ b/test/node/resource/bad-input.test.ts
@@ -4,11 +4,11 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { expect } from 'chai';
-import { EMULATOR_TOKENS } from '../../emulator/cluster.js';
-import { EMULATOR_APPLICATION, EMULATOR_MODEL } from '../../emulator/declarations.js';
-import { uniqueId } from '../../src/common/identifier.js';
-import { runCli } from '../support/processes.js';
-import { type SystemNode, TestSystem } from '../support/system.js';
+import { EMULATOR_TOKENS } from '../../../emulator/cluster.js';
+import { EMULATOR_APPLICATION, EMULATOR_MODEL } from '../../../emulator/declarations.js';
+import { uniqueId } from '../../../src/common/identifier.js';
+import { runCli } from '../../support/processes.js';
+import { type SystemNode, TestSystem } from '../../support/system.js';
 
 describe('bad input', () => {
   const system = new TestSystem({ nodes: 1, applications: 1 });
--- a/test/node/full-path.test.ts
+++ b/test/node/resource/full-path.test.ts
@@ -1,11 +1,11 @@
 /** A request served end to end by separate processes. */
 import { expect } from 'chai';
-import { namesTrueVersions, nextSequence } from '../../emulator/clients/trainer-loop.js';
-import { EMULATOR_TOKENS } from '../../emulator/cluster.js';
-import { EMULATOR_MODEL } from '../../emulator/declarations.js';
-import { uniqueId } from '../../src/common/identifier.js';
-import { type SystemNode, TestSystem } from '../support/system.js';
-import { until } from '../support/wait.js';
+import { namesTrueVersions, nextSequence } from '../../../emulator/clients/trainer-loop.js';
+import { EMULATOR_TOKENS } from '../../../emulator/cluster.js';
+import { EMULATOR_MODEL } from '../../../emulator/declarations.js';
+import { uniqueId } from '../../../src/common/identifier.js';
+import { type SystemNode, TestSystem } from '../../support/system.js';
+import { until } from '../../support/wait.js';
 
 describe('the full path through separate processes', () => {
   const system = new TestSystem({ nodes: 2, engines: 2, applications: 1 });
--- a/test/node/operators.test.ts
+++ b/test/node/resource/operators.test.ts
@@ -4,9 +4,9 @@
 import { join } from 'node:path';
 import { expect } from 'chai';
 import { stringify } from 'yaml';
-import { EMULATOR_TOKENS } from '../../emulator/cluster.js';
-import { runCli } from '../support/processes.js';
-import { type SystemNode, TestSystem } from '../support/system.js';
+import { EMULATOR_TOKENS } from '../../../emulator/cluster.js';
+import { runCli } from '../../support/processes.js';
+import { type SystemNode, TestSystem } from '../../support/system.js';
 
 const service = (name: string, spec: object = {}) => ({
   apiVersion: 'thymecove/v1',
--- a/test/platform/platform-parsers.test.ts
+++ b/test/platform/platform-parsers.test.ts
@@ -5,8 +5,12 @@
 import { parseConfiguration, parseNamedVersion } from '../../platform/operator-rows.js';
 import { parseReport } from '../../platform/replica-wire.js';
 import { parseSettingsFile } from '../../platform/settings-file.js';
-import { EventStreamError, EventStreamParser, type StreamEvent } from '../../src/protocol/event-stream.js';
-import { RoutingSnapshot } from '../../src/state/configuration/routing-table.js';
+import {
+  EventStreamError,
+  EventStreamParser,
+  type StreamEvent,
+} from '../../src/protocol/service/event-stream.js';
+import { RoutingSnapshot } from '../../src/state/service/configuration/routing-table.js';
 import { usualConfiguration } from '../support/service-system.js';
 
 const RUNS = 400;
--- a/test/scripts/layer-rules.test.ts
+++ b/test/scripts/layer-rules.test.ts
@@ -9,39 +9,45 @@
 describe('the rules of imports', () => {
   it('allow a room to import the rooms before it and the layers below, through their index', () => {
     const file = source(
-      'src/coordination/jobs/job-run.ts',
+      'src/coordination/service/jobs/job-run.ts',
       './item-run.js',
-      '../samples/index.js',
-      '../coordination-error.js',
-      '../../state/jobs/index.js',
-      '../../common/clock.js',
+      '../generation/index.js',
+      '../../feeds/index.js',
+      '../../../state/service/jobs/index.js',
+      '../../../common/clock.js',
     );
     expect(importBreaches(file)).to.deep.equal([]);
   });
 
   it('find a room that imports one after it', () => {
-    const file = source('src/coordination/samples/placement.ts', '../jobs/index.js');
+    const file = source('src/coordination/service/generation/placement.ts', '../jobs/index.js');
     expect(importBreaches(file)).to.deep.equal([
-      'src/coordination/samples/placement.ts: src/coordination/samples must not import src/coordination/jobs, which comes after it',
+      'src/coordination/service/generation/placement.ts: src/coordination/service/generation must not import src/coordination/service/jobs, which comes after it',
     ]);
   });
 
   it('find an import past the index of a room, also from outside the product', () => {
-    for (const path of ['src/node/node.ts', 'src/coordination/jobs/job-run.ts', 'platform/ingress.ts']) {
+    for (const path of [
+      'src/node/service/node.ts',
+      'src/coordination/service/jobs/job-run.ts',
+      'platform/ingress.ts',
+    ]) {
       const target = path.startsWith('platform')
         ? '../src/state'
         : path.includes('jobs')
-          ? '../../state'
-          : '../state';
-      expect(importBreaches(source(path, `${target}/jobs/job-record.js`))).to.deep.equal([
-        `${path}: src/state/jobs is entered through its index`,
+          ? '../../../state'
+          : '../../state';
+      expect(importBreaches(source(path, `${target}/service/jobs/job-record.js`))).to.deep.equal([
+        `${path}: src/state/service/jobs is entered through its index`,
       ]);
     }
   });
 
   it('find a layer that imports one above it, and the adapter', () => {
     expect(
-      importBreaches(source('src/state/jobs/job-record.ts', '../../coordination/jobs/index.js')),
+      importBreaches(
+        source('src/state/service/jobs/job-record.ts', '../../../coordination/service/jobs/index.js'),
+      ),
     ).to.have.length(1);
     expect(
       importBreaches(source('src/cli/commands/node.ts', '../../../platform/store-factory.js')),
@@ -49,11 +55,23 @@
   });
 
   it('find a folder that is not a room', () => {
-    expect(importBreaches(source('src/node/node.ts', '../state/attic/index.js'))).to.deep.equal([
+    expect(importBreaches(source('src/node/service/node.ts', '../../state/attic/index.js'))).to.deep.equal([
       'src/state/attic/index.ts: src/state has no room attic',
     ]);
   });
 
+  it('find what serves one interface and imports what serves the other, and what serves both and imports either', () => {
+    const across = source('src/node/resource/node.ts', '../../state/service/jobs/index.js');
+    expect(importBreaches(across)).to.deep.equal([
+      'src/node/resource/node.ts: the resource interface must not import the service interface',
+    ]);
+    const below = source('src/state/store/current-records.ts', '../../protocol/service/replica.js');
+    expect(importBreaches(below)).to.deep.equal([
+      'src/state/store/current-records.ts: serves both interfaces and must not import src/protocol/service/replica.ts',
+    ]);
+    expect(importBreaches(source('src/cli/trace.ts', '../protocol/service/replica.js'))).to.deep.equal([]);
+  });
+
   it('find a circle of imports', () => {
     const [a, b, c] = ['src/state/jobs/a.ts', 'src/state/jobs/b.ts', 'src/state/jobs/c.ts'];
     const circle = importCircle([source(a, './b.js'), source(b, './c.js'), source(c, './b.js')]);
--- a/test/state/leases/lease-store.test.ts
+++ b/test/state/resource/leases/lease-store.test.ts
@@ -1,8 +1,8 @@
 /** Leases whose rows change while they are read. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
-import { LeaseStore } from '../../../src/state/leases/lease-store.js';
-import type { Table } from '../../../src/state/store/row-table.js';
+import { LeaseStore } from '../../../../src/state/resource/leases/lease-store.js';
+import type { Table } from '../../../../src/state/resource/tables/row-table.js';
 
 const LEASE = 'rollouts/t/0';
 const SESSION = 'session-1';
