--- a/test/state/samples/ledger-properties.test.ts
+++ b/test/state/resource/samples/ledger-properties.test.ts
@@ -4,17 +4,17 @@
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { sleep } from '../../../src/common/clock.js';
-import { uniqueId } from '../../../src/common/identifier.js';
-import { Random } from '../../../src/common/random.js';
-import type { Batch, DrawRequest } from '../../../src/protocol/trainer.js';
-import { type HeldLease, LeaseStore } from '../../../src/state/leases/lease-store.js';
-import { BatchLedger } from '../../../src/state/samples/batch-ledger.js';
-import type { DrawTerms } from '../../../src/state/samples/draw-rules.js';
-import { formatSampleId } from '../../../src/state/samples/ledger-rows.js';
-import { RolloutLedger, type SlotTask } from '../../../src/state/samples/rollout-ledger.js';
-import type { Table } from '../../../src/state/store/row-table.js';
-import { FaultyStore, MemoryObjects, rowsOver } from '../../support/faulty-platform.js';
+import { sleep } from '../../../../src/common/clock.js';
+import { uniqueId } from '../../../../src/common/identifier.js';
+import { Random } from '../../../../src/common/random.js';
+import type { Batch, DrawRequest } from '../../../../src/protocol/resource/trainer.js';
+import { type HeldLease, LeaseStore } from '../../../../src/state/resource/leases/lease-store.js';
+import { BatchLedger } from '../../../../src/state/resource/samples/batch-ledger.js';
+import type { DrawTerms } from '../../../../src/state/resource/samples/draw-rules.js';
+import { formatSampleId } from '../../../../src/state/resource/samples/ledger-rows.js';
+import { RolloutLedger, type SlotTask } from '../../../../src/state/resource/samples/rollout-ledger.js';
+import type { Table } from '../../../../src/state/resource/tables/row-table.js';
+import { FaultyStore, MemoryObjects, rowsOver } from '../../../support/faulty-platform.js';
 
 const MODEL = 'm';
 const TRAINER = 't';
--- a/test/state/admission/admission.test.ts
+++ b/test/state/service/admission/admission.test.ts
@@ -1,8 +1,8 @@
 /** Whether a request may wait, when a refused one should come back, and the budget of second attempts. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { type AdmissionTerms, admit } from '../../../src/state/admission/admission.js';
-import { ExtraAttempts } from '../../../src/state/admission/extra-attempts.js';
+import { type AdmissionTerms, admit } from '../../../../src/state/service/admission/admission.js';
+import { ExtraAttempts } from '../../../../src/state/service/admission/extra-attempts.js';
 
 const options = { numRuns: 500, seed: 20_261_205 };
 const terms = (fields: Partial<AdmissionTerms> = {}): AdmissionTerms => ({
--- a/test/state/admission/slot-wait.test.ts
+++ b/test/state/service/admission/slot-wait.test.ts
@@ -1,6 +1,6 @@
 /** How long no slot becomes free, from the requests that run. */
 import { expect } from 'chai';
-import { type RunningRequest, slotWaitMs } from '../../../src/state/admission/slot-wait.js';
+import { type RunningRequest, slotWaitMs } from '../../../../src/state/service/admission/slot-wait.js';
 
 const NOW_MS = 10_000;
 const WORK_MS = 50;
--- a/test/state/admission/waiting-list.test.ts
+++ b/test/state/service/admission/waiting-list.test.ts
@@ -1,8 +1,8 @@
 /** Who has the next place at a replica, under drawn loads. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { PartyUse } from '../../../src/state/admission/party-use.js';
-import { type Waiting, WaitingList } from '../../../src/state/admission/waiting-list.js';
+import { PartyUse } from '../../../../src/state/service/admission/party-use.js';
+import { type Waiting, WaitingList } from '../../../../src/state/service/admission/waiting-list.js';
 
 const SEED = 20_261_204;
 const RUNS = 300;
--- a/test/state/jobs/job-contents.test.ts
+++ b/test/state/service/jobs/job-contents.test.ts
@@ -9,14 +9,14 @@
  */
 import { expect } from 'chai';
 import { err, ok, type Result } from 'neverthrow';
-import { RowStore, type Transaction } from '../../../emulator/store/row-store.js';
+import { RowStore, type Transaction } from '../../../../emulator/store/row-store.js';
 import {
   type RecordStore,
   RecordStoreError,
   type RecordTransaction,
-} from '../../../src/protocol/record-store.js';
-import { JobContents } from '../../../src/state/jobs/job-contents.js';
-import { headAddress, type JobHead, type JobRecord } from '../../../src/state/jobs/job-record.js';
+} from '../../../../src/protocol/record-store.js';
+import { JobContents } from '../../../../src/state/service/jobs/job-contents.js';
+import { headAddress, type JobHead, type JobRecord } from '../../../../src/state/service/jobs/job-record.js';
 
 const JOB = 'job-1';
 const EFFORT_MS = 5_000;
--- a/test/state/jobs/job-repository.test.ts
+++ b/test/state/service/jobs/job-repository.test.ts
@@ -9,10 +9,14 @@
  */
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
-import { Random } from '../../../src/common/random.js';
-import { type RecordPage, type RecordRange, RecordStoreError } from '../../../src/protocol/record-store.js';
-import { JobRepository } from '../../../src/state/jobs/job-repository.js';
-import { FaultyStore } from '../../support/faulty-platform.js';
+import { Random } from '../../../../src/common/random.js';
+import {
+  type RecordPage,
+  type RecordRange,
+  RecordStoreError,
+} from '../../../../src/protocol/record-store.js';
+import { JobRepository } from '../../../../src/state/service/jobs/job-repository.js';
+import { FaultyStore } from '../../../support/faulty-platform.js';
 
 const JOB = 'job-1';
 const OWNER = { node: 'node-1', life: 'life-1' };
--- a/test/state/replicas/fatal-runs.test.ts
+++ b/test/state/service/replicas/fatal-runs.test.ts
@@ -4,8 +4,12 @@
   parseFatalRunReport,
   toFatalRunRecord,
   toServedRecord,
-} from '../../../src/state/replicas/fatal-run-record.js';
-import { FATAL_RUN_EXPIRY_MS, type FatalRun, FatalRuns } from '../../../src/state/replicas/fatal-runs.js';
+} from '../../../../src/state/service/replicas/fatal-run-record.js';
+import {
+  FATAL_RUN_EXPIRY_MS,
+  type FatalRun,
+  FatalRuns,
+} from '../../../../src/state/service/replicas/fatal-runs.js';
 
 const SHORT_HOLD_MS = 4_000;
 
--- a/test/state/replicas/replica-choice.test.ts
+++ b/test/state/service/replicas/replica-choice.test.ts
@@ -1,15 +1,15 @@
 /** The choice of a replica under drawn loads: nobody idles while a fit request waits, equal ones are used alike, slow ones less. */
 import { expect } from 'chai';
-import { sleep } from '../../../src/common/clock.js';
-import { Random } from '../../../src/common/random.js';
+import { sleep } from '../../../../src/common/clock.js';
+import { Random } from '../../../../src/common/random.js';
 import {
   type ChoiceTerms,
   chooseReplica,
   drainRate,
   roomOf,
-} from '../../../src/state/replicas/replica-choice.js';
-import { ReplicaState } from '../../../src/state/replicas/replica-state.js';
-import { replicaWith } from '../../support/replicas.js';
+} from '../../../../src/state/service/replicas/replica-choice.js';
+import { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
+import { replicaWith } from '../../../support/replicas.js';
 
 const SLOTS = 6;
 const USUAL_MS = 40;
--- a/test/state/replicas/service-homes.test.ts
+++ b/test/state/service/replicas/service-homes.test.ts
@@ -1,7 +1,12 @@
 /** Homes of services: every node finds the same ones, and few move when nodes come and go. */
 import { expect } from 'chai';
-import { Random } from '../../../src/common/random.js';
-import { type FleetMember, homeCount, homeOf, rankHomes } from '../../../src/state/replicas/service-homes.js';
+import { Random } from '../../../../src/common/random.js';
+import {
+  type FleetMember,
+  homeCount,
+  homeOf,
+  rankHomes,
+} from '../../../../src/state/service/replicas/service-homes.js';
 
 const SERVICES = Array.from({ length: 200 }, (_, index) => `service-${index}`);
 
--- a/test/state/replicas/work-times.test.ts
+++ b/test/state/service/replicas/work-times.test.ts
@@ -1,9 +1,9 @@
 /** Usual times of kinds of requests, and what one request says of its replica. */
 import { expect } from 'chai';
-import { Random } from '../../../src/common/random.js';
-import { ReplicaState } from '../../../src/state/replicas/replica-state.js';
-import { WorkTimes } from '../../../src/state/replicas/work-times.js';
-import { replicaWith } from '../../support/replicas.js';
+import { Random } from '../../../../src/common/random.js';
+import { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
+import { WorkTimes } from '../../../../src/state/service/replicas/work-times.js';
+import { replicaWith } from '../../../support/replicas.js';
 
 describe('usual times of work', () => {
   it('are told apart by kind, so that a replica that is given long requests is not taken for slow', () => {
--- a/test/state/store/instrumented-store.test.ts
+++ b/test/state/service/store/instrumented-store.test.ts
@@ -1,12 +1,16 @@
 /** What a node believes of the store: one line when it is lost, one when it is back. */
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
-import { sleep } from '../../../src/common/clock.js';
-import type { DecisionLogger } from '../../../src/common/decision-logger.js';
-import { ServiceMetrics } from '../../../src/common/service-metrics.js';
-import { type RecordRange, type RecordStore, RecordStoreError } from '../../../src/protocol/record-store.js';
-import { InstrumentedStore } from '../../../src/state/store/instrumented-store.js';
-import { until } from '../../support/wait.js';
+import { sleep } from '../../../../src/common/clock.js';
+import type { DecisionLogger } from '../../../../src/common/decision-logger.js';
+import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
+import {
+  type RecordRange,
+  type RecordStore,
+  RecordStoreError,
+} from '../../../../src/protocol/record-store.js';
+import { InstrumentedStore } from '../../../../src/state/service/store/instrumented-store.js';
+import { until } from '../../../support/wait.js';
 
 const PAUSE_MS = 10;
 const ASKED = 60;
--- a/test/state/store/overdue-calls.test.ts
+++ b/test/state/service/store/overdue-calls.test.ts
@@ -1,7 +1,7 @@
 /** When calls of the store are given up: only after a later one was answered. */
 import { expect } from 'chai';
-import { OverdueCalls } from '../../../src/state/store/overdue-calls.js';
-import { until } from '../../support/wait.js';
+import { OverdueCalls } from '../../../../src/state/service/store/overdue-calls.js';
+import { until } from '../../../support/wait.js';
 
 describe('calls of the store', () => {
   it('that a later answered call has overtaken are given up', async () => {
--- a/test/support/faulty-platform.ts
+++ b/test/support/faulty-platform.ts
@@ -13,9 +13,9 @@
   type RecordTransaction,
   type StoredRecord,
 } from '../../src/protocol/record-store.js';
+import { RowTable } from '../../src/state/resource/tables/row-table.js';
+import type { Objects } from '../../src/state/resource/tables/stored-objects.js';
 import type { StateError } from '../../src/state/state-error.js';
-import { RowTable } from '../../src/state/store/row-table.js';
-import type { Objects } from '../../src/state/store/stored-objects.js';
 
 const down = () => new RecordStoreError('unavailable', 'none', 'injected: not reached');
 const lost = () => new RecordStoreError('unavailable', 'unknown', 'injected: answer lost');
--- a/test/support/replicas.ts
+++ b/test/support/replicas.ts
@@ -1,5 +1,5 @@
 /** Replicas as they announce themselves, for tests of what is decided about them. */
-import type { Replica } from '../../src/protocol/replica.js';
+import type { Replica } from '../../src/protocol/service/replica.js';
 
 /** A replica that is ready; the fields that a test is about are given. */
 export function replicaWith(fields: Partial<Replica> = {}): Replica {
--- a/test/support/system.ts
+++ b/test/support/system.ts
@@ -12,9 +12,9 @@
   emulatorDeclarations,
 } from '../../emulator/declarations.js';
 import { uniqueId } from '../../src/common/identifier.js';
-import type { Settings } from '../../src/node/settings.js';
-import { OperatorClient } from '../../src/protocol/operator-client.js';
-import { TrainerClient } from '../../src/protocol/trainer-client.js';
+import type { Settings } from '../../src/node/resource/settings.js';
+import { OperatorClient } from '../../src/protocol/resource/operator-client.js';
+import { TrainerClient } from '../../src/protocol/resource/trainer-client.js';
 import { HttpClient } from '../../src/transport/http-client.js';
 import { FaultProxy } from './fault-proxy.js';
 import { killProcess, type ReadyProcess, startEmulator, startNode } from './processes.js';
