--- a/src/cli/declarations.ts
+++ b/src/cli/declarations.ts
@@ -44,15 +44,15 @@
   index: number,
   document: unknown,
 ): Result<Declaration, DeclarationProblem[]> {
-  const place = index === 0 ? file : `${file} (document ${index + 1})`;
+  const position = index === 0 ? file : `${file} (document ${index + 1})`;
   const checked = checkManifest(document);
-  if (checked.isErr()) return err(checked.error.map((one) => ({ ...one, file: place })));
+  if (checked.isErr()) return err(checked.error.map((one) => ({ ...one, file: position })));
   if (READ_ONLY_KINDS.includes(checked.value.kind)) {
     return err([
-      { file: place, field: 'kind', message: `${checked.value.kind} is written by the system only` },
+      { file: position, field: 'kind', message: `${checked.value.kind} is written by the system only` },
     ]);
   }
-  return ok({ file: place, manifest: checked.value });
+  return ok({ file: position, manifest: checked.value });
 }
 
 /** Reads all declarations under the paths; every problem of every file is named. */
--- a/src/common/service-metrics.ts
+++ b/src/common/service-metrics.ts
@@ -68,13 +68,13 @@
   /** Requests that wait here for a place at a replica. */
   readonly waitingRequests = this.gauge('thymecove_waiting_requests', 'Requests that wait', ['service']);
   /** Places of replicas that are free, as far as this node knows; it knows well where it deals them out. */
-  readonly freePlaces = this.gauge('thymecove_free_places', 'Free places of replicas', ['service']);
+  readonly freeSlots = this.gauge('thymecove_free_places', 'Free places of replicas', ['service']);
   /** Second attempts that may be made now. */
-  readonly extraAttemptsLeft = this.gauge('thymecove_extra_attempts_left', 'Second attempts left', [
-    'service',
-  ]);
+  readonly retryBudgetLeft = this.gauge('thymecove_extra_attempts_left', 'Second attempts left', ['service']);
   /** Requests by where their place was dealt out: `here`, or at another node with what came of it. */
-  readonly homeCalls = this.counter('thymecove_home_calls_total', 'Requests given to homes', ['outcome']);
+  readonly dispatcherCalls = this.counter('thymecove_home_calls_total', 'Requests given to homes', [
+    'outcome',
+  ]);
   /** Orders to replicas by outcome. */
   readonly orders = this.counter('thymecove_orders_total', 'Orders to replicas', ['outcome']);
   /** Reports of usage by outcome. */
--- a/src/coordination/resource/requests/router.ts
+++ b/src/coordination/resource/requests/router.ts
@@ -124,7 +124,7 @@
     const modelReason = query.model === undefined ? undefined : modelIneligibility(backend, query);
     if (modelReason) return modelReason;
     if (backend.inFlight >= (spec.maxInFlight ?? DEFAULT_BACKEND_IN_FLIGHT)) return 'at-capacity';
-    return backend.isAvoided ? 'failing' : undefined;
+    return backend.isEjected ? 'failing' : undefined;
   }
 
   private machineIsLeaving(machine: string | undefined): boolean {
--- a/src/coordination/service/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -7,18 +7,18 @@
   readonly service: string;
   /** Which requests are alike in how long they take: the name of the route. */
   readonly workKind: string;
-  readonly request: Omit<ReplicaRequest, 'deadlineMs' | 'signal'>;
+  readonly request: Omit<ReplicaRequest, 'remainingMs' | 'signal'>;
   /** Rank; 0 is the most urgent. */
-  readonly rank: number;
+  readonly priority: number;
   /** Who is charged for the use of replicas: a tenant, or a caller where there are none. */
-  readonly party: string;
+  readonly flow: string;
   /** Whether it is work in the background, which gives way to callers. */
-  readonly isPatient: boolean;
+  readonly isBackground: boolean;
   /** When the answer is wanted, and when it is of no use any more. */
-  readonly aimAtMs: number;
-  readonly endsAtMs: number;
+  readonly targetAtMs: number;
+  readonly deadlineMs: number;
   /** Whether it is made beside another attempt: it takes a free place and a part of the budget, or is declined. */
-  readonly isExtra: boolean;
+  readonly isHedge: boolean;
   /** Whether it is made after another attempt: it takes a part of the budget. */
   readonly isRetry: boolean;
   /** Replicas that are not to be taken: it was sent to them already. */
@@ -40,7 +40,7 @@
 }
 
 /** How full the replicas of a service are, as the node knows that deals out their places. */
-export interface ServiceRoom {
+export interface ServiceCapacity {
   readonly free: number;
   readonly slots: number;
   readonly waiting: number;
@@ -55,7 +55,7 @@
   readonly hasEndedReplica: boolean;
   /** When it should come back where it has not run, milliseconds. */
   readonly retryAfterMs?: number;
-  readonly room?: ServiceRoom;
+  readonly capacity?: ServiceCapacity;
   /** Whether it was refused only because the node that it waited at deals out no places any more. */
   readonly isClosed?: boolean;
   /** Node that dealt with it, for the logs. */
--- a/src/coordination/service/dispatch/home-dispatch.ts
+++ b/src/coordination/service/dispatch/home-dispatch.ts
@@ -19,25 +19,25 @@
   type PeerDispatchOptions,
 } from '../../../protocol/service/dispatch-peer.js';
 import {
+  dispatcherCount,
   type FleetMember,
-  homeCount,
   type ReplicaDirectory,
-  rankHomes,
+  rankDispatchers,
 } from '../../../state/service/replicas/index.js';
-import type { DispatchCall, DispatchResult, ServiceRoom } from './dispatch-call.js';
-import { ACKNOWLEDGE_MS, HomeHealth } from './home-health.js';
+import type { DispatchCall, DispatchResult, ServiceCapacity } from './dispatch-call.js';
+import { ACKNOWLEDGE_TIMEOUT_MS, DispatcherHealth } from './home-health.js';
 import type { AttemptOutcome } from './replica-exchange.js';
 import type { ServiceQueues } from './service-queues.js';
 
 /** A repeatable request whose home does not acknowledge it is sent elsewhere after this time, milliseconds. */
-const UNACKNOWLEDGED_MS = 2.5 * ACKNOWLEDGE_MS;
+const UNACKNOWLEDGED_MS = 2.5 * ACKNOWLEDGE_TIMEOUT_MS;
 /** Time that the home's answer may take beyond the request's own, milliseconds. */
 const ANSWER_MARGIN_MS = 250;
 /** What a home says of its room counts for this long where one of several homes is chosen, milliseconds. */
-const ROOM_AGE_MS = 1_000;
+const MAX_CAPACITY_AGE_MS = 1_000;
 
 /** What the dispatch works with. */
-export interface HomeDispatchServices {
+export interface RemoteDispatchServices {
   readonly nodeName: string;
   readonly zone: string;
   readonly members: () => readonly FleetMember[];
@@ -51,50 +51,50 @@
     framed: Framed<DispatchMessage>,
     options: PeerDispatchOptions,
   ) => Promise<PeerDispatch>;
-  readonly metrics: Pick<ServiceMetrics, 'homeCalls'>;
+  readonly metrics: Pick<ServiceMetrics, 'dispatcherCalls'>;
   readonly logger: DecisionLogger;
 }
 
 /** The homes of one service, the first in line first. */
-interface Line {
-  readonly homes: readonly FleetMember[];
+interface DispatcherCandidates {
+  readonly dispatchers: readonly FleetMember[];
   /** First in line within this node's zone, beyond the homes. */
   readonly nearest: FleetMember | undefined;
 }
 
 /** What a home last said of its room. */
-interface HeardRoom {
-  readonly room: ServiceRoom;
+interface ReportedCapacity {
+  readonly capacity: ServiceCapacity;
   readonly atMs: number;
 }
 
 /** Sends the calls of one node. */
-export class HomeDispatch {
-  private readonly health: HomeHealth;
-  private readonly lines = new Map<string, Line>();
-  private readonly rooms = new Map<string, HeardRoom>();
+export class RemoteDispatch {
+  private readonly health: DispatcherHealth;
+  private readonly candidatesByService = new Map<string, DispatcherCandidates>();
+  private readonly reportedCapacities = new Map<string, ReportedCapacity>();
   /** Names of the homes that were last reported, by service. */
   private readonly reported = new Map<string, string>();
 
-  constructor(private readonly services: HomeDispatchServices) {
-    this.health = new HomeHealth((name, reason) => this.report(name, `passed over: ${reason}`));
+  constructor(private readonly services: RemoteDispatchServices) {
+    this.health = new DispatcherHealth((name, reason) => this.report(name, `passed over: ${reason}`));
   }
 
   /** The fleet or the replicas have changed: the homes are found anew. */
   noteChange(): void {
-    this.lines.clear();
+    this.candidatesByService.clear();
     this.health.keepOnly(new Set(this.services.members().map(({ name }) => name)));
   }
 
   /** Sends a call. Never rejects. */
   async dispatch(call: DispatchCall, isRepeatable: boolean): Promise<DispatchResult> {
     if (call.request.body.length <= MAX_DISPATCHED_BODY_BYTES)
-      for (const home of this.candidates(call.service)) {
-        if (home.name === this.services.nodeName) break;
-        const result = await this.dispatchAt(home, call, isRepeatable);
+      for (const dispatcher of this.candidates(call.service)) {
+        if (dispatcher.name === this.services.nodeName) break;
+        const result = await this.dispatchAt(dispatcher, call, isRepeatable);
         if (result) return result;
       }
-    this.services.metrics.homeCalls.inc({ outcome: 'here' });
+    this.services.metrics.dispatcherCalls.inc({ outcome: 'here' });
     const result = await this.services.queues.dispatch(call);
     return result.isClosed ? this.passOn(call, isRepeatable, result) : result;
   }
@@ -106,137 +106,145 @@
     refused: DispatchResult,
   ): Promise<DispatchResult> {
     this.noteChange();
-    for (const home of this.candidates(call.service)) {
-      if (home.name === this.services.nodeName) continue;
-      const result = await this.dispatchAt(home, call, isRepeatable);
+    for (const dispatcher of this.candidates(call.service)) {
+      if (dispatcher.name === this.services.nodeName) continue;
+      const result = await this.dispatchAt(dispatcher, call, isRepeatable);
       if (result) return result;
     }
     return refused;
   }
 
   /** Whether this node deals out places of the service, as far as it knows. */
-  isHome(service: string): boolean {
+  isDispatcher(service: string): boolean {
     const [first] = this.candidates(service);
     return first === undefined || first.name === this.services.nodeName;
   }
 
   /** Whether the places of a service are dealt out by homes. */
-  hasHomes(service: string): boolean {
-    return this.lineOf(service).homes.length > 0;
+  hasDispatchers(service: string): boolean {
+    return this.candidatesOf(service).dispatchers.length > 0;
   }
 
   /** Nodes to ask, in this order; none where this node deals with the service itself. */
   private candidates(service: string): FleetMember[] {
-    const { homes, nearest } = this.lineOf(service);
-    const able = homes.filter(({ name }) => this.health.takesCalls(name));
-    if (able.length > 0) return [this.emptiest(able), ...(nearest ? [nearest] : [])];
+    const { dispatchers, nearest } = this.candidatesOf(service);
+    const healthy = dispatchers.filter(({ name }) => this.health.takesCalls(name));
+    if (healthy.length > 0) return [this.leastLoaded(healthy), ...(nearest ? [nearest] : [])];
     return nearest && this.health.takesCalls(nearest.name) ? [nearest] : [];
   }
 
-  private lineOf(service: string): Line {
-    const known = this.lines.get(service);
+  private candidatesOf(service: string): DispatcherCandidates {
+    const known = this.candidatesByService.get(service);
     if (known) return known;
-    const line = this.findLine(service);
-    this.lines.set(service, line);
-    this.reportHomes(service, line.homes.map(({ name }) => name).join(' '));
+    const line = this.selectCandidates(service);
+    this.candidatesByService.set(service, line);
+    this.reportDispatchers(service, line.dispatchers.map(({ name }) => name).join(' '));
     return line;
   }
 
-  private findLine(service: string): Line {
+  private selectCandidates(service: string): DispatcherCandidates {
     const { directory, members, zone } = this.services;
     const replicas = directory.availableOf(service);
     const fleet = members();
     if (
-      !needsHomes(
+      !needsDispatchers(
         fleet.length,
         replicas.map(({ replica }) => replica.slots),
       )
     )
-      return { homes: [], nearest: undefined };
-    const ranked = rankHomes(service, fleet);
-    const homes = ranked.slice(0, homeCount(replicas.length));
-    return { homes, nearest: ranked.find((member) => member.zone === zone && !homes.includes(member)) };
+      return { dispatchers: [], nearest: undefined };
+    const ranked = rankDispatchers(service, fleet);
+    const dispatchers = ranked.slice(0, dispatcherCount(replicas.length));
+    return {
+      dispatchers,
+      nearest: ranked.find((member) => member.zone === zone && !dispatchers.includes(member)),
+    };
   }
 
   /** Of two homes drawn by chance the one with more room for those that wait, so that nodes do not all choose the same. */
-  private emptiest(homes: readonly FleetMember[]): FleetMember {
-    const one = homes[Math.floor(Math.random() * homes.length)] as FleetMember;
-    const other = homes[Math.floor(Math.random() * homes.length)] as FleetMember;
+  private leastLoaded(dispatchers: readonly FleetMember[]): FleetMember {
+    const one = dispatchers[Math.floor(Math.random() * dispatchers.length)] as FleetMember;
+    const other = dispatchers[Math.floor(Math.random() * dispatchers.length)] as FleetMember;
     return this.load(other.name) < this.load(one.name) ? other : one;
   }
 
   private load(name: string): number {
-    const heard = this.rooms.get(name);
-    if (!heard || monotonicMs() - heard.atMs > ROOM_AGE_MS) return 0;
-    const { free, slots, waiting } = heard.room;
+    const last = this.reportedCapacities.get(name);
+    if (!last || monotonicMs() - last.atMs > MAX_CAPACITY_AGE_MS) return 0;
+    const { free, slots, waiting } = last.capacity;
     return (slots - free + waiting) / Math.max(1, slots);
   }
 
   /** The result of a call at a home; `undefined` when the home has certainly not taken it. */
   private async dispatchAt(
-    home: FleetMember,
+    dispatcher: FleetMember,
     call: DispatchCall,
     isRepeatable: boolean,
   ): Promise<DispatchResult | undefined> {
     const { metrics } = this.services;
     if (call.signal.aborted) return { outcome: { kind: 'cancelled' }, hasEndedReplica: false };
     call.onHandOver?.(true);
-    const answer = await this.callHome(home, call, isRepeatable);
-    metrics.homeCalls.inc({ outcome: answer.kind });
+    const answer = await this.callDispatcher(dispatcher, call, isRepeatable);
+    metrics.dispatcherCalls.inc({ outcome: answer.kind });
     if (answer.kind === 'not-taken') {
       call.onHandOver?.(false);
-      this.health.pass(home.name, answer.reason);
+      this.health.eject(dispatcher.name, answer.reason);
       return undefined;
     }
     if (call.signal.aborted) return { outcome: { kind: 'cancelled' }, hasEndedReplica: false };
     if (answer.kind === 'lost') {
-      this.health.pass(home.name, answer.reason);
-      const reason = `${home.name}: ${answer.reason}`;
-      return { outcome: { kind: 'unknown', reason }, hasEndedReplica: false, via: home.name };
+      this.health.eject(dispatcher.name, answer.reason);
+      const reason = `${dispatcher.name}: ${answer.reason}`;
+      return { outcome: { kind: 'unknown', reason }, hasEndedReplica: false, via: dispatcher.name };
     }
     const { message } = answer.outcome;
-    if (message.room) this.rooms.set(home.name, { room: message.room, atMs: monotonicMs() });
-    if (message.isClosed) this.health.pass(home.name, 'it is leaving');
+    if (message.room)
+      this.reportedCapacities.set(dispatcher.name, { capacity: message.room, atMs: monotonicMs() });
+    if (message.isClosed) this.health.eject(dispatcher.name, 'it is leaving');
     if (message.isClosed || (message.kind === 'declined' && this.knowsMore(call.service, message.room))) {
       call.onHandOver?.(false);
       return undefined;
     }
-    return toResult(answer.outcome, home.name);
+    return toResult(answer.outcome, dispatcher.name);
   }
 
   /** Whether a home knows no replicas where this node does: it has just started, or hears nothing. */
-  private knowsMore(service: string, room: ServiceRoom | undefined): boolean {
-    return room?.slots === 0 && this.services.directory.availableOf(service).length > 0;
+  private knowsMore(service: string, capacity: ServiceCapacity | undefined): boolean {
+    return capacity?.slots === 0 && this.services.directory.availableOf(service).length > 0;
   }
 
-  private async callHome(
-    home: FleetMember,
+  private async callDispatcher(
+    dispatcher: FleetMember,
     call: DispatchCall,
     isRepeatable: boolean,
   ): Promise<PeerDispatch> {
     const controller = new AbortController();
     const abort = () => controller.abort();
     call.signal.addEventListener('abort', abort, { once: true });
-    const number = this.health.begin(home.name);
+    const number = this.health.begin(dispatcher.name);
     const unacknowledged = isRepeatable ? setTimeout(abort, UNACKNOWLEDGED_MS) : undefined;
-    const leftMs = call.endsAtMs - monotonicMs();
+    const remainingMs = call.deadlineMs - monotonicMs();
     try {
-      return await this.services.call(home.peerAddress, toMessage(call, this.services.isStoreInReach()), {
-        onTaken: () => {
-          clearTimeout(unacknowledged);
-          this.health.acknowledge(home.name, number, true);
+      return await this.services.call(
+        dispatcher.peerAddress,
+        toMessage(call, this.services.isStoreInReach()),
+        {
+          onTaken: () => {
+            clearTimeout(unacknowledged);
+            this.health.acknowledge(dispatcher.name, number, true);
+          },
+          timeoutMs: Math.max(1, remainingMs + ANSWER_MARGIN_MS),
+          signal: controller.signal,
         },
-        timeoutMs: Math.max(1, leftMs + ANSWER_MARGIN_MS),
-        signal: controller.signal,
-      });
+      );
     } finally {
       clearTimeout(unacknowledged);
-      this.health.acknowledge(home.name, number, false);
+      this.health.acknowledge(dispatcher.name, number, false);
       call.signal.removeEventListener('abort', abort);
     }
   }
 
-  private reportHomes(service: string, names: string): void {
+  private reportDispatchers(service: string, names: string): void {
     if ((this.reported.get(service) ?? '') === names) return;
     this.reported.set(service, names);
     this.report(service, names === '' ? 'no homes' : `homes ${names}`);
@@ -251,7 +259,7 @@
  * Whether a fleet of so many nodes needs homes: where nodes outnumber the requests that a replica runs at once, a node has less than
  * one of them in flight when the replica is full, and learns nothing from its own.
  */
-export function needsHomes(nodeCount: number, slots: readonly number[]): boolean {
+export function needsDispatchers(nodeCount: number, slots: readonly number[]): boolean {
   return slots.length > 0 && nodeCount > Math.min(...slots);
 }
 
@@ -268,13 +276,13 @@
       host,
       headers: headers as DispatchMessage['headers'],
       ...(tenant === undefined ? {} : { tenant }),
-      rank: call.rank,
-      party: call.party,
-      isPatient: call.isPatient,
-      isExtra: call.isExtra,
+      rank: call.priority,
+      party: call.flow,
+      isPatient: call.isBackground,
+      isExtra: call.isHedge,
       isRetry: call.isRetry,
-      aimMs: call.aimAtMs - nowMs,
-      leftMs: Math.max(0, call.endsAtMs - nowMs),
+      aimMs: call.targetAtMs - nowMs,
+      leftMs: Math.max(0, call.deadlineMs - nowMs),
       excluded: [...call.excluded],
       configVersion: call.configVersion,
       isServed,
@@ -288,10 +296,10 @@
   const {
     service,
     workKind,
-    rank,
-    party,
-    isPatient,
-    isExtra,
+    rank: priority,
+    party: flow,
+    isPatient: isBackground,
+    isExtra: isHedge,
     isRetry,
     aimMs,
     leftMs,
@@ -305,13 +313,13 @@
     service,
     workKind,
     request: { ...request, body },
-    rank,
-    party,
-    isPatient,
-    isExtra,
+    priority,
+    flow,
+    isBackground,
+    isHedge,
     isRetry,
-    aimAtMs: nowMs + aimMs,
-    endsAtMs: nowMs + leftMs,
+    targetAtMs: nowMs + aimMs,
+    deadlineMs: nowMs + leftMs,
     excluded: new Set(excluded),
     configVersion,
     signal,
@@ -320,13 +328,13 @@
 
 /** What another node is told of a result. */
 export function toOutcomeMessage(result: DispatchResult): Framed<DispatchOutcomeMessage> {
-  const { outcome, replica, hasEndedReplica, retryAfterMs, room, isClosed } = result;
+  const { outcome, replica, hasEndedReplica, retryAfterMs, capacity, isClosed } = result;
   const shared = {
     kind: outcome.kind,
     hasEndedReplica,
     ...(replica ? { replica } : {}),
     ...(retryAfterMs === undefined ? {} : { retryAfterMs }),
-    ...(room ? { room } : {}),
+    ...(capacity ? { room: capacity } : {}),
     ...(isClosed ? { isClosed } : {}),
   };
   if (outcome.kind === 'answered') {
@@ -345,8 +353,8 @@
 const NOTHING = Buffer.alloc(0);
 
 function toResult({ message, body }: Framed<DispatchOutcomeMessage>, via: string): DispatchResult {
-  const { replica, hasEndedReplica, retryAfterMs, room } = message;
-  return { outcome: toOutcome(message, body), replica, hasEndedReplica, retryAfterMs, room, via };
+  const { replica, hasEndedReplica, retryAfterMs, room: capacity } = message;
+  return { outcome: toOutcome(message, body), replica, hasEndedReplica, retryAfterMs, capacity, via };
 }
 
 function toOutcome(message: DispatchOutcomeMessage, body: Buffer): AttemptOutcome {
--- a/src/coordination/service/dispatch/index.ts
+++ b/src/coordination/service/dispatch/index.ts
@@ -1,5 +1,5 @@
 export type { DispatchCall, DispatchResult, UsedReplica } from './dispatch-call.js';
-export { HomeDispatch, toCall, toOutcomeMessage } from './home-dispatch.js';
+export { RemoteDispatch, toCall, toOutcomeMessage } from './home-dispatch.js';
 export { ReplicaEndCheck } from './replica-end-check.js';
 export { type AttemptOutcome, defectOf, ReplicaExchange, type WholeAnswer } from './replica-exchange.js';
 export { digestOf, type IdentifiedRequest } from './request-digest.js';
--- a/src/coordination/service/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -12,7 +12,7 @@
 /** An answer is held in memory up to this size, bytes. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 /** How long a replica that said that it is full is avoided, milliseconds. */
-const FULL_PAUSE_MS = 60;
+const FULL_BACKOFF_MS = 60;
 
 /** An answer read whole. */
 export interface WholeAnswer {
@@ -50,7 +50,7 @@
 /** What is known of an attempt besides. */
 export interface AttemptTerms extends AttemptContext {
   /** Usual time of such a request, milliseconds; 0 where it is not known. */
-  readonly usualMs: number;
+  readonly expectedMs: number;
 }
 
 /** Why the head of an answer does not count, `undefined` when it does. */
@@ -74,10 +74,10 @@
   async attempt(
     state: ReplicaState,
     request: ReplicaRequest,
-    { usualMs, ...context }: AttemptTerms,
+    { expectedMs, ...context }: AttemptTerms,
   ): Promise<AttemptOutcome> {
     const startedAt = monotonicMs();
-    state.noteGiven(usualMs);
+    state.noteAssigned(expectedMs);
     const outcome = await this.exchangeWhileAlive(state, request);
     state.noteReturned(outcome.kind === 'answered' || outcome.kind === 'declined');
     const tookMs = monotonicMs() - startedAt;
@@ -143,7 +143,7 @@
 
   private noteOutcome(state: ReplicaState, outcome: AttemptOutcome, tookMs: number): void {
     if (outcome.kind === 'answered' && outcome.answer.status < 500) state.noteSuccess(tookMs);
-    else if (outcome.kind === 'declined' && outcome.isFull) state.pause(FULL_PAUSE_MS);
+    else if (outcome.kind === 'declined' && outcome.isFull) state.backOff(FULL_BACKOFF_MS);
     else if (outcome.kind === 'declined' || outcome.kind === 'unknown') state.noteFailure();
   }
 
--- a/src/coordination/service/dispatch/service-queue.ts
+++ b/src/coordination/service/dispatch/service-queue.ts
@@ -12,8 +12,8 @@
 import {
   type AdmissionTerms,
   admit,
-  ExtraAttempts,
-  PartyUse,
+  FlowUsage,
+  RetryBudget,
   type RunningRequest,
   retryAfterMs,
   slotWaitMs,
@@ -23,18 +23,18 @@
 } from '../../../state/service/admission/index.js';
 import {
   type ChoiceTerms,
+  capacityOf,
   chooseReplica,
   drainRate,
   type ReplicaDirectory,
   type ReplicaState,
-  roomOf,
-  WorkTimes,
+  ServiceTimes,
 } from '../../../state/service/replicas/index.js';
-import type { DispatchCall, DispatchResult, ServiceRoom } from './dispatch-call.js';
+import type { DispatchCall, DispatchResult, ServiceCapacity } from './dispatch-call.js';
 import type { AttemptOutcome, ReplicaExchange } from './replica-exchange.js';
 
 /** How often those that wait are looked at without a reason: pauses of replicas end in silence, milliseconds. */
-const LOOK_MS = 20;
+const RECHECK_MS = 20;
 /**
  * Times that replicas may decline one request before it is refused. Each decline pauses its replica, so this bounds what a request
  * costs replicas that others fill, while a caller that has time is not refused because two nodes deal out the same places.
@@ -44,14 +44,14 @@
  * Those at the front may wait for a fast replica while a slow one is free. So many are passed over at most in search of one that
  * ends sooner at the slow one.
  */
-const MAX_PASSED = 200;
+const MAX_SKIPPED = 200;
 /**
  * A request that waits without a slot is rejected this long before its deadline, milliseconds: two periods of `LOOK_MS`, so that the
  * rejection reaches the node that has the caller before that node's own timer ends the request as one that may have run.
  */
-const EXPIRY_MARGIN_MS = 2 * LOOK_MS;
+const EXPIRY_MARGIN_MS = 2 * RECHECK_MS;
 /** Part of the places that must be free for a second attempt: beyond, it would take the place of a first one. */
-const FREE_FOR_EXTRA = 0.1;
+const MIN_FREE_SLOT_FRACTION_FOR_HEDGE = 0.1;
 
 /** What the queues of a node work with. */
 export interface ServiceQueueServices {
@@ -60,7 +60,7 @@
   /** Requests that a replica runs at once. */
   readonly slotsOf: (state: ReplicaState) => number;
   /** Requests that a cold replica is to get in a second from this node; `undefined` where it bears all. */
-  readonly coldPerSecond: (state: ReplicaState) => number | undefined;
+  readonly slowStartPerSecond: (state: ReplicaState) => number | undefined;
   /** What a replica's distance counts, as a part of its places. */
   readonly distance: (state: ReplicaState) => number;
   /** Whether the configuration in force still allows a request that has waited. */
@@ -86,10 +86,10 @@
 
 /** The queue of one service. */
 export class ServiceQueue {
-  private readonly use = new PartyUse();
-  private readonly workTimes = new WorkTimes();
+  private readonly usage = new FlowUsage();
+  private readonly serviceTimes = new ServiceTimes();
   private readonly waiting: WaitingList<Entry>;
-  private readonly extras = new ExtraAttempts();
+  private readonly retryBudget = new RetryBudget();
   /** Replicas at which a request runs, by its identifier: a second attempt goes elsewhere. */
   private readonly running = new Map<string, Set<string>>();
   /** Requests that this queue has running, by replica. */
@@ -102,7 +102,7 @@
     private readonly service: string,
     private readonly services: ServiceQueueServices,
   ) {
-    this.waiting = new WaitingList(this.use, services.bounds);
+    this.waiting = new WaitingList(this.usage, services.bounds);
     services.directory.onChange(() => this.schedule());
   }
 
@@ -112,13 +112,13 @@
   }
 
   /** Second attempts that may be made now. */
-  get extrasLeft(): number {
-    return this.extras.left;
+  get retryBudgetLeft(): number {
+    return this.retryBudget.left;
   }
 
   /** How full the replicas are. */
-  get room(): ServiceRoom {
-    const { free, all } = roomOf(this.states(), this.services);
+  get capacity(): ServiceCapacity {
+    const { free, all } = capacityOf(this.states(), this.services);
     return { free, slots: all, waiting: this.waiting.size };
   }
 
@@ -136,30 +136,30 @@
 
   private enter(call: DispatchCall, resolve: (result: DispatchResult) => void): void {
     const entry = this.entryOf(call, resolve);
-    if (call.isExtra) this.enterExtra(entry);
-    else if (call.isRetry && !this.extras.take())
-      this.refuse(entry, 'no second attempts left', this.comeBackMs(entry));
+    if (call.isHedge) this.enterHedge(entry);
+    else if (call.isRetry && !this.retryBudget.take())
+      this.refuse(entry, 'no second attempts left', this.retryAfterMs(entry));
     else this.enterFirst(entry);
   }
 
   private enterFirst(entry: Entry): void {
-    if (!entry.call.isRetry) this.extras.noteFirst();
+    if (!entry.call.isRetry) this.retryBudget.noteFirst();
     const admission = this.judge(entry);
     if (admission.kind === 'refused') {
       this.refuse(entry, 'no place in its time', admission.retryAfterMs);
       return;
     }
     this.addWaiting(entry);
-    this.placeWaiting();
+    this.assignWaiting();
   }
 
   /** A second attempt takes a place that is free now, or is none. */
-  private enterExtra(entry: Entry): void {
-    const { free, slots } = this.room;
-    const hasRoom = this.waiting.size === 0 && free >= slots * FREE_FOR_EXTRA;
-    const choice = hasRoom ? chooseReplica(this.fitting(entry), this.choiceTerms(entry, 0)) : undefined;
+  private enterHedge(entry: Entry): void {
+    const { free, slots } = this.capacity;
+    const hasFreeSlots = this.waiting.size === 0 && free >= slots * MIN_FREE_SLOT_FRACTION_FOR_HEDGE;
+    const choice = hasFreeSlots ? chooseReplica(this.eligible(entry), this.choiceTerms(entry, 0)) : undefined;
     if (choice?.kind !== 'send') this.refuse(entry, 'no room for a second attempt', 0);
-    else if (!this.extras.take()) this.refuse(entry, 'no second attempts left', 0);
+    else if (!this.retryBudget.take()) this.refuse(entry, 'no second attempts left', 0);
     else this.send(entry, choice.state, choice.expectedMs);
   }
 
@@ -168,13 +168,13 @@
     const entry: Entry = {
       call,
       startedAtMs,
-      rank: call.rank,
-      party: call.party,
-      isPatient: call.isPatient,
+      priority: call.priority,
+      flow: call.flow,
+      isBackground: call.isBackground,
       sinceMs: startedAtMs,
-      aimAtMs: call.aimAtMs,
-      endsAtMs: call.endsAtMs,
-      workMs: this.workTimes.usualMs(call.workKind),
+      targetAtMs: call.targetAtMs,
+      deadlineMs: call.deadlineMs,
+      serviceTimeMs: this.serviceTimes.expectedMs(call.workKind),
       bytes: call.request.body.length,
       excluded: new Set([...call.excluded, ...(this.running.get(call.request.id) ?? [])]),
       declines: 0,
@@ -187,9 +187,9 @@
 
   /** Whether a request can be served in its time, as far as known. One that finds no replica is refused at once. */
   private judge(entry: Entry) {
-    const terms = this.admissionTerms(entry, this.waiting.workBefore(entry, monotonicMs()));
-    if (this.fitting(entry).length === 0) entry.excluded.clear();
-    if (this.fitting(entry).length === 0)
+    const terms = this.admissionTerms(entry, this.waiting.queuedAheadMs(entry, monotonicMs()));
+    if (this.eligible(entry).length === 0) entry.excluded.clear();
+    if (this.eligible(entry).length === 0)
       return { kind: 'refused' as const, retryAfterMs: retryAfterMs(terms, Math.random()) };
     return admit(terms, Math.random());
   }
@@ -197,7 +197,7 @@
   private addWaiting(entry: Entry): void {
     entry.call.signal.addEventListener('abort', entry.onAbort, { once: true });
     const displaced = this.waiting.add(entry, monotonicMs());
-    if (displaced) this.refuse(displaced, 'too many wait', this.comeBackMs(displaced));
+    if (displaced) this.refuse(displaced, 'too many wait', this.retryAfterMs(displaced));
   }
 
   private cancel(entry: Entry): void {
@@ -212,18 +212,18 @@
   private refuse(entry: Entry, reason: string, afterMs: number): void {
     this.waiting.remove(entry);
     const detail = entry.lastReason === '' ? reason : `${reason}; before: ${entry.lastReason}`;
-    if (!entry.call.isExtra) this.reportRefusal(entry, detail, afterMs);
+    if (!entry.call.isHedge) this.reportRefusal(entry, detail, afterMs);
     this.end(entry, {
       outcome: { kind: 'declined', reason: detail, isFull: true },
       hasEndedReplica: false,
       retryAfterMs: afterMs > 0 ? afterMs : undefined,
-      room: this.room,
+      capacity: this.capacity,
       isClosed: this.isClosed,
     });
   }
 
-  private comeBackMs(entry: Entry): number {
-    return retryAfterMs(this.admissionTerms(entry, this.waiting.totalWorkMs), Math.random());
+  private retryAfterMs(entry: Entry): number {
+    return retryAfterMs(this.admissionTerms(entry, this.waiting.queuedMs), Math.random());
   }
 
   /** Looks at those that wait, once in this turn of the event loop. */
@@ -232,30 +232,30 @@
     this.isScheduled = true;
     setImmediate(() => {
       this.isScheduled = false;
-      this.placeWaiting();
+      this.assignWaiting();
     });
   }
 
-  private placeWaiting(): void {
-    this.dropOverdue(0);
-    const passed = new Set<Entry>();
-    let passedWorkMs = 0;
-    while (passed.size < MAX_PASSED && this.waiting.size > passed.size && this.room.free > 0) {
-      const entry = this.waiting.next(monotonicMs(), (one) => !passed.has(one));
+  private assignWaiting(): void {
+    this.rejectUnreachable(0);
+    const skipped = new Set<Entry>();
+    let skippedMs = 0;
+    while (skipped.size < MAX_SKIPPED && this.waiting.size > skipped.size && this.capacity.free > 0) {
+      const entry = this.waiting.next(monotonicMs(), (one) => !skipped.has(one));
       if (!entry) break;
-      const choice = chooseReplica(this.fitting(entry), this.choiceTerms(entry, passedWorkMs));
-      if (choice.kind === 'send') this.place(entry, choice.state, choice.expectedMs);
-      else if (choice.kind === 'none') this.refuse(entry, 'no replica', this.comeBackMs(entry));
+      const choice = chooseReplica(this.eligible(entry), this.choiceTerms(entry, skippedMs));
+      if (choice.kind === 'send') this.assign(entry, choice.state, choice.expectedMs);
+      else if (choice.kind === 'none') this.refuse(entry, 'no replica', this.retryAfterMs(entry));
       else {
-        passed.add(entry);
-        passedWorkMs += entry.workMs;
+        skipped.add(entry);
+        skippedMs += entry.serviceTimeMs;
       }
     }
-    this.dropOverdue(EXPIRY_MARGIN_MS);
+    this.rejectUnreachable(EXPIRY_MARGIN_MS);
     this.armTimer();
   }
 
-  private place(entry: Entry, state: ReplicaState, expectedMs: number): void {
+  private assign(entry: Entry, state: ReplicaState, expectedMs: number): void {
     this.waiting.remove(entry);
     this.waiting.noteServed();
     const waitedMs = monotonicMs() - entry.startedAtMs;
@@ -268,13 +268,13 @@
   }
 
   /** What can no longer be served in its time has not run, and its caller is told. */
-  private dropOverdue(marginMs: number): void {
+  private rejectUnreachable(marginMs: number): void {
     const nowMs = monotonicMs();
     const slotMs = this.waiting.size === 0 ? 0 : this.slotWaitMs(nowMs);
     for (const entry of [...this.waiting]) {
-      const usableMs = entry.endsAtMs - nowMs - slotMs;
-      if (usableMs < Math.max(marginMs, entry.workMs / 2))
-        this.refuse(entry, 'its time is over', this.comeBackMs(entry));
+      const usableMs = entry.deadlineMs - nowMs - slotMs;
+      if (usableMs < Math.max(marginMs, entry.serviceTimeMs / 2))
+        this.refuse(entry, 'its time is over', this.retryAfterMs(entry));
     }
   }
 
@@ -289,54 +289,54 @@
   private send(entry: Entry, state: ReplicaState, expectedMs: number): void {
     const { call } = entry;
     const sentAtMs = monotonicMs();
-    this.use.add(call.party, expectedMs, sentAtMs);
+    this.usage.add(call.flow, expectedMs, sentAtMs);
     const request = {
       ...call.request,
-      deadlineMs: entry.endsAtMs - sentAtMs,
+      remainingMs: entry.deadlineMs - sentAtMs,
       signal: call.signal,
     };
     this.noteRunning(call.request.id, state.id, true);
-    const run = { sentAtMs, workMs: entry.workMs, deadlineMs: entry.endsAtMs };
+    const run = { sentAtMs, serviceTimeMs: entry.serviceTimeMs };
     this.noteRun(state.id, run);
     call.onHandOver?.(true);
     void this.services.exchange
-      .attempt(state, request, { configVersion: call.configVersion, usualMs: entry.workMs })
+      .attempt(state, request, { configVersion: call.configVersion, expectedMs: entry.serviceTimeMs })
       .then((outcome) => {
         if (outcome.kind === 'answered') this.noteTime(entry, state, monotonicMs() - sentAtMs);
         this.noteRunning(call.request.id, state.id, false);
         this.endRun(state.id, run);
-        this.use.add(call.party, monotonicMs() - sentAtMs - expectedMs, monotonicMs());
+        this.usage.add(call.flow, monotonicMs() - sentAtMs - expectedMs, monotonicMs());
         this.finish(entry, state, outcome);
         this.schedule();
       });
   }
 
   private noteTime({ call }: Entry, state: ReplicaState, tookMs: number): void {
-    state.noteSlowness(this.workTimes.note(call.workKind, tookMs));
+    state.noteLatencyRatio(this.serviceTimes.note(call.workKind, tookMs));
   }
 
   private finish(entry: Entry, state: ReplicaState, outcome: AttemptOutcome): void {
-    if (outcome.kind === 'declined' && this.goesOnWaiting(entry, outcome.reason, state.id)) return;
+    if (outcome.kind === 'declined' && this.requeue(entry, outcome.reason, state.id)) return;
     const hasEndedReplica = outcome.kind === 'unknown' && outcome.replicaEnded === true && !state.isLeaving;
     const { id, address } = state.replica;
-    const retryMs = outcome.kind === 'declined' ? this.comeBackMs(entry) : undefined;
+    const retryMs = outcome.kind === 'declined' ? this.retryAfterMs(entry) : undefined;
     this.end(entry, {
       outcome,
       replica: { id, address },
       hasEndedReplica,
       retryAfterMs: retryMs,
-      room: this.room,
+      capacity: this.capacity,
     });
   }
 
   /** A request that a replica has declined keeps its place among those that wait. */
-  private goesOnWaiting(entry: Entry, reason: string, replicaId: string): boolean {
+  private requeue(entry: Entry, reason: string, replicaId: string): boolean {
     entry.declines += 1;
     entry.lastReason = reason;
-    if (entry.call.isExtra || entry.declines >= MAX_DECLINES || entry.call.signal.aborted) return false;
+    if (entry.call.isHedge || entry.declines >= MAX_DECLINES || entry.call.signal.aborted) return false;
     entry.call.onHandOver?.(false);
     entry.excluded.add(replicaId);
-    if (this.fitting(entry).length === 0) entry.excluded.clear();
+    if (this.eligible(entry).length === 0) entry.excluded.clear();
     this.addWaiting(entry);
     return true;
   }
@@ -365,25 +365,25 @@
     return this.services.directory.availableOf(this.service);
   }
 
-  private fitting({ excluded }: Entry): ReplicaState[] {
+  private eligible({ excluded }: Entry): ReplicaState[] {
     const states = this.states();
     return excluded.size === 0 ? states : states.filter(({ id }) => !excluded.has(id));
   }
 
-  private choiceTerms({ workMs }: Entry, workBeforeMs: number): ChoiceTerms {
-    const { slotsOf, distance, coldPerSecond } = this.services;
-    return { slotsOf, distance, coldPerSecond, workMs, workBeforeMs };
+  private choiceTerms({ serviceTimeMs }: Entry, queuedAheadMs: number): ChoiceTerms {
+    const { slotsOf, distance, slowStartPerSecond } = this.services;
+    return { slotsOf, distance, slowStartPerSecond, serviceTimeMs, queuedAheadMs };
   }
 
-  private admissionTerms(entry: Entry, workBeforeMs: number): AdmissionTerms {
+  private admissionTerms(entry: Entry, queuedAheadMs: number): AdmissionTerms {
     return {
-      workBeforeMs,
-      workWaitingMs: this.waiting.totalWorkMs,
+      queuedAheadMs,
+      queuedMs: this.waiting.queuedMs,
       drainPerMs: drainRate(this.states(), this.services),
       slotWaitMs: this.slotWaitMs(monotonicMs()),
-      hasRoom: this.waiting.size === 0 && this.room.free > 0,
-      workMs: entry.workMs,
-      leftMs: entry.endsAtMs - monotonicMs(),
+      hasFreeSlot: this.waiting.size === 0 && this.capacity.free > 0,
+      serviceTimeMs: entry.serviceTimeMs,
+      remainingMs: entry.deadlineMs - monotonicMs(),
     };
   }
 
@@ -391,23 +391,23 @@
     if (this.timer || this.waiting.size === 0) return;
     this.timer = setTimeout(() => {
       this.timer = undefined;
-      this.placeWaiting();
-    }, LOOK_MS);
+      this.assignWaiting();
+    }, RECHECK_MS);
   }
 
   private reportRefusal(entry: Entry, reason: string, retryMs: number): void {
     const { service } = this;
-    this.services.metrics.refusedRequests.inc({ service, rank: String(entry.rank) });
-    const { free, slots, waiting } = this.room;
+    this.services.metrics.refusedRequests.inc({ service, rank: String(entry.priority) });
+    const { free, slots, waiting } = this.capacity;
     this.services.logger.record({
       event: 'request-refused',
       requestId: entry.call.request.id,
       service,
-      party: entry.party,
-      rank: entry.rank,
+      party: entry.flow,
+      rank: entry.priority,
       reason,
       waitedMs: Math.round(monotonicMs() - entry.startedAtMs),
-      leftMs: Math.round(entry.endsAtMs - monotonicMs()),
+      leftMs: Math.round(entry.deadlineMs - monotonicMs()),
       retryAfterMs: Math.round(retryMs),
       waiting,
       free,
--- a/src/coordination/service/generation/generation-attempt.ts
+++ b/src/coordination/service/generation/generation-attempt.ts
@@ -19,7 +19,7 @@
   readonly minVersion: number;
   readonly isSingleVersion: boolean;
   /** Time that the replica may work on it, milliseconds. */
-  readonly deadlineMs: number;
+  readonly remainingMs: number;
   /** Longest silence before the attempt is broken off, milliseconds. */
   readonly stallMs: number;
   /** Why another replica would finish the sample sooner, at this pace here, if one would; asked again and again. */
@@ -178,7 +178,7 @@
     tenant: terms.tenant,
     headers: item.headers,
     body: item.body,
-    deadlineMs: terms.deadlineMs,
+    remainingMs: terms.remainingMs,
     lastEventId: text.lastEventId,
     requiredVersion: mustHaveVersion,
     priority: terms.priority,
--- a/src/coordination/service/generation/placement.ts
+++ b/src/coordination/service/generation/placement.ts
@@ -13,7 +13,7 @@
 /** Part by which a request takes longer at a full replica. */
 const FULL_REPLICA_SLOWDOWN = 0.1;
 /** What a replica costs that has declined the last request: it is asked again when the others are full. */
-const DOUBTFUL_MS = 3_000;
+const DECLINED_COST_MS = 3_000;
 
 /** What a request asks of a replica. */
 export interface PlacementRequest {
@@ -27,7 +27,7 @@
   /** Events that the request will probably take. */
   readonly expectedEvents: number;
   /** Lower ranks are placed first. */
-  readonly rank: number;
+  readonly priority: number;
   readonly signal: AbortSignal;
 }
 
@@ -39,7 +39,7 @@
 }
 
 /** What a request that runs already asks of other replicas. */
-export type RoomRequest = Pick<PlacementRequest, 'slots' | 'accepts'> & { readonly service: string };
+export type SlotQuery = Pick<PlacementRequest, 'slots' | 'accepts'> & { readonly service: string };
 
 interface Waiter {
   readonly request: PlacementRequest;
@@ -56,7 +56,7 @@
   constructor(
     private readonly directory: ReplicaDirectory,
     private readonly zone: string,
-    private readonly coldPerSecond: (state: ReplicaState) => number | undefined = () => undefined,
+    private readonly slowStartPerSecond: (state: ReplicaState) => number | undefined = () => undefined,
   ) {
     directory.onChange(() => this.schedule());
   }
@@ -92,10 +92,10 @@
   }
 
   /** The fastest replica as measured; one with a free slot if there is any, and none waits for it. */
-  fastest({ service, slots, accepts }: RoomRequest): FastestReplica | undefined {
+  fastest({ service, slots, accepts }: SlotQuery): FastestReplica | undefined {
     const measured = this.directory
       .availableOf(service)
-      .filter((state) => !state.isSuspected && state.admitsMore && state.averageMs > 0 && accepts(state));
+      .filter((state) => !state.isUnhealthy && state.admitsMore && state.averageMs > 0 && accepts(state));
     const free = this.waiters.length > 0 ? [] : measured.filter((state) => state.inFlight < slots(state));
     const candidates = free.length > 0 ? free : measured;
     if (candidates.length === 0) return undefined;
@@ -111,7 +111,7 @@
   }
 
   private insert(waiter: Waiter): void {
-    const at = this.waiters.findIndex((other) => other.request.rank > waiter.request.rank);
+    const at = this.waiters.findIndex((other) => other.request.priority > waiter.request.priority);
     if (at < 0) this.waiters.push(waiter);
     else this.waiters.splice(at, 0, waiter);
   }
@@ -129,11 +129,11 @@
     this.isScheduled = true;
     setImmediate(() => {
       this.isScheduled = false;
-      this.placeWaiting();
+      this.assignWaiting();
     });
   }
 
-  private placeWaiting(): void {
+  private assignWaiting(): void {
     const still: Waiter[] = [];
     for (const waiter of this.waiters) {
       const state = this.choose(waiter.request);
@@ -157,20 +157,20 @@
       service,
       zone: this.zone,
       preferred: request.preferred(),
-      allowsSuspected: false,
+      allowsUnhealthy: false,
       accepts: (state) =>
         state.admitsMore &&
         state.inFlight < request.slots(state) &&
-        this.bearsMore(state) &&
+        this.allowsInSlowStart(state) &&
         request.accepts(state),
       cost: (state, zone, fastestMs) => generationCost(state, zone, fastestMs, request.expectedEvents),
     });
     return fittest?.isAwaitingAnswers ? undefined : fittest;
   }
 
-  private bearsMore(state: ReplicaState): boolean {
-    const perSecond = this.coldPerSecond(state);
-    return perSecond === undefined || state.bearsMore(perSecond);
+  private allowsInSlowStart(state: ReplicaState): boolean {
+    const perSecond = this.slowStartPerSecond(state);
+    return perSecond === undefined || state.allowsInSlowStart(perSecond);
   }
 
   private armTimer(): void {
@@ -197,6 +197,6 @@
   const load = state.inFlight / Math.max(1, state.replica.slots);
   const loadMs = load * (FULL_REPLICA_MS + runMs * FULL_REPLICA_SLOWDOWN);
   const distanceMs = state.replica.zone === zone ? 0 : OTHER_ZONE_MS;
-  const doubtMs = state.hasDeclined ? DOUBTFUL_MS : 0;
-  return runMs + loadMs + distanceMs + doubtMs + Math.random() * 1e-6;
+  const declinedMs = state.hasDeclined ? DECLINED_COST_MS : 0;
+  return runMs + loadMs + distanceMs + declinedMs + Math.random() * 1e-6;
 }
--- a/src/coordination/service/generation/sample-scorer.ts
+++ b/src/coordination/service/generation/sample-scorer.ts
@@ -19,7 +19,7 @@
 const FIRST_PAUSE_MS = 20;
 const LONGEST_PAUSE_MS = 400;
 /** Who is charged for the use of replicas by scoring calls. */
-const SCORING_PARTY = 'scoring';
+const SCORING_FLOW = 'scoring';
 const ROUTE_GONE_MS = 3_000;
 
 /** Scores samples. How many calls run at once is decided where the places of the service's replicas are dealt out. */
@@ -52,10 +52,10 @@
           deadlineMs,
           signal: job.signal,
           isHedged: false,
-          rank: route.priority,
-          party: SCORING_PARTY,
-          isPatient: true,
-          aimAtMs: deadlineMs,
+          priority: route.priority,
+          flow: SCORING_FLOW,
+          isBackground: true,
+          targetAtMs: deadlineMs,
         });
         const answer = outcome.kind === 'answered' ? outcome.answer : undefined;
         const isSuccess = answer !== undefined && answer.status < 300;
--- a/src/coordination/service/jobs/item-run.ts
+++ b/src/coordination/service/jobs/item-run.ts
@@ -211,7 +211,7 @@
       accepts: (candidate) => this.fits(candidate) && !this.moves.hasJustLeft(candidate),
       preferred: () => this.job.groupReplicas.get(this.item.group),
       expectedEvents: this.services.lengths.remaining(this.item, this.text.eventCount),
-      rank: this.isBegun ? RANK_INTERRUPTED : RANK_NEW,
+      priority: this.isBegun ? RANK_INTERRUPTED : RANK_NEW,
       signal: this.job.signal,
     };
   }
@@ -225,7 +225,7 @@
       model,
       minVersion,
       isSingleVersion: route.isSingleVersion,
-      deadlineMs: Math.min(
+      remainingMs: Math.min(
         DEFAULT_DEADLINE_MS,
         Math.max(SHORTEST_DEADLINE_MS, route.maxQueueMs - this.ageMs),
       ),
@@ -285,11 +285,11 @@
     replicaEnded: boolean | undefined,
   ): void {
     const { service, id } = state.replica;
-    if (outcome.kind === 'whole') state.noteWhole();
+    if (outcome.kind === 'whole') state.noteFinished();
     else if (outcome.kind === 'moved') this.moves.note(state);
-    else if (outcome.kind === 'declined' && outcome.isFull) state.pause(DECLINED_PAUSE_MS);
+    else if (outcome.kind === 'declined' && outcome.isFull) state.backOff(DECLINED_PAUSE_MS);
     else if (outcome.kind === 'declined' || outcome.kind === 'broken') state.noteFailure();
-    else if (outcome.kind === 'wrong-version') state.pause(DECLINED_PAUSE_MS);
+    else if (outcome.kind === 'wrong-version') state.backOff(DECLINED_PAUSE_MS);
     if (outcome.kind !== 'whole') this.job.groupReplicas.delete(this.item.group);
     this.services.metrics.attempts.inc({ service, outcome: outcome.kind });
     this.services.logger.record({
--- a/src/coordination/service/requests/service-relay.ts
+++ b/src/coordination/service/requests/service-relay.ts
@@ -30,13 +30,13 @@
   /** Whether a second replica is asked while the first is silent. */
   readonly isHedged: boolean;
   /** Rank; 0 is the most urgent. */
-  readonly rank: number;
+  readonly priority: number;
   /** Who is charged for its use of replicas. */
-  readonly party: string;
+  readonly flow: string;
   /** Whether it is work in the background, which gives way to callers. */
-  readonly isPatient: boolean;
+  readonly isBackground: boolean;
   /** When its caller wants the answer, on the monotonic clock, milliseconds. */
-  readonly aimAtMs: number;
+  readonly targetAtMs: number;
 }
 
 /** Sends an attempt; `isRepeatable` says whether the request may run more than once. Never rejects. */
@@ -100,23 +100,23 @@
 /** An attempt that has come back; `isExtra` says whether it was made beside another. */
 interface Attempt {
   readonly result: DispatchResult;
-  readonly isExtra: boolean;
+  readonly isHedge: boolean;
 }
 
 /** One request on its way. */
 class RelayRun {
-  private readonly endsAtMs: number;
+  private readonly deadlineMs: number;
   private readonly tried = new Set<string>();
   private readonly controller = new AbortController();
   private runs = 0;
   /** Whether no place was found for it: then it is not sent again. */
   private isDeclined = false;
-  private comeBackMs = RETRY_AFTER_MS;
+  private retryAfterMs = RETRY_AFTER_MS;
   private mayHaveRun = false;
   /** Whether a replica is known to have had it: only then another attempt is load that attempts make of themselves. */
   private hasReachedReplica = false;
   /** Before this time no second attempt is made beside a silent one, on the monotonic clock. */
-  private hedgeFromMs = 0;
+  private hedgeAtMs = 0;
   private lastFailure: WholeAnswer | undefined;
   private lastReason = 'none available';
   /** Attempts that run or may have run: the request counts once for its tenant while there is any. */
@@ -132,7 +132,7 @@
     private readonly quarantine: RequestQuarantine,
     private readonly countRun: RunCounter,
   ) {
-    this.endsAtMs = Math.min(request.deadlineMs, monotonicMs() + request.route.timeoutMs);
+    this.deadlineMs = Math.min(request.deadlineMs, monotonicMs() + request.route.timeoutMs);
   }
 
   async run(): Promise<RelayOutcome> {
@@ -150,7 +150,7 @@
     const pending = new Set<Promise<Attempt>>();
     for (;;) {
       if (this.request.signal.aborted) return this.finish({ kind: 'cancelled', attempts: this.attempts });
-      if (monotonicMs() >= this.endsAtMs - MIN_ATTEMPT_MS && pending.size === 0)
+      if (monotonicMs() >= this.deadlineMs - MIN_ATTEMPT_MS && pending.size === 0)
         return this.finish(this.timedOut());
       if (this.mayStart(pending.size)) this.start(pending);
       else if (pending.size === 0) return this.finish(this.exhausted());
@@ -164,7 +164,7 @@
 
   /** Whether another attempt may be made now. */
   private mayStart(pendingCount: number): boolean {
-    if (pendingCount > 0 && monotonicMs() < this.hedgeFromMs) return false;
+    if (pendingCount > 0 && monotonicMs() < this.hedgeAtMs) return false;
     return this.mayHedge(pendingCount);
   }
 
@@ -181,7 +181,7 @@
   }
 
   private start(pending: Set<Promise<Attempt>>): void {
-    const isExtra = pending.size > 0;
+    const isHedge = pending.size > 0;
     const attempt = {};
     const onHandOver = (mayRun: boolean) => {
       if (mayRun) this.waitingHere.delete(attempt);
@@ -189,17 +189,17 @@
     };
     this.waitingHere.add(attempt);
     this.noteSent();
-    const sent = this.send({ ...this.toCall(isExtra), onHandOver }, this.isRepeatable);
-    this.hedgeFromMs = monotonicMs() + this.hedgeDelayMs();
+    const sent = this.send({ ...this.toCall(isHedge), onHandOver }, this.isRepeatable);
+    this.hedgeAtMs = monotonicMs() + this.hedgeDelayMs();
     const tracked: Promise<Attempt> = sent.then((result) => {
       pending.delete(tracked);
       this.waitingHere.delete(attempt);
       const { outcome, replica, hasEndedReplica } = result;
       if (replica && outcome.kind !== 'declined') this.hasReachedReplica = true;
       if (replica) this.tried.add(replica.id);
-      if (outcome.kind === 'declined') this.noteNotRun();
+      if (outcome.kind === 'declined') this.noteNotExecuted();
       if (hasEndedReplica && replica) this.quarantine.noteEnd(this.request, replica);
-      return { result, isExtra };
+      return { result, isHedge };
     });
     pending.add(tracked);
   }
@@ -210,23 +210,24 @@
     if (tenant !== undefined && this.countedAttempts === 1) this.uncount = this.countRun(tenant);
   }
 
-  private noteNotRun(): void {
+  private noteNotExecuted(): void {
     this.countedAttempts -= 1;
     if (this.countedAttempts === 0) this.uncount();
   }
 
-  private toCall(isExtra: boolean): DispatchCall {
-    const { id, method, path, host, tenant, headers, body, rank, party, isPatient, aimAtMs } = this.request;
+  private toCall(isHedge: boolean): DispatchCall {
+    const { id, method, path, host, tenant, headers, body, priority, flow, isBackground, targetAtMs } =
+      this.request;
     return {
       service: this.service,
       workKind: this.request.route.name,
       request: { id, method, path, host, tenant, headers, body },
-      rank,
-      party,
-      isPatient,
-      aimAtMs,
-      endsAtMs: this.endsAtMs,
-      isExtra,
+      priority,
+      flow,
+      isBackground,
+      targetAtMs,
+      deadlineMs: this.deadlineMs,
+      isHedge,
       isRetry: this.hasReachedReplica,
       excluded: this.tried,
       configVersion: this.request.snapshot.version,
@@ -237,14 +238,14 @@
   /** The next outcome of a pending attempt, the moment to hedge, or the end of the time. */
   private async nextOutcome(pending: ReadonlySet<Promise<Attempt>>): Promise<Attempt | 'timeout' | 'hedge'> {
     const nowMs = monotonicMs();
-    const leftMs = Math.max(0, this.endsAtMs - nowMs);
+    const remainingMs = Math.max(0, this.deadlineMs - nowMs);
     const hedgeMs = this.mayHedge(pending.size)
-      ? Math.max(0, this.hedgeFromMs - nowMs)
+      ? Math.max(0, this.hedgeAtMs - nowMs)
       : Number.POSITIVE_INFINITY;
-    const waitMs = Math.min(leftMs, hedgeMs);
+    const waitMs = Math.min(remainingMs, hedgeMs);
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<'timeout' | 'hedge'>((resolve) => {
-      timer = setTimeout(() => resolve(hedgeMs < leftMs ? 'hedge' : 'timeout'), waitMs);
+      timer = setTimeout(() => resolve(hedgeMs < remainingMs ? 'hedge' : 'timeout'), waitMs);
     });
     try {
       return await Promise.race([...pending, timeout]);
@@ -258,15 +259,15 @@
   }
 
   /** The final outcome, or `undefined` to go on. */
-  private judge({ result, isExtra }: Attempt): RelayOutcome | undefined {
+  private judge({ result, isHedge }: Attempt): RelayOutcome | undefined {
     const { outcome, retryAfterMs } = result;
     if (outcome.kind === 'answered') return this.judgeAnswer(outcome.answer);
     if (outcome.kind === 'cancelled') return undefined;
-    if (outcome.kind === 'declined' && isExtra) return undefined;
+    if (outcome.kind === 'declined' && isHedge) return undefined;
     this.lastReason = outcome.reason;
     if (outcome.kind === 'declined') {
       this.isDeclined = true;
-      this.comeBackMs = retryAfterMs ?? RETRY_AFTER_MS;
+      this.retryAfterMs = retryAfterMs ?? RETRY_AFTER_MS;
       return undefined;
     }
     this.runs += 1;
@@ -299,7 +300,7 @@
     if (verdict.kind === 'held') return this.heldBack(verdict);
     if (this.mayHaveRun) return this.failed(false);
     const reason = this.lastReason;
-    return { kind: 'refused', reason, retryAfterMs: this.comeBackMs, attempts: this.attempts };
+    return { kind: 'refused', reason, retryAfterMs: this.retryAfterMs, attempts: this.attempts };
   }
 
   /** A caller whose request has not run is told when it may; one whose request has run here is promised nothing. */
@@ -312,7 +313,7 @@
 
   /** An attempt that still waits here is withdrawn before it can run; where no other was made, the request has not run. */
   private timedOut(): RelayOutcome {
-    for (const _ of this.waitingHere) this.noteNotRun();
+    for (const _ of this.waitingHere) this.noteNotExecuted();
     this.waitingHere.clear();
     if (this.countedAttempts === 0) return this.exhausted();
     this.lastReason = `the time is over; ${this.countedAttempts} attempt(s) made; before: ${this.lastReason}`;
--- a/src/coordination/service/weights/weight-orders.ts
+++ b/src/coordination/service/weights/weight-orders.ts
@@ -103,7 +103,7 @@
     const { directory, versions } = this.services;
     const states = directory.availableOf(service);
     const slots = this.slotsOf(states);
-    const room = Math.max(1, Math.ceil(states.length * LOADING_FRACTION));
+    const maxLoading = Math.max(1, Math.ceil(states.length * LOADING_FRACTION));
     let loadingCount = states.filter((state) => this.isProbablyLoading(state)).length;
     const targets = models.map((model) => ({
       model,
@@ -112,7 +112,7 @@
       most: usefulReplicas(this.services.requestsOf(model), slots),
     }));
     for (const load of this.wantedLoads(states, targets)) {
-      if (loadingCount >= room) return;
+      if (loadingCount >= maxLoading) return;
       loadingCount += 1;
       this.loading.set(load.state, { model: load.model, sinceMs: monotonicMs() });
       void this.load(load, signal).finally(() => this.loading.delete(load.state));
--- a/src/node/service/dispatch-parts.ts
+++ b/src/node/service/dispatch-parts.ts
@@ -3,7 +3,7 @@
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import {
   type DispatchCall,
-  HomeDispatch,
+  RemoteDispatch,
   type ReplicaExchange,
   ServiceQueues,
   toCall,
@@ -50,7 +50,7 @@
 /** The dispatch of one node. */
 export class DispatchParts {
   readonly fleet: FleetDirectory;
-  readonly homes: HomeDispatch;
+  readonly remote: RemoteDispatch;
   private readonly queues: ServiceQueues;
 
   constructor(private readonly services: DispatchServices) {
@@ -60,14 +60,14 @@
       directory,
       exchange,
       slotsOf: (state) => this.slotsOf(state),
-      coldPerSecond: ({ replica }) => this.coldPerSecond(replica.service),
+      slowStartPerSecond: ({ replica }) => this.slowStartPerSecond(replica.service),
       distance: (state) => this.distance(state),
       isAllowed: (call) => this.isAllowed(call),
       bounds: { count: MAX_WAITING, bytes: settings.memoryBytes * WAITING_FRACTION },
       metrics,
       logger,
     });
-    this.homes = new HomeDispatch({
+    this.remote = new RemoteDispatch({
       nodeName: settings.nodeName,
       zone: settings.zone,
       members: () => this.fleet.members,
@@ -78,8 +78,8 @@
       metrics,
       logger,
     });
-    this.fleet.onChange(() => this.homes.noteChange());
-    directory.onChange(() => this.homes.noteChange());
+    this.fleet.onChange(() => this.remote.noteChange());
+    directory.onChange(() => this.remote.noteChange());
   }
 
   /** A call of another node, whose outcome it is told; `undefined` when this node takes none, or knows less than the other. */
@@ -102,8 +102,8 @@
     const { metrics } = this.services;
     for (const [service, queue] of this.queues.all) {
       metrics.waitingRequests.set({ service }, queue.waitingCount);
-      metrics.freePlaces.set({ service }, queue.room.free);
-      metrics.extraAttemptsLeft.set({ service }, queue.extrasLeft);
+      metrics.freeSlots.set({ service }, queue.capacity.free);
+      metrics.retryBudgetLeft.set({ service }, queue.retryBudgetLeft);
     }
   }
 
@@ -114,14 +114,14 @@
   /** A home serves callers of all zones, so its own is no nearer to them. */
   private distance({ replica }: ReplicaState): number {
     const { settings } = this.services;
-    const isNear = replica.zone === settings.zone || this.homes.hasHomes(replica.service);
+    const isNear = replica.zone === settings.zone || this.remote.hasDispatchers(replica.service);
     return isNear ? 0 : OTHER_ZONE;
   }
 
   /** A home sends nearly all that a replica gets; without one each node sends its part. */
-  private coldPerSecond(service: string): number | undefined {
-    const perSecond = this.services.routing.current?.coldPerSecondOf(service);
-    if (perSecond === undefined || this.homes.isHome(service)) return perSecond;
+  private slowStartPerSecond(service: string): number | undefined {
+    const perSecond = this.services.routing.current?.slowStartPerSecondOf(service);
+    if (perSecond === undefined || this.remote.isDispatcher(service)) return perSecond;
     return perSecond / Math.max(1, this.fleet.members.length);
   }
 
--- a/src/node/service/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -160,7 +160,7 @@
     });
     this.relay = new ServiceRelay(
       splitter,
-      (call, isRepeatable) => this.dispatch.homes.dispatch(call, isRepeatable),
+      (call, isRepeatable) => this.dispatch.remote.dispatch(call, isRepeatable),
       this.quarantine,
       (tenant) => this.usage?.counter.begin(tenant) ?? (() => {}),
     );
@@ -171,7 +171,7 @@
       fleetSize: () => this.peers.fleetSize,
     });
     this.placement = new Placement(this.directory, settings.zone, ({ replica }) =>
-      this.routing.current?.coldPerSecondOfOwner(replica.service),
+      this.routing.current?.slowStartPerSecondOfOwner(replica.service),
     );
     this.ownership = new JobOwnership(
       {
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -49,7 +49,7 @@
 export type DispatchMessage = Static<typeof CallSchema>;
 
 const ReplicaSchema = Type.Object({ id: Type.String(), address: Type.String() });
-const RoomSchema = Type.Object({ free: Type.Number(), slots: Type.Number(), waiting: Type.Number() });
+const CapacitySchema = Type.Object({ free: Type.Number(), slots: Type.Number(), waiting: Type.Number() });
 
 const OutcomeSchema = Type.Object({
   kind: Type.Union([
@@ -68,7 +68,7 @@
   hasEndedReplica: Type.Boolean(),
   retryAfterMs: Type.Optional(Type.Number()),
   isClosed: Type.Optional(Type.Boolean()),
-  room: Type.Optional(RoomSchema),
+  room: Type.Optional(CapacitySchema),
 });
 export type DispatchOutcomeMessage = Static<typeof OutcomeSchema>;
 
--- a/src/protocol/service/replica.ts
+++ b/src/protocol/service/replica.ts
@@ -16,7 +16,7 @@
   readonly slots: number;
   readonly isDraining: boolean;
   /** Time for which it is still slow after its start, as of the announcement, milliseconds. */
-  readonly coldMs: number;
+  readonly slowStartMs: number;
   /** Weight version by model; empty for application services. */
   readonly modelVersions: ReadonlyMap<string, number>;
 }
@@ -31,7 +31,7 @@
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
   /** Time that the replica may work on it, milliseconds. */
-  readonly deadlineMs: number;
+  readonly remainingMs: number;
   /** Tenant on whose behalf it runs; none where callers are not told apart. */
   readonly tenant?: string;
   /** Number of the last event that the caller has; the replica goes on after it. */
--- a/src/protocol/service/routing-configuration.ts
+++ b/src/protocol/service/routing-configuration.ts
@@ -65,7 +65,7 @@
   /** Requests that one engine runs at once; 0 for application services. */
   readonly engineSlots: number;
   /** Requests that a cold replica bears in a second, from all callers; `undefined` where it bears all. */
-  readonly coldPerSecond: number | undefined;
+  readonly slowStartPerSecond: number | undefined;
 }
 
 /** Limits towards callers. */
--- a/src/state/resource/backends/backend-registry.ts
+++ b/src/state/resource/backends/backend-registry.ts
@@ -73,7 +73,7 @@
   }
 
   /** Whether it failed so recently that others are to be preferred. */
-  get isAvoided(): boolean {
+  get isEjected(): boolean {
     return this.lifecycle.current === 'failing' && monotonicMs() - this.failedAtMs < AVOIDANCE_MS;
   }
 
--- a/src/state/service/admission/admission.ts
+++ b/src/state/service/admission/admission.ts
@@ -8,18 +8,18 @@
 /** What the decision looks at. */
 export interface AdmissionTerms {
   /** Usual time of the requests that go before it, and of all that wait, milliseconds. */
-  readonly workBeforeMs: number;
-  readonly workWaitingMs: number;
+  readonly queuedAheadMs: number;
+  readonly queuedMs: number;
   /** Usual time of requests that the replicas end in a millisecond. */
   readonly drainPerMs: number;
   /** Least expected time until a replica frees a slot, milliseconds; 0 where a slot is free or nothing is known. */
   readonly slotWaitMs: number;
   /** Whether a place is free that it could have now. */
-  readonly hasRoom: boolean;
+  readonly hasFreeSlot: boolean;
   /** Time that it takes once it runs, milliseconds. */
-  readonly workMs: number;
+  readonly serviceTimeMs: number;
   /** Time until its caller gives up, milliseconds. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
 }
 
 /** What follows for the request. */
@@ -28,21 +28,21 @@
   | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
 /** Callers come back after this time at least, milliseconds: sooner the room is not seen to change. */
-const SHORTEST_RETRY_MS = 50;
+const MIN_RETRY_AFTER_MS = 50;
 /** Callers heed a time to come back up to this part of the time that they have left. */
-const HEEDED_PART = 1 / 3;
+const MAX_RETRY_AFTER_FRACTION = 1 / 3;
 /** Times to come back are spread over this part of themselves, so that those who are refused together don't come together. */
-const SPREAD = 0.5;
+const RETRY_AFTER_JITTER = 0.5;
 
 /**
  * Decides on a request. While a place is free it is never refused: what is known of its time may be wrong, and would stay so if
  * none of its kind ran.
  */
 export function admit(terms: AdmissionTerms, chance: number): Admission {
-  if (terms.hasRoom) return { kind: 'admitted', expectedWaitMs: 0 };
-  const queueWaitMs = terms.workBeforeMs / Math.max(terms.drainPerMs, Number.EPSILON);
+  if (terms.hasFreeSlot) return { kind: 'admitted', expectedWaitMs: 0 };
+  const queueWaitMs = terms.queuedAheadMs / Math.max(terms.drainPerMs, Number.EPSILON);
   const expectedWaitMs = Math.max(queueWaitMs, terms.slotWaitMs);
-  if (expectedWaitMs + terms.workMs <= terms.leftMs) return { kind: 'admitted', expectedWaitMs };
+  if (expectedWaitMs + terms.serviceTimeMs <= terms.remainingMs) return { kind: 'admitted', expectedWaitMs };
   return { kind: 'refused', retryAfterMs: retryAfterMs(terms, chance) };
 }
 
@@ -51,7 +51,11 @@
  * what callers heed. `chance` lies between 0 and 1.
  */
 export function retryAfterMs(terms: AdmissionTerms, chance: number): number {
-  const drainedMs = terms.workWaitingMs / Math.max(terms.drainPerMs, Number.EPSILON);
-  const spreadMs = Math.max(SHORTEST_RETRY_MS, drainedMs + terms.workMs) * (1 + SPREAD * chance);
-  return Math.max(SHORTEST_RETRY_MS * (1 + chance), Math.min(spreadMs, terms.leftMs * HEEDED_PART));
+  const drainedMs = terms.queuedMs / Math.max(terms.drainPerMs, Number.EPSILON);
+  const spreadMs =
+    Math.max(MIN_RETRY_AFTER_MS, drainedMs + terms.serviceTimeMs) * (1 + RETRY_AFTER_JITTER * chance);
+  return Math.max(
+    MIN_RETRY_AFTER_MS * (1 + chance),
+    Math.min(spreadMs, terms.remainingMs * MAX_RETRY_AFTER_FRACTION),
+  );
 }
--- a/src/state/service/admission/extra-attempts.ts
+++ b/src/state/service/admission/extra-attempts.ts
@@ -4,13 +4,13 @@
  */
 
 /** Second attempts for each first one, at most: a few slow replicas among many are covered, a slow service is not doubled. */
-const PART = 0.2;
+const RETRIES_PER_REQUEST = 0.2;
 /** Second attempts that may be saved up: those of a few replicas that fall silent together. */
-const MOST_SAVED = 20;
+const MAX_SAVED = 20;
 
 /** The budget of one service at one node. */
-export class ExtraAttempts {
-  private saved = MOST_SAVED / 2;
+export class RetryBudget {
+  private saved = MAX_SAVED / 2;
 
   /** Second attempts that may be made now. */
   get left(): number {
@@ -19,7 +19,7 @@
 
   /** A first attempt was made. */
   noteFirst(): void {
-    this.saved = Math.min(MOST_SAVED, this.saved + PART);
+    this.saved = Math.min(MAX_SAVED, this.saved + RETRIES_PER_REQUEST);
   }
 
   /** Takes one second attempt from the budget; false when there is none left. */
--- a/src/state/service/admission/party-use.ts
+++ b/src/state/service/admission/party-use.ts
@@ -7,7 +7,7 @@
 /** After this time half of a use is forgotten, milliseconds: a queue that callers still wait in drains in less. */
 const HALF_LIFE_MS = 1_000;
 /** Parties that are remembered: as many as the tenants of a large configuration. */
-const MAX_PARTIES = 100_000;
+const MAX_FLOWS = 100_000;
 /** A use below this is forgotten, milliseconds of a replica's time. */
 const NEGLIGIBLE_MS = 1;
 /** Forgetting looks at so many parties at each new one, so that its cost is spread. */
@@ -19,7 +19,7 @@
 }
 
 /** Uses of the parties, as seen by one node. Times are on the monotonic clock. */
-export class PartyUse {
+export class FlowUsage {
   private readonly uses = new Map<string, Use>();
 
   /** Parties that are remembered. */
@@ -28,27 +28,27 @@
   }
 
   /** What a party has lately used, milliseconds, over its `weight`. */
-  of(party: string, nowMs: number, weight = 1): number {
-    const use = this.uses.get(party);
+  of(flow: string, nowMs: number, weight = 1): number {
+    const use = this.uses.get(flow);
     return use ? decayed(use, nowMs) / weight : 0;
   }
 
   /** Adds to what a party has used; a negative time takes back what was added too much. */
-  add(party: string, usedMs: number, nowMs: number): void {
-    const use = this.uses.get(party);
+  add(flow: string, usedMs: number, nowMs: number): void {
+    const use = this.uses.get(flow);
     const total = Math.max(0, (use ? decayed(use, nowMs) : 0) + usedMs);
-    this.uses.delete(party);
-    this.uses.set(party, { usedMs: total, atMs: nowMs });
+    this.uses.delete(flow);
+    this.uses.set(flow, { usedMs: total, atMs: nowMs });
     this.forgetIdle(nowMs);
   }
 
   /** The parties that were longest without a use stand first. */
   private forgetIdle(nowMs: number): void {
     let looked = 0;
-    for (const [party, use] of this.uses) {
+    for (const [flow, use] of this.uses) {
       const isIdle = decayed(use, nowMs) < NEGLIGIBLE_MS;
-      if (!isIdle && this.uses.size <= MAX_PARTIES) return;
-      this.uses.delete(party);
+      if (!isIdle && this.uses.size <= MAX_FLOWS) return;
+      this.uses.delete(flow);
       looked += 1;
       if (looked >= FORGET_STEP) return;
     }
--- a/src/state/service/admission/slot-wait.ts
+++ b/src/state/service/admission/slot-wait.ts
@@ -9,8 +9,7 @@
 export interface RunningRequest {
   readonly sentAtMs: number;
   /** Expected service time, milliseconds. */
-  readonly workMs: number;
-  readonly deadlineMs: number;
+  readonly serviceTimeMs: number;
 }
 
 /** The requests of this node at one replica, and the requests that it runs at once. */
@@ -34,10 +33,10 @@
 }
 
 /**
- * Remaining time of a request, milliseconds. One that has run longer than expected is taken to run as long again, at most until its deadline,
- * at which its replica ends it.
+ * Remaining time of a request, milliseconds. One that has run longer than expected is taken to run as long again. That its deadline may end
+ * it sooner does not count: the slot is free then, but of a replica that has needed longer than that for a request.
  */
-function remainingMs({ sentAtMs, workMs, deadlineMs }: RunningRequest, nowMs: number): number {
+function remainingMs({ sentAtMs, serviceTimeMs }: RunningRequest, nowMs: number): number {
   const elapsedMs = nowMs - sentAtMs;
-  return elapsedMs <= workMs ? 0 : Math.max(0, Math.min(elapsedMs, deadlineMs - nowMs));
+  return elapsedMs <= serviceTimeMs ? 0 : elapsedMs;
 }
--- a/src/state/service/admission/waiting-list.ts
+++ b/src/state/service/admission/waiting-list.ts
@@ -6,24 +6,24 @@
  *
  * Pure decisions: the time is passed in.
  */
-import type { PartyUse } from './party-use.js';
+import type { FlowUsage } from './party-use.js';
 
 /** What the order looks at. Times are on the monotonic clock, milliseconds. */
 export interface Waiting {
   /** 0 is the most urgent. */
-  readonly rank: number;
+  readonly priority: number;
   /** Who is charged for the use: a tenant, or a caller. */
-  readonly party: string;
+  readonly flow: string;
   /** Whether it is work in the background, which waits for others but is given a part of the places. */
-  readonly isPatient: boolean;
+  readonly isBackground: boolean;
   /** When it came, or came first if it was refused before. */
   readonly sinceMs: number;
   /** When its caller wants the answer. */
-  readonly aimAtMs: number;
+  readonly targetAtMs: number;
   /** When its caller gives up. */
-  readonly endsAtMs: number;
+  readonly deadlineMs: number;
   /** Usual time of such a request once it runs. */
-  readonly workMs: number;
+  readonly serviceTimeMs: number;
   readonly bytes: number;
 }
 
@@ -37,9 +37,9 @@
  * Every so many-th place goes to the longest waiting of a less urgent rank. A more urgent rank is to get at least 95 of 100
  * places that it can use.
  */
-const OTHER_RANK_TURN = 25;
+const OTHER_PRIORITY_TURN = 25;
 /** Every so many-th place goes to the longest waiting work in the background, if there is any. */
-const PATIENT_TURN = 4;
+const BACKGROUND_TURN = 4;
 
 /** Requests that wait, of one service. */
 export class WaitingList<W extends Waiting> {
@@ -48,7 +48,7 @@
   private turns = 0;
 
   constructor(
-    private readonly use: PartyUse,
+    private readonly use: FlowUsage,
     private readonly bounds: WaitingBounds,
   ) {}
 
@@ -86,10 +86,13 @@
     const first = this.best(nowMs, isFit);
     if (!first) return undefined;
     const turn = this.turns + 1;
-    if (turn % OTHER_RANK_TURN === 0)
-      return this.longest((one) => one.rank !== first.rank && isFit(one)) ?? first;
-    if (turn % PATIENT_TURN === 0)
-      return this.longest((one) => one.isPatient && one.rank === first.rank && isFit(one)) ?? first;
+    if (turn % OTHER_PRIORITY_TURN === 0)
+      return this.longestWaiting((one) => one.priority !== first.priority && isFit(one)) ?? first;
+    if (turn % BACKGROUND_TURN === 0)
+      return (
+        this.longestWaiting((one) => one.isBackground && one.priority === first.priority && isFit(one)) ??
+        first
+      );
     return first;
   }
 
@@ -99,17 +102,17 @@
   }
 
   /** Usual time of all that would go before a request that came now, milliseconds. */
-  workBefore(one: W, nowMs: number): number {
+  queuedAheadMs(one: W, nowMs: number): number {
     let workMs = 0;
     for (const other of this.waiting)
-      if (other !== one && this.compare(other, one, nowMs) <= 0) workMs += other.workMs;
+      if (other !== one && this.compare(other, one, nowMs) <= 0) workMs += other.serviceTimeMs;
     return workMs;
   }
 
   /** Usual time of all that wait, milliseconds. */
-  get totalWorkMs(): number {
+  get queuedMs(): number {
     let workMs = 0;
-    for (const one of this.waiting) workMs += one.workMs;
+    for (const one of this.waiting) workMs += one.serviceTimeMs;
     return workMs;
   }
 
@@ -126,7 +129,7 @@
     return last;
   }
 
-  private longest(isFit: (one: W) => boolean): W | undefined {
+  private longestWaiting(isFit: (one: W) => boolean): W | undefined {
     let longest: W | undefined;
     for (const one of this.waiting)
       if (isFit(one) && (!longest || one.sinceMs < longest.sinceMs)) longest = one;
@@ -135,16 +138,16 @@
 
   private compare(left: W, right: W, nowMs: number): number {
     return (
-      left.rank - right.rank ||
+      left.priority - right.priority ||
       Number(isLate(left, nowMs)) - Number(isLate(right, nowMs)) ||
-      Number(left.isPatient) - Number(right.isPatient) ||
-      this.use.of(left.party, nowMs) - this.use.of(right.party, nowMs) ||
-      left.endsAtMs - right.endsAtMs
+      Number(left.isBackground) - Number(right.isBackground) ||
+      this.use.of(left.flow, nowMs) - this.use.of(right.flow, nowMs) ||
+      left.deadlineMs - right.deadlineMs
     );
   }
 }
 
 /** Whether a request can no longer be answered when its caller wants it, even if it ran now. */
-function isLate({ aimAtMs, workMs }: Waiting, nowMs: number): boolean {
-  return nowMs + workMs > aimAtMs;
+function isLate({ targetAtMs, serviceTimeMs }: Waiting, nowMs: number): boolean {
+  return nowMs + serviceTimeMs > targetAtMs;
 }
--- a/src/state/service/configuration/routing-table.ts
+++ b/src/state/service/configuration/routing-table.ts
@@ -90,13 +90,13 @@
   }
 
   /** Requests that a cold replica of a service bears in a second from all callers; `undefined` where it bears all. */
-  coldPerSecondOf(service: string): number | undefined {
-    return this.services.get(service)?.coldPerSecond;
+  slowStartPerSecondOf(service: string): number | undefined {
+    return this.services.get(service)?.slowStartPerSecond;
   }
 
   /** The part of it of one owner of jobs: each model has one owner at a time. */
-  coldPerSecondOfOwner(service: string): number | undefined {
-    const perSecond = this.coldPerSecondOf(service);
+  slowStartPerSecondOfOwner(service: string): number | undefined {
+    const perSecond = this.slowStartPerSecondOf(service);
     const owners = Math.max(1, this.services.get(service)?.models.length ?? 1);
     return perSecond && perSecond / owners;
   }
--- a/src/state/service/replicas/replica-choice.ts
+++ b/src/state/service/replicas/replica-choice.ts
@@ -13,10 +13,10 @@
   /** What a replica's distance counts, as a part of its places. */
   readonly distance: (state: ReplicaState) => number;
   /** Requests that a cold replica is to get in a second from this node; `undefined` where they bear all. */
-  readonly coldPerSecond?: (state: ReplicaState) => number | undefined;
+  readonly slowStartPerSecond?: (state: ReplicaState) => number | undefined;
   /** Usual time of the request, and of all that wait before it, milliseconds. */
-  readonly workMs: number;
-  readonly workBeforeMs: number;
+  readonly serviceTimeMs: number;
+  readonly queuedAheadMs: number;
 }
 
 /** What follows for a request. */
@@ -40,10 +40,14 @@
 }
 
 /** Whether it may be given one more: a slow replica whose speed was measured long ago gets one at a time. */
-function hasRoom({ state, slots }: Candidate, terms: ChoiceTerms): boolean {
-  const coldPerSecond = terms.coldPerSecond?.(state);
-  if (state.isPaused || (coldPerSecond !== undefined && !state.bearsMore(coldPerSecond))) return false;
-  return state.occupied < (state.isSpeedOld ? 1 : slots);
+function hasFreeSlot({ state, slots }: Candidate, terms: ChoiceTerms): boolean {
+  const slowStartPerSecond = terms.slowStartPerSecond?.(state);
+  if (
+    state.isBackingOff ||
+    (slowStartPerSecond !== undefined && !state.allowsInSlowStart(slowStartPerSecond))
+  )
+    return false;
+  return state.occupied < (state.isLatencyStale ? 1 : slots);
 }
 
 const slotsOf = (state: ReplicaState, terms: Pick<ChoiceTerms, 'slotsOf'>) =>
@@ -51,11 +55,11 @@
 
 /** Usual time of requests that the replicas end in a millisecond while they are full. */
 export function drainRate(states: readonly ReplicaState[], terms: Pick<ChoiceTerms, 'slotsOf'>): number {
-  return states.reduce((sum, state) => sum + slotsOf(state, terms) / state.slowness, 0);
+  return states.reduce((sum, state) => sum + slotsOf(state, terms) / state.latencyRatio, 0);
 }
 
 /** Places that are free, and all places. */
-export function roomOf(
+export function capacityOf(
   states: readonly ReplicaState[],
   terms: Pick<ChoiceTerms, 'slotsOf'>,
 ): { free: number; all: number } {
@@ -64,7 +68,7 @@
   for (const state of states) {
     const slots = slotsOf(state, terms);
     all += slots;
-    if (!state.isPaused) free += Math.max(0, slots - state.occupied);
+    if (!state.isBackingOff) free += Math.max(0, slots - state.occupied);
   }
   return { free, all };
 }
@@ -72,14 +76,14 @@
 /** The replica for a request among `states`, which may all take it. */
 export function chooseReplica(states: readonly ReplicaState[], terms: ChoiceTerms): Choice {
   if (states.length === 0) return { kind: 'none' };
-  const sound = states.filter((state) => !state.isAvoided);
+  const sound = states.filter((state) => !state.isEjected);
   const candidates = (sound.length > 0 ? sound : states).map((state) => ({
     state,
     slots: slotsOf(state, terms),
-    timeMs: terms.workMs * state.slowness,
+    timeMs: terms.serviceTimeMs * state.latencyRatio,
   }));
   const fastestMs = Math.min(...candidates.map(({ timeMs }) => timeMs));
-  const free = candidates.filter((candidate) => hasRoom(candidate, terms));
+  const free = candidates.filter((candidate) => hasFreeSlot(candidate, terms));
   const alike = emptiestOf(
     free.filter(({ timeMs }) => timeMs <= fastestMs * SLOW_FACTOR),
     terms,
@@ -101,7 +105,7 @@
   for (const candidate of candidates) {
     const { state, slots } = candidate;
     const load = state.occupied / slots + terms.distance(state);
-    const isTurn = load === bestLoad && best && state.lastGivenMs < best.state.lastGivenMs;
+    const isTurn = load === bestLoad && best && state.lastAssignedAtMs < best.state.lastAssignedAtMs;
     if (load > bestLoad || (load === bestLoad && !isTurn)) continue;
     best = candidate;
     bestLoad = load;
@@ -118,6 +122,6 @@
 /** How long the request would wait for a place at one of the fast replicas, milliseconds. */
 function waitMs(candidates: readonly Candidate[], fastestMs: number, terms: ChoiceTerms): number {
   const fast = candidates.filter(({ timeMs }) => timeMs <= fastestMs * SLOW_FACTOR);
-  const perMs = fast.reduce((sum, { slots, timeMs }) => sum + (slots * terms.workMs) / timeMs, 0);
-  return (terms.workBeforeMs + terms.workMs) / perMs;
+  const perMs = fast.reduce((sum, { slots, timeMs }) => sum + (slots * terms.serviceTimeMs) / timeMs, 0);
+  return (terms.queuedAheadMs + terms.serviceTimeMs) / perMs;
 }
--- a/src/state/service/replicas/replica-directory.ts
+++ b/src/state/service/replicas/replica-directory.ts
@@ -25,7 +25,7 @@
   /** Replica to take when it is fit. */
   readonly preferred?: ReplicaState;
   /** Whether suspected replicas are taken when there are no others. Default true. */
-  readonly allowsSuspected?: boolean;
+  readonly allowsUnhealthy?: boolean;
   /** What decides among replicas that fit; the lowest is taken. Default: the expected wait. */
   readonly cost?: ReplicaCost;
 }
@@ -140,8 +140,8 @@
     const fitting = this.availableOf(criteria.service).filter(
       (state) => !criteria.excluded?.has(state.replica.id) && (criteria.accepts?.(state) ?? true),
     );
-    const trusted = fitting.filter((state) => !state.isSuspected);
-    const candidates = trusted.length > 0 || criteria.allowsSuspected === false ? trusted : fitting;
+    const trusted = fitting.filter((state) => !state.isUnhealthy);
+    const candidates = trusted.length > 0 || criteria.allowsUnhealthy === false ? trusted : fitting;
     const { preferred } = criteria;
     if (
       preferred &&
@@ -174,7 +174,7 @@
     const before = state.replica.modelVersions;
     if (state.replica.service !== replica.service) this.moveTo(replica.service, state);
     state.replica = replica;
-    if (replica.coldMs > 0) state.noteCold(replica.coldMs);
+    if (replica.slowStartMs > 0) state.beginSlowStart(replica.slowStartMs);
     for (const [model, version] of replica.modelVersions)
       if (before.get(model) !== version) state.noteTaken();
   }
@@ -207,7 +207,7 @@
       return new ReplicaState(replica);
     }
     known.replica = replica;
-    if (replica.coldMs > 0) known.noteCold(replica.coldMs);
+    if (replica.slowStartMs > 0) known.beginSlowStart(replica.slowStartMs);
     known.noteReturn();
     return known;
   }
@@ -243,6 +243,6 @@
 function expectedWait(state: ReplicaState, zone: string, fastestMs: number): number {
   const load = (state.inFlight + 1) / Math.max(1, state.replica.slots);
   const distance = state.replica.zone === zone ? 0 : OTHER_ZONE_PENALTY;
-  const slowness = state.averageMs > fastestMs * SLOW_FACTOR ? state.averageMs / fastestMs : 1;
-  return (load + distance) * slowness + Math.random() * 1e-6;
+  const latencyRatio = state.averageMs > fastestMs * SLOW_FACTOR ? state.averageMs / fastestMs : 1;
+  return (load + distance) * latencyRatio + Math.random() * 1e-6;
 }
--- a/src/state/service/replicas/replica-state.ts
+++ b/src/state/service/replicas/replica-state.ts
@@ -3,10 +3,10 @@
 import type { Replica, ReplicaLoad } from '../../../protocol/service/replica.js';
 
 /** How long a replica is avoided after a first failure, milliseconds; doubles with each further one. */
-const SUSPICION_BASE_MS = 250;
-const SUSPICION_MAX_MS = 4_000;
+const MIN_EJECTION_MS = 250;
+const MAX_EJECTION_MS = 4_000;
 /** Longest pause of a replica that says that it is full, milliseconds. */
-const PAUSE_MAX_MS = 250;
+const MAX_BACKOFF_MS = 250;
 /** Requests that a replica gets before it has taken or declined the first of them. */
 const MAX_UNANSWERED = 3;
 /** A replica that has answered nothing for this long is not waited for, milliseconds. */
@@ -17,19 +17,19 @@
  * Time after which half of what was measured of a replica's speed is taken to be past, milliseconds: one that was slow is tried
  * again some seconds later, with one request at a time.
  */
-const SPEED_HALF_LIFE_MS = 3_000;
+const LATENCY_HALF_LIFE_MS = 3_000;
 /** Weight of the newest request in the mean of its slowness, and the least that one request says. */
-const SLOWNESS_WEIGHT = 0.15;
-const LEAST_TIMES = 0.05;
+const LATENCY_RATIO_WEIGHT = 0.15;
+const MIN_LATENCY_RATIO = 0.05;
 /** Beyond this a speed is that of a slow replica: twice the usual. */
-const SLOW_LOG = Math.log(2);
+const SLOW_LOG_RATIO = Math.log(2);
 /** Silence for more than so many times the usual says that the replica is slow: one request in thirty takes longer than that. */
-const TELLING_SILENCE = 4;
+const MIN_SILENCE_RATIO = 4;
 /** How long what a replica says of its load is taken as it is, milliseconds: a request lasts some tens of them. */
 const LOAD_AGE_MS = 250;
 const MS_PER_SECOND = 1_000;
 /** What a replica says when its work takes as long as usual. */
-const USUAL_PACE = 100;
+const USUAL_PACE_PERCENT = 100;
 /** Weight of the time of one event: a replica sends many. */
 const EVENT_WEIGHT = 0.05;
 
@@ -47,8 +47,8 @@
   averageMs = 0;
   private failures = 0;
   private declines = 0;
-  private avoidUntilMs = 0;
-  private pausedUntilMs = 0;
+  private ejectedUntilMs = 0;
+  private backoffUntilMs = 0;
   private isProbed = false;
   /** Requests that were sent and neither taken nor declined yet. */
   private unanswered = 0;
@@ -56,24 +56,24 @@
   private answeredAtMs = 0;
   private ending: LifeEnd | undefined;
   /** Logarithm of how many times the usual requests take there, and when that was measured. */
-  private logSlowness = 0;
-  private slownessAtMs = 0;
+  private logLatencyRatio = 0;
+  private latencyRatioAtMs = 0;
   /** Usual time of the longest of the requests that it has, milliseconds. */
-  private longestGivenMs = 0;
-  private coldUntilMs = 0;
+  private longestExpectedMs = 0;
+  private slowStartUntilMs = 0;
   /** When requests were sent to it while it is cold, the oldest first. */
-  private readonly coldSends: number[] = [];
+  private readonly slowStartSends: number[] = [];
   /** When it was given a request last, and when it answered one. */
   private sentAtMs = 0;
-  private heardAtMs = 0;
+  private answeredLastAtMs = 0;
   private load: ReplicaLoad | undefined;
   private loadAtMs = 0;
   /** Requests of others that it had when it last told its load. */
-  private othersThen = 0;
+  private reportedByOthers = 0;
   private readonly restartListeners = new Set<() => void>();
 
   constructor(public replica: Replica) {
-    if (replica.coldMs > 0) this.noteCold(replica.coldMs);
+    if (replica.slowStartMs > 0) this.beginSlowStart(replica.slowStartMs);
   }
 
   get id(): string {
@@ -109,24 +109,24 @@
     this.ending = undefined;
   }
 
-  get isSuspected(): boolean {
-    return this.isAvoided || this.isPaused;
+  get isUnhealthy(): boolean {
+    return this.isEjected || this.isBackingOff;
   }
 
   /** Whether it has failed lately. */
-  get isAvoided(): boolean {
-    return monotonicMs() < this.avoidUntilMs;
+  get isEjected(): boolean {
+    return monotonicMs() < this.ejectedUntilMs;
   }
 
   /** Whether it has said lately that it is full. */
-  get isPaused(): boolean {
-    return monotonicMs() < this.pausedUntilMs;
+  get isBackingOff(): boolean {
+    return monotonicMs() < this.backoffUntilMs;
   }
 
   /** Requests that it has, of this node and, as it last told, of others. */
   get occupied(): number {
     const ageMs = monotonicMs() - this.loadAtMs;
-    const others = this.load ? this.othersThen * 2 ** (-ageMs / LOAD_AGE_MS) : 0;
+    const others = this.load ? this.reportedByOthers * 2 ** (-ageMs / LOAD_AGE_MS) : 0;
     return this.inFlight + Math.round(others);
   }
 
@@ -134,82 +134,86 @@
    * How many times the usual a request takes there: as measured, less and less so the older that is; as it has kept silent over
    * what it was given, if that is longer; at the pace that it tells of itself.
    */
-  get slowness(): number {
+  get latencyRatio(): number {
     const nowMs = monotonicMs();
-    const past = 1 - 2 ** (-(nowMs - this.slownessAtMs) / SPEED_HALF_LIFE_MS);
-    const measured = Math.exp(this.logSlowness * (1 - past));
-    return Math.max(measured * this.pace(nowMs), this.silence(nowMs));
+    const past = 1 - 2 ** (-(nowMs - this.latencyRatioAtMs) / LATENCY_HALF_LIFE_MS);
+    const measured = Math.exp(this.logLatencyRatio * (1 - past));
+    return Math.max(measured * this.reportedPace(nowMs), this.silenceRatio(nowMs));
   }
 
   /** Whether nothing was measured for so long that its speed is a guess: one request at a time finds it out. */
-  get isSpeedOld(): boolean {
-    return this.logSlowness > SLOW_LOG && monotonicMs() - this.slownessAtMs > SPEED_HALF_LIFE_MS;
+  get isLatencyStale(): boolean {
+    return (
+      this.logLatencyRatio > SLOW_LOG_RATIO && monotonicMs() - this.latencyRatioAtMs > LATENCY_HALF_LIFE_MS
+    );
   }
 
   /** A request took `times` as long there as its kind usually does. Means are of the logarithm: a few long ones say little. */
-  noteSlowness(times: number): void {
-    this.logSlowness += (Math.log(Math.max(times, LEAST_TIMES)) - this.logSlowness) * SLOWNESS_WEIGHT;
-    this.slownessAtMs = monotonicMs();
+  noteLatencyRatio(ratio: number): void {
+    this.logLatencyRatio +=
+      (Math.log(Math.max(ratio, MIN_LATENCY_RATIO)) - this.logLatencyRatio) * LATENCY_RATIO_WEIGHT;
+    this.latencyRatioAtMs = monotonicMs();
   }
 
   /** Takes what it says of its load. */
   noteLoad(load: ReplicaLoad): void {
     this.load = load;
     this.loadAtMs = monotonicMs();
-    this.othersThen = Math.max(0, load.running + load.waiting - this.inFlight);
+    this.reportedByOthers = Math.max(0, load.running + load.waiting - this.inFlight);
   }
 
   /** A request that usually takes `usualMs` is given to it now. */
-  noteGiven(usualMs = 0): void {
+  noteAssigned(usualMs = 0): void {
     if (this.inFlight === 0) {
-      this.heardAtMs = monotonicMs();
-      this.longestGivenMs = 0;
+      this.answeredLastAtMs = monotonicMs();
+      this.longestExpectedMs = 0;
     }
-    this.longestGivenMs = Math.max(this.longestGivenMs, usualMs);
+    this.longestExpectedMs = Math.max(this.longestExpectedMs, usualMs);
     this.inFlight += 1;
     this.noteSending();
   }
 
   /** It is cold for so long from now on: it bears few requests a second, milliseconds. */
-  noteCold(forMs: number): void {
-    this.coldUntilMs = monotonicMs() + forMs;
+  beginSlowStart(forMs: number): void {
+    this.slowStartUntilMs = monotonicMs() + forMs;
   }
 
   /** Whether one more request keeps within what a cold replica is to get from this node in a second. */
-  bearsMore(coldPerSecond: number): boolean {
+  allowsInSlowStart(maxPerSecond: number): boolean {
     const nowMs = monotonicMs();
-    if (nowMs >= this.coldUntilMs) return true;
-    const sinceMs = nowMs - MS_PER_SECOND * Math.max(1, 1 / coldPerSecond);
-    while (this.coldSends.length > 0 && (this.coldSends[0] ?? 0) <= sinceMs) this.coldSends.shift();
-    return this.coldSends.length < Math.max(1, Math.floor(coldPerSecond));
+    if (nowMs >= this.slowStartUntilMs) return true;
+    const sinceMs = nowMs - MS_PER_SECOND * Math.max(1, 1 / maxPerSecond);
+    while (this.slowStartSends.length > 0 && (this.slowStartSends[0] ?? 0) <= sinceMs)
+      this.slowStartSends.shift();
+    return this.slowStartSends.length < Math.max(1, Math.floor(maxPerSecond));
   }
 
   private noteSending(): void {
     this.sentAtMs = monotonicMs();
-    if (this.sentAtMs < this.coldUntilMs) this.coldSends.push(this.sentAtMs);
+    if (this.sentAtMs < this.slowStartUntilMs) this.slowStartSends.push(this.sentAtMs);
   }
 
   /** A request that was given to it has ended; `isAnswered` says whether by a word of the replica. */
   noteReturned(isAnswered: boolean): void {
     this.inFlight -= 1;
-    if (isAnswered) this.heardAtMs = monotonicMs();
+    if (isAnswered) this.answeredLastAtMs = monotonicMs();
   }
 
   /** When it was given a request last, on the monotonic clock. */
-  get lastGivenMs(): number {
+  get lastAssignedAtMs(): number {
     return this.sentAtMs;
   }
 
   /** How many times the usual it has kept silent over what it was given; 0 while that is no sign. */
-  private silence(nowMs: number): number {
-    if (this.inFlight === 0 || this.longestGivenMs === 0) return 0;
-    const times = (nowMs - this.heardAtMs) / this.longestGivenMs;
-    return times > TELLING_SILENCE ? times : 0;
+  private silenceRatio(nowMs: number): number {
+    if (this.inFlight === 0 || this.longestExpectedMs === 0) return 0;
+    const times = (nowMs - this.answeredLastAtMs) / this.longestExpectedMs;
+    return times > MIN_SILENCE_RATIO ? times : 0;
   }
 
-  private pace(nowMs: number): number {
+  private reportedPace(nowMs: number): number {
     const percent = this.load?.pacePercent;
-    return percent === undefined || nowMs - this.loadAtMs > LOAD_AGE_MS ? 1 : percent / USUAL_PACE;
+    return percent === undefined || nowMs - this.loadAtMs > LOAD_AGE_MS ? 1 : percent / USUAL_PACE_PERCENT;
   }
 
   /** Whether it may get one more request: after a decline only one at a time, until one is taken. */
@@ -253,20 +257,20 @@
   /** It takes requests. */
   noteTaken(): void {
     this.declines = 0;
-    this.pausedUntilMs = 0;
+    this.backoffUntilMs = 0;
     this.isProbed = false;
   }
 
   /** It served a request in `tookMs`. */
   noteSuccess(tookMs: number): void {
-    this.noteWhole();
+    this.noteFinished();
     this.measure(tookMs, AVERAGE_WEIGHT);
   }
 
   /** It finished a request whose events were measured one by one. */
-  noteWhole(): void {
+  noteFinished(): void {
     this.failures = 0;
-    this.avoidUntilMs = 0;
+    this.ejectedUntilMs = 0;
     this.noteTaken();
   }
 
@@ -276,18 +280,18 @@
   }
 
   noteFailure(): void {
-    const delay = Math.min(SUSPICION_MAX_MS, SUSPICION_BASE_MS * 2 ** this.failures);
+    const delay = Math.min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2 ** this.failures);
     this.failures += 1;
-    this.avoidUntilMs = monotonicMs() + delay;
+    this.ejectedUntilMs = monotonicMs() + delay;
   }
 
   /** Avoids the replica for a while without counting a failure: it said that it is full. Longer each time. */
-  pause(durationMs: number): void {
+  backOff(durationMs: number): void {
     this.isProbed = false;
-    if (this.isSuspected) return;
-    const delay = Math.min(PAUSE_MAX_MS, durationMs * 2 ** this.declines);
+    if (this.isUnhealthy) return;
+    const delay = Math.min(MAX_BACKOFF_MS, durationMs * 2 ** this.declines);
     this.declines += 1;
-    this.pausedUntilMs = monotonicMs() + delay;
+    this.backoffUntilMs = monotonicMs() + delay;
   }
 
   /** Weight version of `model` that the replica has, 0 when unknown. */
--- a/src/state/service/replicas/service-homes.ts
+++ b/src/state/service/replicas/service-homes.ts
@@ -19,20 +19,20 @@
 }
 
 /** Replicas that one home deals out: some hundreds of requests a second, of which a home is to bear the most. */
-const REPLICAS_OF_HOME = 32;
+const REPLICAS_PER_DISPATCHER = 32;
 /** Homes have at least this part of the processor of the strongest node: a home does work for many. */
-const LEAST_CAPACITY = 0.5;
+const MIN_RELATIVE_CAPACITY = 0.5;
 const HASH_RANGE = 2 ** 32;
 
 /** How many homes a service with so many replicas has. */
-export function homeCount(replicaCount: number): number {
-  return Math.max(1, Math.ceil(replicaCount / REPLICAS_OF_HOME));
+export function dispatcherCount(replicaCount: number): number {
+  return Math.max(1, Math.ceil(replicaCount / REPLICAS_PER_DISPATCHER));
 }
 
 /** The members that can be homes, the first in line for `service` first; more capacity counts for more. */
-export function rankHomes(service: string, members: readonly FleetMember[]): FleetMember[] {
+export function rankDispatchers(service: string, members: readonly FleetMember[]): FleetMember[] {
   const most = Math.max(0, ...members.map(({ capacity }) => capacity));
-  const able = members.filter(({ capacity }) => capacity >= most * LEAST_CAPACITY);
+  const able = members.filter(({ capacity }) => capacity >= most * MIN_RELATIVE_CAPACITY);
   const weighted = able.map((member) => ({ member, weight: weightOf(service, member) }));
   weighted.sort((one, other) => other.weight - one.weight || (one.member.name < other.member.name ? -1 : 1));
   return weighted.map(({ member }) => member);
--- a/src/state/service/replicas/work-times.ts
+++ b/src/state/service/replicas/work-times.ts
@@ -21,11 +21,11 @@
 }
 
 /** The usual times at one node. */
-export class WorkTimes {
+export class ServiceTimes {
   private readonly kinds = new Map<string, KindTime>();
 
   /** Usual time of a kind, milliseconds. */
-  usualMs(kind: string): number {
+  expectedMs(kind: string): number {
     const known = this.kinds.get(kind);
     return known ? Math.exp(known.log) : UNMEASURED_MS;
   }
