--- a/emulator/application/application-server.ts
+++ b/emulator/application/application-server.ts
@@ -7,7 +7,7 @@
 import { sleep } from '../../src/common/clock.js';
 import { NOT_ADMITTED_HEADER } from '../../src/protocol/resource/engine.js';
 import { Validator } from '../../src/protocol/validation.js';
-import { readWhole } from '../../src/transport/http-client.js';
+import { readFully } from '../../src/transport/http-client.js';
 import { type HttpServer, sendJson } from '../../src/transport/http-server.js';
 import { createStandInServer, readControlJson } from '../faults.js';
 
@@ -58,7 +58,7 @@
   }
 
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const body = (await readWhole(request, BODY_LIMIT_BYTES))._unsafeUnwrap().toString('utf8');
+    const body = (await readFully(request, BODY_LIMIT_BYTES))._unsafeUnwrap().toString('utf8');
     if (this.faults.refuse) {
       sendJson(
         response,
--- a/emulator/engine/engine-server.ts
+++ b/emulator/engine/engine-server.ts
@@ -1,7 +1,7 @@
 /** HTTP interface of an engine stand-in, in the wire format of `src/protocol/engine.ts`. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
-  EngineOrderSchema,
+  EngineCommandSchema,
   EngineRequestSchema,
   NOT_ADMITTED_HEADER,
   STREAM_END,
@@ -14,7 +14,7 @@
 
 const BODY_LIMIT_BYTES = 16 * 1024 * 1024;
 const generation = new Validator(EngineRequestSchema);
-const orderValidator = new Validator(EngineOrderSchema);
+const orderValidator = new Validator(EngineCommandSchema);
 
 /** One engine and its server. */
 export class EngineServer {
--- a/emulator/engine/engine.ts
+++ b/emulator/engine/engine.ts
@@ -7,7 +7,7 @@
 import { Random } from '../../src/common/random.js';
 import type {
   EngineChunk,
-  EngineOrder,
+  EngineCommand,
   EngineRequest,
   EngineState,
 } from '../../src/protocol/resource/engine.js';
@@ -177,7 +177,7 @@
   }
 
   /** Carries out an order; `undefined` when its fence is too low. */
-  async order(order: EngineOrder): Promise<EngineState | undefined> {
+  async order(order: EngineCommand): Promise<EngineState | undefined> {
     if (order.fence < this.fence) return undefined;
     this.fence = order.fence;
     if (order.order === 'role') this.role = order.role;
--- a/emulator/faults.ts
+++ b/emulator/faults.ts
@@ -3,7 +3,7 @@
 import Type, { type Static } from 'typebox';
 import { monotonicMs, sleep } from '../src/common/clock.js';
 import { formatProblems, Validator } from '../src/protocol/validation.js';
-import { readWhole } from '../src/transport/http-client.js';
+import { readFully } from '../src/transport/http-client.js';
 import { HttpServer, sendJson } from '../src/transport/http-server.js';
 
 export const FaultsSchema = Type.Object(
@@ -30,7 +30,7 @@
   request: IncomingMessage,
   limitBytes = CONTROL_LIMIT_BYTES,
 ): Promise<unknown> {
-  const body = await readWhole(request, limitBytes);
+  const body = await readFully(request, limitBytes);
   if (body.isErr()) throw body.error;
   return body.value.length === 0 ? undefined : JSON.parse(body.value.toString('utf8'));
 }
--- a/emulator/job-demo.ts
+++ b/emulator/job-demo.ts
@@ -63,7 +63,7 @@
     usage: undefined,
     configurationBoundMs: 3_000,
     leaseMs: 3_000,
-    replicaBeatMs: 1_200,
+    replicaHeartbeatMs: 1_200,
     resultRetentionMs: 120_000,
     processorCores: 1,
     memoryBytes: 256 * 1024 * 1024,
--- a/src/cli/job-timeline.ts
+++ b/src/cli/job-timeline.ts
@@ -92,7 +92,7 @@
   /** When each of `MILESTONES` of the items was listed. */
   readonly itemsListedMs: readonly (number | undefined)[];
   /** When each of `MILESTONES` of the wanted groups was whole. */
-  readonly groupsWholeMs: readonly (number | undefined)[];
+  readonly groupsCompleteMs: readonly (number | undefined)[];
   /** When the submitter ended the job; until then it had nothing new to train on. */
   readonly endedMs: number | undefined;
   /** The item that made the last wanted group whole. */
@@ -171,7 +171,7 @@
   const items = itemsOf(lines, acceptedAtMs, attempts);
   const carried = new Set(items.filter(({ id }) => seenItems.has(id)).map(({ group }) => group));
   for (const id of attempts.keys()) seenItems.add(id);
-  const whole = wholeGroups(items, Number(plan.fields.groupSize), wantedGroups, carried);
+  const complete = completeGroups(items, Number(plan.fields.groupSize), wantedGroups, carried);
   const ended = lines.find(({ fields }) => fields.call === 'end' && fields.outcome === 'ended');
   return {
     jobId,
@@ -186,9 +186,9 @@
     firstStartMs: starts.length > 0 ? Math.min(...starts) : undefined,
     lastStartMs: starts.length > 0 ? Math.max(...starts) : undefined,
     itemsListedMs: milestonesOf(items, total),
-    groupsWholeMs: milestonesOf(whole, wantedGroups),
+    groupsCompleteMs: milestonesOf(complete, wantedGroups),
     endedMs: ended && ended.timeMs - acceptedAtMs,
-    lastWanted: whole[wantedGroups - 1],
+    lastWanted: complete[wantedGroups - 1],
     inFlight: bySecond(runs),
     inFlightByReplica: Object.fromEntries(
       [...groupBy(runs, ({ replica }) => replica)].map(([replica, own]) => [replica, bySecond(own)]),
@@ -275,7 +275,7 @@
  * The groups that the submitter waits for, in the order in which they were whole, each by its item that was listed last:
  * carried groups, and of the others those that were whole first.
  */
-function wholeGroups(
+function completeGroups(
   items: readonly ItemTimeline[],
   groupSize: number,
   wanted: number,
@@ -326,7 +326,7 @@
   return {
     model,
     jobs: jobs.length,
-    medianWantedMs: medianOrZero(defined(jobs.map((job) => job.groupsWholeMs.at(-1)))),
+    medianWantedMs: medianOrZero(defined(jobs.map((job) => job.groupsCompleteMs.at(-1)))),
     medianIdleMs: medianOrZero(idle),
     totalIdleMs: idle.reduce((sum, value) => sum + value, 0),
     staleness: mean(jobs.map((job) => job.staleness)),
--- a/src/cli/timeline-table.ts
+++ b/src/cli/timeline-table.ts
@@ -59,7 +59,7 @@
     time(job.firstStartMs),
     time(job.lastStartMs),
     ...job.itemsListedMs.map(time),
-    ...job.groupsWholeMs.map(time),
+    ...job.groupsCompleteMs.map(time),
     time(job.endedMs),
     String(job.declined),
     String(job.owners),
--- a/src/common/decision-records.ts
+++ b/src/common/decision-records.ts
@@ -176,7 +176,7 @@
 }
 
 /** A duty was taken, lost or carried out. */
-export interface DutyChanged {
+export interface LeadershipChanged {
   readonly event: 'duty-changed';
   readonly duty: string;
   readonly change: string;
@@ -185,7 +185,7 @@
 }
 
 /** An order was given to a replica. */
-export interface OrderGiven {
+export interface LoadCommandSent {
   readonly event: 'order-given';
   readonly replica: string;
   readonly model: string;
@@ -256,8 +256,8 @@
   | BeliefChanged
   | RequestSuspected
   | RequestRefused
-  | DutyChanged
-  | OrderGiven
+  | LeadershipChanged
+  | LoadCommandSent
   | UsageDecided
   | UsageReported
   | ProcessStarted
--- a/src/common/elapsed-time.ts
+++ b/src/common/elapsed-time.ts
@@ -25,8 +25,8 @@
   const startedMs = sources.monotonicMs();
   const startedAtMs = sources.timeOfDayMs();
   return () => {
-    const passedMs = sources.monotonicMs() - startedMs;
+    const elapsedMs = sources.monotonicMs() - startedMs;
     const shownMs = sources.timeOfDayMs() - startedAtMs;
-    return shownMs < passedMs - TOLERANCE_MS ? Number.POSITIVE_INFINITY : Math.max(passedMs, shownMs);
+    return shownMs < elapsedMs - TOLERANCE_MS ? Number.POSITIVE_INFINITY : Math.max(elapsedMs, shownMs);
   };
 }
--- a/src/common/service-metrics.ts
+++ b/src/common/service-metrics.ts
@@ -50,7 +50,9 @@
     [],
   );
   /** Requests that were not sent to a replica because replicas have ended under them. */
-  readonly heldRequests = this.counter('thymecove_held_requests_total', 'Requests held back', ['service']);
+  readonly quarantinedRequests = this.counter('thymecove_held_requests_total', 'Requests held back', [
+    'service',
+  ]);
   /** Records in the place of announcements of replicas that name none. */
   readonly unreadableReplicas = this.counter(
     'thymecove_unreadable_replicas_total',
@@ -76,13 +78,13 @@
     'outcome',
   ]);
   /** Orders to replicas by outcome. */
-  readonly orders = this.counter('thymecove_orders_total', 'Orders to replicas', ['outcome']);
+  readonly loadCommands = this.counter('thymecove_orders_total', 'Orders to replicas', ['outcome']);
   /** Reports of usage by outcome. */
   readonly usageReports = this.counter('thymecove_usage_reports_total', 'Reports of usage', ['outcome']);
   /** Requests whose counts were given up because the store did not take them in time. */
   readonly usageLost = this.gauge('thymecove_usage_lost_requests', 'Requests that no report counts', []);
   /** Duties held by this node. */
-  readonly dutiesHeld = this.gauge('thymecove_duties_held', 'Duties held', []);
+  readonly leaderLeasesHeld = this.gauge('thymecove_duties_held', 'Duties held', []);
   /** Delay of the event loop. */
   readonly loopDelay = this.gauge('thymecove_loop_delay_seconds', 'Delay of the event loop', []);
   /** Resident memory of the process. */
--- a/src/coordination/feeds/record-feed.ts
+++ b/src/coordination/feeds/record-feed.ts
@@ -89,13 +89,13 @@
   /** Runs until `signal` is aborted. Nodes that lose the history together don't read again in the same moment. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (!(await this.readWhole(signal))) return;
+      if (!(await this.readSnapshot(signal))) return;
       await this.followChanges(signal);
       await sleep(FIRST_PAUSE_MS * (0.5 + Math.random()), signal);
     }
   }
 
-  private async readWhole(signal: AbortSignal): Promise<boolean> {
+  private async readSnapshot(signal: AbortSignal): Promise<boolean> {
     let pauseMs = FIRST_PAUSE_MS;
     while (!signal.aborted) {
       if (await this.tryToRead()) return true;
--- a/src/coordination/resource/membership/node-registry.ts
+++ b/src/coordination/resource/membership/node-registry.ts
@@ -62,7 +62,7 @@
 
   /** Writes this node's record and follows the others until stopped. */
   async run(signal: AbortSignal): Promise<void> {
-    await Promise.all([this.feed.run(signal), this.beatRegularly(signal)]);
+    await Promise.all([this.feed.run(signal), this.heartbeatLoop(signal)]);
   }
 
   /** Nodes that may be alive, this one among them, by identifier. */
@@ -129,7 +129,7 @@
     this.answeredAtMs = now;
   }
 
-  private async beatRegularly(signal: AbortSignal): Promise<void> {
+  private async heartbeatLoop(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.beat += 1;
       const value = Buffer.from(JSON.stringify({ record: this.own, beat: this.beat }), 'utf8');
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -16,7 +16,7 @@
 import { EventTranscript } from './event-transcript.js';
 
 /** What is to be generated. */
-export interface GenerationOrder {
+export interface GenerationRequest {
   readonly service: ResourceOf<'Service'>;
   readonly model: string;
   readonly prompt: string;
@@ -56,7 +56,7 @@
   /** Generates to the end. On an error, what had been passed to `sink` before stands there without an end marker. */
   async generate(
     context: RequestContext,
-    order: GenerationOrder,
+    order: GenerationRequest,
     sink: EventSink,
   ): Promise<Result<EventTranscript, CoordinationError>> {
     const transcript = new EventTranscript();
@@ -92,7 +92,7 @@
 
   private async dispatch(
     context: RequestContext,
-    order: GenerationOrder,
+    order: GenerationRequest,
     transcript: EventTranscript,
     excluded: Set<string>,
   ) {
@@ -151,7 +151,7 @@
 
   private noteRefusedDispatch(
     context: RequestContext,
-    order: GenerationOrder,
+    order: GenerationRequest,
     backend: BackendEntry,
     error: ProtocolError,
     excluded: Set<string>,
@@ -190,7 +190,7 @@
     return transcript.isComplete ? 'complete' : 'cut';
   }
 
-  private finish(order: GenerationOrder, backend: BackendEntry, transcript: EventTranscript) {
+  private finish(order: GenerationRequest, backend: BackendEntry, transcript: EventTranscript) {
     backend.noteSuccess();
     this.metrics.attempts.inc({ service: order.service.metadata.name, outcome: 'complete' });
     return ok(transcript);
@@ -198,7 +198,7 @@
 
   private noteResume(
     context: RequestContext,
-    order: GenerationOrder,
+    order: GenerationRequest,
     backend: BackendEntry,
     transcript: EventTranscript,
   ): void {
@@ -221,11 +221,11 @@
   }
 }
 
-function subjectsOf(context: RequestContext, order: GenerationOrder): string[] {
+function subjectsOf(context: RequestContext, order: GenerationRequest): string[] {
   return [context.requestId, ...order.subjects];
 }
 
-function routeQuery(order: GenerationOrder, excluded: ReadonlySet<string>): RouteQuery {
+function routeQuery(order: GenerationRequest, excluded: ReadonlySet<string>): RouteQuery {
   const { service, model, residency, preferNewest } = order;
   return { service, model, residency, preferNewest, excluded };
 }
--- a/src/coordination/resource/rollouts/index.ts
+++ b/src/coordination/resource/rollouts/index.ts
@@ -1,4 +1,4 @@
 export { Delivery } from './delivery.js';
 export { EventTranscript } from './event-transcript.js';
-export { type GenerationOrder, Generator } from './generation.js';
+export { type GenerationRequest, Generator } from './generation.js';
 export { RolloutOwner, type RolloutOwnerParts } from './rollout-owner.js';
--- a/src/coordination/resource/rollouts/rollout-owner.ts
+++ b/src/coordination/resource/rollouts/rollout-owner.ts
@@ -14,7 +14,7 @@
 import type { LoadedRollout, RolloutLedger, SlotTask } from '../../../state/resource/samples/index.js';
 import { formatSampleId, isWithinBound, oldestVersion } from '../../../state/resource/samples/index.js';
 import type { RequestContext } from '../requests/index.js';
-import type { DutySignals, DutyTask } from '../singleton-tasks/index.js';
+import type { RunnableTask, TaskSignals } from '../singleton-tasks/index.js';
 import { newestPublished } from '../weights/index.js';
 import type { GeneratedText } from './event-transcript.js';
 import type { Generator } from './generation.js';
@@ -50,7 +50,7 @@
 }
 
 /** The owner of one shard. */
-export class RolloutOwner implements DutyTask {
+export class RolloutOwner implements RunnableTask {
   private readonly active = new Map<string, ActiveRollout>();
   private readonly inProgress = new Set<string>();
   private readonly committer: SampleCommitter;
@@ -65,7 +65,7 @@
     private readonly trainerName: string,
     private readonly shard: number,
     private readonly lease: HeldLease,
-    private readonly signals: DutySignals,
+    private readonly signals: TaskSignals,
   ) {
     this.lost = AbortSignal.any([signals.lost, this.superseded.signal]);
     this.committer = new SampleCommitter(parts.ledger, trainerName, lease, this.lost);
--- a/src/coordination/resource/singleton-tasks/index.ts
+++ b/src/coordination/resource/singleton-tasks/index.ts
@@ -1,1 +1,6 @@
-export { type Duty, type DutySignals, type DutyTask, LeaseDuties } from './lease-duties.js';
+export {
+  type RunnableTask,
+  type SingletonTask,
+  SingletonTasks,
+  type TaskSignals,
+} from './singleton-tasks.js';
--- a/src/coordination/resource/singleton-tasks/lease-duties.ts
+++ b/src/coordination/resource/singleton-tasks/singleton-tasks.ts
@@ -12,7 +12,7 @@
 import type { NodeRegistry } from '../membership/index.js';
 
 /** What tells a duty's task to end. */
-export interface DutySignals {
+export interface TaskSignals {
   /** Start nothing new, finish what is in progress, then end. */
   readonly stop: AbortSignal;
   /** The lease has another holder: drop everything. */
@@ -20,7 +20,7 @@
 }
 
 /** A duty's task while it runs. */
-export interface DutyTask {
+export interface RunnableTask {
   /** Works until it is told to end. */
   run(): Promise<void>;
   /** Whether nothing is in progress that a change of holder would hold up. */
@@ -28,10 +28,10 @@
 }
 
 /** A duty. */
-export interface Duty {
+export interface SingletonTask {
   /** Name of the lease. */
   readonly name: string;
-  readonly createTask: (lease: HeldLease, signals: DutySignals) => DutyTask;
+  readonly createTask: (lease: HeldLease, signals: TaskSignals) => RunnableTask;
 }
 
 /** Nodes in line for a duty that try to take it. */
@@ -47,22 +47,22 @@
 const LEASE_TABLE = { free: { acquired: 'held' }, held: { lost: 'free' } } as const;
 
 interface Candidacy {
-  readonly duty: Duty;
+  readonly task: SingletonTask;
   /** Place in line, 0 for the first. */
   readonly rank: number;
 }
 
-interface RunningDuty {
+interface RunningTask {
   readonly lease: HeldLease;
-  readonly task: DutyTask;
+  readonly task: RunnableTask;
   readonly stop: AbortController;
   readonly lost: AbortController;
   readonly done: Promise<void>;
 }
 
 /** The duties of one node. */
-export class LeaseDuties {
-  private readonly running = new Map<string, RunningDuty>();
+export class SingletonTasks {
+  private readonly running = new Map<string, RunningTask>();
   private readonly lifecycles = new Map<string, Lifecycle<LeaseState, LeaseEvent>>();
   private candidacies: readonly Candidacy[] = [];
   private candidacyKey = '';
@@ -77,7 +77,7 @@
     private readonly view: ConfigView,
     private readonly decisions: DecisionLog,
     private readonly observer: LifecycleObserver,
-    private readonly listDuties: () => readonly Duty[],
+    private readonly listTasks: () => readonly SingletonTask[],
   ) {}
 
   /** Renews, acquires and runs until stopped; then lets the tasks finish and releases the leases. */
@@ -109,12 +109,12 @@
     if (!isCandidate && !this.hasSession) return;
     this.hasSession = isCandidate;
     await this.renewSession();
-    for (const { duty, rank } of this.candidacies) {
+    for (const { task, rank } of this.candidacies) {
       if (signal.aborted || !this.leases.isValid) return;
-      if (this.running.has(duty.name)) continue;
+      if (this.running.has(task.name)) continue;
       if (rank > 0 && this.round % SECONDARY_ROUNDS !== 0) continue;
-      const acquired = await this.leases.tryAcquire(duty.name);
-      if (acquired.isOk() && acquired.value) this.start(duty, acquired.value);
+      const acquired = await this.leases.tryAcquire(task.name);
+      if (acquired.isOk() && acquired.value) this.start(task, acquired.value);
     }
     this.handOver();
   }
@@ -125,7 +125,7 @@
    */
   private handOver(): void {
     if (this.round - this.candidacySinceRound < ROUNDS_UNTIL_HANDOVER) return;
-    const ranks = new Map(this.candidacies.map((one) => [one.duty.name, one.rank]));
+    const ranks = new Map(this.candidacies.map((one) => [one.task.name, one.rank]));
     for (const [name, { task, stop }] of this.running) {
       if (ranks.get(name) === 0 || stop.signal.aborted || !task.isIdle()) continue;
       void this.stopAndRelease(name);
@@ -135,8 +135,8 @@
   private async renewSession(): Promise<void> {
     const renewed = await this.leases.renew();
     if (renewed.isErr() && renewed.error.failure === 'conflict') await this.leases.renew();
-    for (const [name, duty] of this.running) {
-      if (this.leases.get(name)?.epoch !== duty.lease.epoch) duty.lost.abort();
+    for (const [name, task] of this.running) {
+      if (this.leases.get(name)?.epoch !== task.lease.epoch) task.lost.abort();
     }
   }
 
@@ -148,31 +148,31 @@
     this.candidacyKey = key;
     this.candidacySinceRound = this.round;
     const ownId = this.registry.own.id;
-    const duties = this.listDuties();
-    this.candidacies = duties
-      .map((duty) => ({ duty, rank: rankByRendezvous(duty.name, memberIds).indexOf(ownId) }))
+    const tasks = this.listTasks();
+    this.candidacies = tasks
+      .map((task) => ({ task, rank: rankByRendezvous(task.name, memberIds).indexOf(ownId) }))
       .filter((one) => one.rank >= 0 && one.rank < CANDIDATES);
-    const wanted = new Set(duties.map((duty) => duty.name));
+    const wanted = new Set(tasks.map((task) => task.name));
     for (const name of this.running.keys()) if (!wanted.has(name)) void this.stopAndRelease(name);
   }
 
-  private start(duty: Duty, lease: HeldLease): void {
+  private start(task: SingletonTask, lease: HeldLease): void {
     const stop = new AbortController();
     const lost = new AbortController();
-    this.lifecycle(duty.name).send('acquired', `epoch ${lease.epoch}`);
+    this.lifecycle(task.name).send('acquired', `epoch ${lease.epoch}`);
     this.decisions.record({
       kind: 'lease',
-      subjects: [`lease/${duty.name}`],
+      subjects: [`lease/${task.name}`],
       choice: 'acquired',
       reason: 'in-line',
       inputs: { note: `epoch ${lease.epoch}` },
     });
-    const task = duty.createTask(lease, { stop: stop.signal, lost: lost.signal });
-    const done = task.run().then(
-      () => this.noteEnded(duty.name, 'task ended'),
-      (cause: unknown) => this.noteEnded(duty.name, `task failed: ${String(cause)}`),
+    const running = task.createTask(lease, { stop: stop.signal, lost: lost.signal });
+    const done = running.run().then(
+      () => this.noteEnded(task.name, 'task ended'),
+      (cause: unknown) => this.noteEnded(task.name, `task failed: ${String(cause)}`),
     );
-    this.running.set(duty.name, { lease, task, stop, lost, done });
+    this.running.set(task.name, { lease, task: running, stop, lost, done });
   }
 
   private noteEnded(name: string, reason: string): void {
@@ -183,11 +183,11 @@
 
   /** Ends a task; the lease is given back after the task's last commit. */
   private async stopAndRelease(name: string): Promise<void> {
-    const duty = this.running.get(name);
-    if (!duty) return;
-    duty.stop.abort();
-    await duty.done;
-    await this.leases.release(duty.lease);
+    const running = this.running.get(name);
+    if (!running) return;
+    running.stop.abort();
+    await running.done;
+    await this.leases.release(running.lease);
   }
 
   private async releaseAll(): Promise<void> {
--- a/src/coordination/resource/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -6,7 +6,7 @@
 import { err, ok, type Result } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
 import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
-import type { EngineClient, EngineOrder, EngineState } from '../../../protocol/resource/engine.js';
+import type { EngineClient, EngineCommand, EngineState } from '../../../protocol/resource/engine.js';
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
 import type { BackendEntry, BackendRegistry } from '../../../state/resource/backends/index.js';
 import { partitionOf } from '../../../state/resource/backends/index.js';
@@ -15,7 +15,7 @@
 import type { HeldLease } from '../../../state/resource/leases/index.js';
 import type { WorkGate } from '../requests/index.js';
 import { isAllowedZone } from '../requests/index.js';
-import type { DutyTask } from '../singleton-tasks/index.js';
+import type { RunnableTask } from '../singleton-tasks/index.js';
 import { targetVersion } from './version-policy.js';
 
 type SwapState = 'current' | 'loading' | 'failed';
@@ -54,7 +54,7 @@
 }
 
 /** The owner of one slice of one model's engines. */
-export class WeightRollout implements DutyTask {
+export class WeightRollout implements RunnableTask {
   private readonly swaps = new Map<string, Lifecycle<SwapState, SwapEvent>>();
   private readonly failures = new Map<string, number>();
   private readonly busy = new Set<string>();
@@ -78,7 +78,7 @@
     while (!signal.aborted) {
       const model = this.parts.view.get('Model', this.modelName);
       if (!model) return;
-      if (this.parts.gate.check().isOk()) this.startOrders(model, signal);
+      if (this.parts.gate.check().isOk()) this.startCommands(model, signal);
       await sleep(ROUND_MS, signal);
     }
   }
@@ -95,9 +95,9 @@
       .filter((backend) => isAllowedZone(backend.declaration.spec.zone, service?.spec.residency));
   }
 
-  private startOrders(model: ResourceOf<'Model'>, signal: AbortSignal): void {
+  private startCommands(model: ResourceOf<'Model'>, signal: AbortSignal): void {
     const engines = this.engines(model);
-    for (const backend of engines) if (!this.busy.has(backend.name)) this.startRoleOrder(backend, signal);
+    for (const backend of engines) if (!this.busy.has(backend.name)) this.startRoleCommand(backend, signal);
     const target = targetVersion(this.parts.view, model);
     if (!target) return;
     const share = model.spec.maxUnavailableFraction ?? DEFAULT_MAX_UNAVAILABLE;
@@ -109,7 +109,7 @@
     }
   }
 
-  private startRoleOrder(backend: BackendEntry, signal: AbortSignal): void {
+  private startRoleCommand(backend: BackendEntry, signal: AbortSignal): void {
     const state = backend.engineState;
     const role = shouldDrain(this.parts.view, backend.declaration) ? 'draining' : 'serving';
     if (!state || state.role === role || signal.aborted) return;
@@ -140,7 +140,7 @@
     const { model, version, weights } = target.spec;
     const swap = this.swap(backend.name);
     swap.sendIfTaken('ordered', `version ${version}`);
-    const order: EngineOrder = {
+    const order: EngineCommand = {
       fence: this.lease.epoch,
       order: 'load',
       model,
@@ -162,7 +162,7 @@
   }
 
   /** Gives an order and takes the engine's answer in as its newest report. */
-  private async order(backend: BackendEntry, order: EngineOrder): Promise<Result<EngineState, string>> {
+  private async order(backend: BackendEntry, order: EngineCommand): Promise<Result<EngineState, string>> {
     const answer = await this.parts.engines.order(backend.declaration.spec.address, order);
     if (answer.isErr()) return err(answer.error.message);
     backend.noteReport(answer.value);
--- a/src/coordination/service/dispatch/replica-end-check.ts
+++ b/src/coordination/service/dispatch/crash-check.ts
@@ -11,9 +11,9 @@
 const PROBE_TIMEOUT_MS = 300;
 
 /** Looks at the addresses of replicas whose connections broke. */
-export class ReplicaEndCheck {
+export class CrashCheck {
   /** Looks under way, by address: requests that broke together share one. */
-  private readonly looks = new Map<string, Promise<ListenerState>>();
+  private readonly probes = new Map<string, Promise<ListenerState>>();
 
   constructor(
     private readonly metrics: Pick<ServiceMetrics, 'brokenRuns'>,
@@ -21,18 +21,18 @@
   ) {}
 
   /** Whether the replica under a broken request has certainly ended. In doubt it has not. */
-  async hasEnded(replica: ReplicaState): Promise<boolean> {
+  async hasCrashed(replica: ReplicaState): Promise<boolean> {
     const { service, address } = replica.replica;
-    const listener = await this.look(address);
+    const listener = await this.probeOnce(address);
     this.metrics.brokenRuns.inc({ service, listener });
     return listener === 'refused' || replica.hasRestarted;
   }
 
-  private look(address: string): Promise<ListenerState> {
-    const underWay = this.looks.get(address);
+  private probeOnce(address: string): Promise<ListenerState> {
+    const underWay = this.probes.get(address);
     if (underWay) return underWay;
-    const look = this.probe(address, PROBE_TIMEOUT_MS).finally(() => this.looks.delete(address));
-    this.looks.set(address, look);
-    return look;
+    const probing = this.probe(address, PROBE_TIMEOUT_MS).finally(() => this.probes.delete(address));
+    this.probes.set(address, probing);
+    return probing;
   }
 }
--- a/src/coordination/service/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -52,7 +52,7 @@
   /** The replica that has it or had it last; none where it was sent to none. */
   readonly replica?: UsedReplica;
   /** Whether the replica has ended under the request, not by plan. */
-  readonly hasEndedReplica: boolean;
+  readonly hasCrashedReplica: boolean;
   /** When it should come back where it has not run, milliseconds. */
   readonly retryAfterMs?: number;
   readonly capacity?: ServiceCapacity;
--- a/src/coordination/service/dispatch/home-dispatch.ts
+++ b/src/coordination/service/dispatch/remote-dispatch.ts
@@ -25,7 +25,7 @@
   rankDispatchers,
 } from '../../../state/service/replicas/index.js';
 import type { DispatchCall, DispatchResult, ServiceCapacity } from './dispatch-call.js';
-import { ACKNOWLEDGE_TIMEOUT_MS, DispatcherHealth } from './home-health.js';
+import { ACKNOWLEDGE_TIMEOUT_MS, DispatcherHealth } from './dispatcher-health.js';
 import type { AttemptOutcome } from './replica-exchange.js';
 import type { ServiceQueues } from './service-queues.js';
 
@@ -44,7 +44,7 @@
   readonly directory: ReplicaDirectory;
   readonly queues: ServiceQueues;
   /** Whether the store serves this node. */
-  readonly isStoreInReach: () => boolean;
+  readonly isStoreAnswering: () => boolean;
   /** Gives a call to the node at an address. */
   readonly call: (
     address: string,
@@ -182,7 +182,7 @@
     isRepeatable: boolean,
   ): Promise<DispatchResult | undefined> {
     const { metrics } = this.services;
-    if (call.signal.aborted) return { outcome: { kind: 'cancelled' }, hasEndedReplica: false };
+    if (call.signal.aborted) return { outcome: { kind: 'cancelled' }, hasCrashedReplica: false };
     call.onHandOver?.(true);
     const answer = await this.callDispatcher(dispatcher, call, isRepeatable);
     metrics.dispatcherCalls.inc({ outcome: answer.kind });
@@ -191,11 +191,11 @@
       this.health.eject(dispatcher.name, answer.reason);
       return undefined;
     }
-    if (call.signal.aborted) return { outcome: { kind: 'cancelled' }, hasEndedReplica: false };
+    if (call.signal.aborted) return { outcome: { kind: 'cancelled' }, hasCrashedReplica: false };
     if (answer.kind === 'lost') {
       this.health.eject(dispatcher.name, answer.reason);
       const reason = `${dispatcher.name}: ${answer.reason}`;
-      return { outcome: { kind: 'unknown', reason }, hasEndedReplica: false, via: dispatcher.name };
+      return { outcome: { kind: 'unknown', reason }, hasCrashedReplica: false, via: dispatcher.name };
     }
     const { message } = answer.outcome;
     if (message.room)
@@ -227,7 +227,7 @@
     try {
       return await this.services.call(
         dispatcher.peerAddress,
-        toMessage(call, this.services.isStoreInReach()),
+        toMessage(call, this.services.isStoreAnswering()),
         {
           onTaken: () => {
             clearTimeout(unacknowledged);
@@ -328,10 +328,10 @@
 
 /** What another node is told of a result. */
 export function toOutcomeMessage(result: DispatchResult): Framed<DispatchOutcomeMessage> {
-  const { outcome, replica, hasEndedReplica, retryAfterMs, capacity, isClosed } = result;
+  const { outcome, replica, hasCrashedReplica, retryAfterMs, capacity, isClosed } = result;
   const shared = {
     kind: outcome.kind,
-    hasEndedReplica,
+    hasEndedReplica: hasCrashedReplica,
     ...(replica ? { replica } : {}),
     ...(retryAfterMs === undefined ? {} : { retryAfterMs }),
     ...(capacity ? { room: capacity } : {}),
@@ -353,8 +353,8 @@
 const NOTHING = Buffer.alloc(0);
 
 function toResult({ message, body }: Framed<DispatchOutcomeMessage>, via: string): DispatchResult {
-  const { replica, hasEndedReplica, retryAfterMs, room: capacity } = message;
-  return { outcome: toOutcome(message, body), replica, hasEndedReplica, retryAfterMs, capacity, via };
+  const { replica, hasEndedReplica: hasCrashedReplica, retryAfterMs, room: capacity } = message;
+  return { outcome: toOutcome(message, body), replica, hasCrashedReplica, retryAfterMs, capacity, via };
 }
 
 function toOutcome(message: DispatchOutcomeMessage, body: Buffer): AttemptOutcome {
--- a/src/coordination/service/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -4,9 +4,9 @@
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { ReplicaAnswer, ReplicaClient, ReplicaRequest } from '../../../protocol/service/replica.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
-import { readWhole } from '../../../transport/http-client.js';
+import { readFully } from '../../../transport/http-client.js';
 import type { TransportError } from '../../../transport/transport-error.js';
-import type { ReplicaEndCheck } from './replica-end-check.js';
+import type { CrashCheck } from './crash-check.js';
 import { digestOf } from './request-digest.js';
 
 /** An answer is held in memory up to this size, bytes. */
@@ -15,7 +15,7 @@
 const FULL_BACKOFF_MS = 60;
 
 /** An answer read whole. */
-export interface WholeAnswer {
+export interface BufferedAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
@@ -27,7 +27,7 @@
 /** The outcome of one attempt. */
 export type AttemptOutcome =
   /** The replica's whole answer. */
-  | { readonly kind: 'answered'; readonly answer: WholeAnswer }
+  | { readonly kind: 'answered'; readonly answer: BufferedAnswer }
   /** Certainly not run. */
   | { readonly kind: 'declined'; readonly reason: string; readonly isFull: boolean }
   /** May have run; there is no answer to pass on. */
@@ -35,7 +35,7 @@
       readonly kind: 'unknown';
       readonly reason: string;
       /** Told when the connection broke under the request: whether its replica has certainly ended. */
-      readonly replicaEnded?: boolean;
+      readonly replicaCrashed?: boolean;
     }
   /** Given up because the caller left or the time was over. */
   | { readonly kind: 'cancelled' };
@@ -65,7 +65,7 @@
 export class ReplicaExchange {
   constructor(
     readonly client: ReplicaClient,
-    private readonly endCheck: ReplicaEndCheck,
+    private readonly endCheck: CrashCheck,
     private readonly metrics: ServiceMetrics,
     private readonly logger: DecisionLogger,
   ) {}
@@ -96,7 +96,7 @@
     try {
       const outcome = await this.exchange(state, { ...request, signal: controller.signal });
       if (outcome.kind !== 'cancelled' || request.signal.aborted) return outcome;
-      return { kind: 'unknown', reason: 'the replica has started again', replicaEnded: true };
+      return { kind: 'unknown', reason: 'the replica has started again', replicaCrashed: true };
     } finally {
       forget();
       request.signal.removeEventListener('abort', abort);
@@ -118,7 +118,7 @@
       answer.body.destroy();
       return { kind: 'unknown', reason: defect };
     }
-    const body = await readWhole(answer.body, MAX_ANSWER_BYTES);
+    const body = await readFully(answer.body, MAX_ANSWER_BYTES);
     if (answer.isNotExecuted && answer.isForRequest)
       return { kind: 'declined', reason: `status ${answer.status}`, isFull: answer.status !== 421 };
     if (answer.isNotExecuted && answer.status === 421)
@@ -138,7 +138,7 @@
     reason: string,
   ): Promise<AttemptOutcome> {
     if (failure !== 'connection-lost') return { kind: 'unknown', reason };
-    return { kind: 'unknown', reason, replicaEnded: await this.endCheck.hasEnded(state) };
+    return { kind: 'unknown', reason, replicaCrashed: await this.endCheck.hasCrashed(state) };
   }
 
   private noteOutcome(state: ReplicaState, outcome: AttemptOutcome, tookMs: number): void {
@@ -155,7 +155,7 @@
     context: AttemptContext,
   ): void {
     const { service, id } = state.replica;
-    const replicaEnded = outcome.kind === 'unknown' ? outcome.replicaEnded : undefined;
+    const replicaEnded = outcome.kind === 'unknown' ? outcome.replicaCrashed : undefined;
     this.metrics.attempts.inc({ service, outcome: outcome.kind });
     this.logger.record({
       event: 'attempt-ended',
--- a/src/coordination/service/dispatch/service-queue.ts
+++ b/src/coordination/service/dispatch/service-queue.ts
@@ -82,7 +82,7 @@
   readonly onAbort: () => void;
 }
 
-const CANCELLED: DispatchResult = { outcome: { kind: 'cancelled' }, hasEndedReplica: false };
+const CANCELLED: DispatchResult = { outcome: { kind: 'cancelled' }, hasCrashedReplica: false };
 
 /** The queue of one service. */
 export class ServiceQueue {
@@ -215,7 +215,7 @@
     if (!entry.call.isHedge) this.reportRefusal(entry, detail, afterMs);
     this.end(entry, {
       outcome: { kind: 'declined', reason: detail, isFull: true },
-      hasEndedReplica: false,
+      hasCrashedReplica: false,
       retryAfterMs: afterMs > 0 ? afterMs : undefined,
       capacity: this.capacity,
       isClosed: this.isClosed,
@@ -317,13 +317,14 @@
 
   private finish(entry: Entry, state: ReplicaState, outcome: AttemptOutcome): void {
     if (outcome.kind === 'declined' && this.requeue(entry, outcome.reason, state.id)) return;
-    const hasEndedReplica = outcome.kind === 'unknown' && outcome.replicaEnded === true && !state.isLeaving;
+    const hasCrashedReplica =
+      outcome.kind === 'unknown' && outcome.replicaCrashed === true && !state.isLeaving;
     const { id, address } = state.replica;
     const retryMs = outcome.kind === 'declined' ? this.retryAfterMs(entry) : undefined;
     this.end(entry, {
       outcome,
       replica: { id, address },
-      hasEndedReplica,
+      hasCrashedReplica,
       retryAfterMs: retryMs,
       capacity: this.capacity,
     });
--- a/src/coordination/service/generation/generation-attempt.ts
+++ b/src/coordination/service/generation/generation-attempt.ts
@@ -4,7 +4,7 @@
 import { EventStreamParser, type StreamEvent } from '../../../protocol/service/event-stream.js';
 import type { ReplicaAnswer, ReplicaClient } from '../../../protocol/service/replica.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
-import { readWhole } from '../../../transport/http-client.js';
+import { readFully } from '../../../transport/http-client.js';
 import { toTransportError } from '../../../transport/transport-error.js';
 import { defectOf } from '../dispatch/index.js';
 import type { SampleText } from './sample-text.js';
@@ -77,7 +77,7 @@
   private readonly timer: NodeJS.Timeout;
   private readonly onAbort = () => this.controller.abort();
   private readonly forgetRestart: () => void;
-  private heardAtMs = monotonicMs();
+  private lastDataAtMs = monotonicMs();
   /** Times of the last events, the oldest first. */
   private readonly eventTimes: number[] = [];
   private broken: WatchBreak | undefined;
@@ -104,8 +104,8 @@
   }
 
   /** Something has come. */
-  heard(): void {
-    this.heardAtMs = monotonicMs();
+  noteData(): void {
+    this.lastDataAtMs = monotonicMs();
   }
 
   /** An event has come. */
@@ -124,7 +124,7 @@
   }
 
   private check(): void {
-    const isSilent = monotonicMs() - this.heardAtMs >= this.terms.stallMs;
+    const isSilent = monotonicMs() - this.lastDataAtMs >= this.terms.stallMs;
     const reason = isSilent ? undefined : this.reasonToMove();
     if (isSilent) this.breakOff({ kind: 'broken', reason: 'silence' });
     else if (reason !== undefined) this.breakOff({ kind: 'moved', reason });
@@ -189,7 +189,7 @@
     if (!sent.error.requestSent) return { kind: 'declined', reason, isFull: false };
     return { kind: 'broken', reason, isConnectionLost: sent.error.failure === 'connection-lost' };
   }
-  watch.heard();
+  watch.noteData();
   const answer = sent.value;
   if (answer.status === 200 && answer.isForRequest) terms.onTaken();
   if (answer.status === 200) return streamEvents(client, state, answer, text, terms, watch);
@@ -198,7 +198,7 @@
 
 async function judgeRefusal(answer: ReplicaAnswer): Promise<GenerationOutcome> {
   const reason = `status ${answer.status}`;
-  if (answer.body.readable) await readWhole(answer.body, MAX_ERROR_BYTES);
+  if (answer.body.readable) await readFully(answer.body, MAX_ERROR_BYTES);
   if (!answer.isForRequest) return { kind: 'broken', reason: 'the answer belongs to another request' };
   if (answer.isNotExecuted) return { kind: 'declined', reason, isFull: answer.status !== 421 };
   if (answer.status === STATUS_IMPOSSIBLE) return { kind: 'impossible', reason };
@@ -223,7 +223,7 @@
   let version = answer.weightVersion ?? state.versionOf(terms.model);
   try {
     for await (const chunk of answer.body as AsyncIterable<Buffer>) {
-      watch.heard();
+      watch.noteData();
       for (const event of parser.push(chunk)) {
         version = versionOf(event, client.eventVersionField, version);
         const problem = problemOf(event, version, text, terms);
@@ -243,7 +243,7 @@
   if (parser.hasRemainder) return { kind: 'broken', reason: 'the stream ended within an event' };
   if (!answer.isFramed) return { kind: 'broken', reason: 'the stream ended with its connection' };
   if (text.eventCount === 0) return { kind: 'broken', reason: 'the stream has no event' };
-  text.isWhole = true;
+  text.isComplete = true;
   return { kind: 'whole' };
 }
 
--- a/src/coordination/service/generation/placement.ts
+++ b/src/coordination/service/generation/placement.ts
@@ -70,7 +70,7 @@
   acquire(request: PlacementRequest): Promise<ReplicaState | undefined> {
     if (request.signal.aborted) return Promise.resolve(undefined);
     return new Promise((resolve) => {
-      const onAbort = () => this.giveUp(waiter);
+      const onAbort = () => this.cancel(waiter);
       const waiter: Waiter = {
         request,
         resolve: (state) => {
@@ -116,7 +116,7 @@
     else this.waiters.splice(at, 0, waiter);
   }
 
-  private giveUp(waiter: Waiter): void {
+  private cancel(waiter: Waiter): void {
     const at = this.waiters.indexOf(waiter);
     if (at < 0) return;
     this.waiters.splice(at, 1);
--- a/src/coordination/service/generation/sample-text.ts
+++ b/src/coordination/service/generation/sample-text.ts
@@ -8,7 +8,7 @@
   private lastId: string | undefined;
   private savedEvents = 0;
   /** Whether the last event has come. */
-  isWhole = false;
+  isComplete = false;
 
   /** Takes up what an earlier owner kept. */
   static from(partial: PartialText): SampleText {
@@ -16,7 +16,7 @@
     text.events.push(...partial.events);
     for (const version of partial.versions) text.versionSet.add(version);
     text.lastId = partial.events.length > 0 ? partial.lastEventId : undefined;
-    text.isWhole = partial.isWhole;
+    text.isComplete = partial.isWhole;
     text.savedEvents = partial.events.length;
     return text;
   }
@@ -52,7 +52,7 @@
     this.versionSet.clear();
     this.lastId = undefined;
     this.savedEvents = 0;
-    this.isWhole = false;
+    this.isComplete = false;
   }
 
   /** The whole text. */
@@ -76,7 +76,7 @@
       lastEventId: this.lastId ?? '',
       events: [...this.events],
       versions: this.versions,
-      isWhole: this.isWhole,
+      isWhole: this.isComplete,
     };
   }
 }
--- a/src/coordination/service/jobs/index.ts
+++ b/src/coordination/service/jobs/index.ts
@@ -1,4 +1,4 @@
 export { JobCalls } from './job-calls.js';
 export { JobForwarding } from './job-forwarding.js';
-export { JobOwnership } from './job-owner.js';
+export { JobOwnership } from './job-ownership.js';
 export type { SubmissionParser } from './job-run.js';
--- a/src/coordination/service/jobs/item-run.ts
+++ b/src/coordination/service/jobs/item-run.ts
@@ -20,7 +20,7 @@
   ReplicaState,
   WeightVersions,
 } from '../../../state/service/replicas/index.js';
-import { digestOf, type IdentifiedRequest, type ReplicaEndCheck } from '../dispatch/index.js';
+import { type CrashCheck, digestOf, type IdentifiedRequest } from '../dispatch/index.js';
 import type { Placement, PlacementRequest, SampleLengths, SampleScorer } from '../generation/index.js';
 import {
   type AttemptPace,
@@ -38,7 +38,7 @@
   readonly splitter: TargetSplitter;
   readonly placement: Placement;
   readonly client: ReplicaClient;
-  readonly endCheck: ReplicaEndCheck;
+  readonly endCheck: CrashCheck;
   readonly quarantine: RequestQuarantine;
   readonly scorer: SampleScorer;
   readonly lengths: SampleLengths;
@@ -87,7 +87,7 @@
   /** Whether a part of the text is made, here or by an earlier owner, so that the item goes before new ones. */
   private isBegun: boolean;
   /** Whether it waits because replicas have ended under it. */
-  private isHeld = false;
+  private isQuarantined = false;
   private readonly moves = new SampleMoves();
   /** What makes the item the same request in each of its runs, also in another job. */
   private readonly identified: IdentifiedRequest;
@@ -106,12 +106,12 @@
 
   /** Resolves to the result, or to `undefined` when the job's signal was aborted before. */
   async run(): Promise<JobResult | undefined> {
-    while (!this.text.isWhole) {
+    while (!this.text.isComplete) {
       if (this.job.signal.aborted) return undefined;
       const route = await this.awaitRoute();
       if (!route) return this.job.signal.aborted ? undefined : this.dead('the route is gone');
       if (this.ageMs > route.maxQueueMs) return this.dead('the longest time in the queue has passed');
-      if (await this.isHeldBack(route)) continue;
+      if (await this.mustWaitInQuarantine(route)) continue;
       const outcome = await this.attempt(route);
       const verdict = outcome && (await this.judge(outcome, route));
       if (verdict) return verdict;
@@ -169,7 +169,7 @@
     const replicaEnded = await this.hasEnded(state, outcome);
     const events = this.text.eventCount - eventsBefore;
     if (replicaEnded && events === 0 && !state.isLeaving)
-      this.services.quarantine.noteEnd(this.identified, state.replica);
+      this.services.quarantine.noteCrash(this.identified, state.replica);
     if (outcome.kind === 'whole') this.services.quarantine.noteServed(this.identified);
     this.noteOutcome(state, outcome, took, events, replicaEnded);
     return outcome;
@@ -179,17 +179,17 @@
    * Waits a little if replicas have ended under the item. It is not given up for that: a replica's end is no answer, so the
    * item stays owed until its time is over. A run that made events accuses nothing, since the next one goes on after them.
    */
-  private async isHeldBack(route: Route): Promise<boolean> {
+  private async mustWaitInQuarantine(route: Route): Promise<boolean> {
     const verdict = this.services.quarantine.judge(this.identified);
     if (verdict.kind !== 'held') {
-      this.isHeld = false;
+      this.isQuarantined = false;
       return false;
     }
-    if (!this.isHeld) {
+    if (!this.isQuarantined) {
       this.report('held back', `${verdict.ends} replicas have ended under it`);
-      this.services.quarantine.noteHeld(route.targets[0]?.service ?? '');
+      this.services.quarantine.noteQuarantined(route.targets[0]?.service ?? '');
     }
-    this.isHeld = true;
+    this.isQuarantined = true;
     await sleep(Math.min(HELD_POLL_MS, verdict.retryAfterMs), this.job.signal);
     return true;
   }
@@ -197,7 +197,7 @@
   /** Whether the replica was found to have ended under the item; `undefined` when its connection did not break. */
   private async hasEnded(state: ReplicaState, outcome: GenerationOutcome): Promise<boolean | undefined> {
     if (outcome.kind !== 'broken' || !outcome.isConnectionLost) return undefined;
-    return this.services.endCheck.hasEnded(state);
+    return this.services.endCheck.hasCrashed(state);
   }
 
   /** What the item asks of a replica. The service stays while the route leads to it. */
--- a/src/coordination/service/jobs/job-calls.ts
+++ b/src/coordination/service/jobs/job-calls.ts
@@ -13,7 +13,7 @@
 import type { ResultCache } from '../../../state/service/jobs/index.js';
 import { belongsTo, type JobHead, type JobRepository } from '../../../state/service/jobs/index.js';
 import type { JobForwarding } from './job-forwarding.js';
-import type { JobOwnership } from './job-owner.js';
+import type { JobOwnership } from './job-ownership.js';
 import type { SubmissionParser } from './job-run.js';
 
 /** Longest effort to accept a job, milliseconds. */
@@ -33,7 +33,7 @@
   readonly logger: DecisionLogger;
   readonly forwarding: JobForwarding;
   /** Whether the store answers this node; when it does not, readers are sent elsewhere at once. */
-  readonly isStoreInReach: () => boolean;
+  readonly isStoreAnswering: () => boolean;
 }
 
 /** The calls of one node. */
@@ -127,7 +127,7 @@
 
   /** Whether a call that another node passes on is answered at once, so that the next one is asked. */
   private isHopeless({ isForwarded }: JobCaller): boolean {
-    return isForwarded && !this.services.isStoreInReach();
+    return isForwarded && !this.services.isStoreAnswering();
   }
 
   private async endHere(jobId: string, tenant: string | undefined, deadlineMs: number): Promise<EndOutcome> {
@@ -172,7 +172,7 @@
   private async findAnyHead(jobId: string): Promise<JobHead | 'not-found' | 'unavailable'> {
     const known = this.services.ownership.known(jobId);
     if (known) return known;
-    if (!this.services.isStoreInReach()) return 'unavailable';
+    if (!this.services.isStoreAnswering()) return 'unavailable';
     const found = await this.services.repository.read(jobId);
     if (found.isErr()) return 'unavailable';
     return found.value ?? 'not-found';
@@ -208,7 +208,7 @@
     const cached = cache.read(jobId, position, PAGE_BYTES);
     if (cached.length > 0 || position >= total) return cached;
     if (ownership.isRunning(jobId)) return [];
-    if (!this.services.isStoreInReach()) return undefined;
+    if (!this.services.isStoreAnswering()) return undefined;
     const page = await repository.contents.results(jobId, position);
     if (page.isErr()) return undefined;
     cache.append(jobId, position, page.value.results);
@@ -238,7 +238,7 @@
     const { jobId } = head;
     if (this.lastSpecification?.jobId === jobId) return this.lastSpecification.specification;
     if (head.record.total === 0) return 'not-found';
-    if (!this.services.isStoreInReach()) return 'unavailable';
+    if (!this.services.isStoreAnswering()) return 'unavailable';
     const submission = await this.services.repository.contents.submission(head);
     if (submission.isErr()) return 'unavailable';
     const specification = this.services.parseSubmission(submission.value);
--- a/src/coordination/service/jobs/job-forwarding.ts
+++ b/src/coordination/service/jobs/job-forwarding.ts
@@ -15,7 +15,7 @@
 export interface ForwardingServices {
   readonly peer: JobPeer;
   readonly peers: PeerAddresses;
-  readonly isStoreInReach: () => boolean;
+  readonly isStoreAnswering: () => boolean;
   readonly logger: DecisionLogger;
 }
 
@@ -45,7 +45,7 @@
     const here = call.here();
     if (call.isForwarded) return here;
     const first = await this.untilOutOfReach(here);
-    if (first !== undefined && (call.isFinal(first) || this.services.isStoreInReach())) return first;
+    if (first !== undefined && (call.isFinal(first) || this.services.isStoreAnswering())) return first;
     const outcomes = await this.askPeers(call);
     const final = outcomes.find(call.isFinal);
     if (final !== undefined) return final;
@@ -57,7 +57,7 @@
   private async untilOutOfReach<Outcome>(here: Promise<Outcome>): Promise<Outcome | undefined> {
     const controller = new AbortController();
     const outOfReach = async () => {
-      while (!controller.signal.aborted && this.services.isStoreInReach())
+      while (!controller.signal.aborted && this.services.isStoreAnswering())
         await sleep(WATCH_MS, controller.signal);
       return undefined;
     };
--- a/src/coordination/service/jobs/job-owner.ts
+++ b/src/coordination/service/jobs/job-ownership.ts
@@ -12,8 +12,8 @@
 import {
   JOB_TABLE,
   type JobHead,
-  type JobOwner,
   type JobRepository,
+  type OwnerReference,
   toJobHead,
 } from '../../../state/service/jobs/index.js';
 import type { FeedHandler } from '../../feeds/index.js';
@@ -55,7 +55,7 @@
 
   constructor(
     private readonly services: JobOwnerServices,
-    private readonly self: JobOwner,
+    private readonly self: OwnerReference,
   ) {
     services.sessions.onPoll(() => {
       this.claimLost();
@@ -89,7 +89,7 @@
    * Who should run the next job of a model: the owner of the newest one if it is at work, else this node. `null` leaves
    * the job to whoever claims it first.
    */
-  async ownerForNext(model: string): Promise<JobOwner | null> {
+  async ownerForNext(model: string): Promise<OwnerReference | null> {
     const owner = this.newestOf(model)?.record.owner;
     if (owner) await this.services.sessions.refresh();
     if (owner && this.services.sessions.isFresh(owner)) return owner;
@@ -104,8 +104,8 @@
   }
 
   /** Owners of open jobs. */
-  get owners(): JobOwner[] {
-    const owners: JobOwner[] = [];
+  get owners(): OwnerReference[] {
+    const owners: OwnerReference[] = [];
     for (const { record } of this.heads.values())
       if (record.state === 'open' && record.owner) owners.push(record.owner);
     return owners;
@@ -188,7 +188,7 @@
    * Stops what runs here, for others are served by the store and this node is not: they take its jobs over once they miss its
    * beats, and need the replicas' slots. It goes on with jobs that are still its own when the store serves it again.
    */
-  giveUpRuns(): void {
+  cancelRuns(): void {
     for (const run of this.runs.values()) {
       if (run.isStopped) continue;
       this.report(run.head, 'given up', 'the store serves other nodes, not this one');
@@ -286,7 +286,7 @@
     else if (this.isLost(head.jobId, owner)) void this.claim(head, `${owner.node} is lost`);
   }
 
-  private isLost(jobId: string, owner: JobOwner): boolean {
+  private isLost(jobId: string, owner: OwnerReference): boolean {
     return this.services.sessions.isLost(owner, this.learntAtMs.get(jobId) ?? 0);
   }
 
--- a/src/coordination/service/jobs/job-run.ts
+++ b/src/coordination/service/jobs/job-run.ts
@@ -143,7 +143,7 @@
     const wanted = new WantedGroups(items, desiredGroups, (item) => lengths.isUnfinished(item));
     const list = (item: JobItem, result: JobResult) => {
       wanted.note(item);
-      lister.add(result, wanted.areWhole || result.state === 'dead');
+      lister.add(result, wanted.areComplete || result.state === 'dead');
     };
     for (const item of items) if (listedIds.has(item.id)) wanted.note(item);
     for (const item of lengths.longestFirst(items))
--- a/src/coordination/service/jobs/wanted-groups.ts
+++ b/src/coordination/service/jobs/wanted-groups.ts
@@ -24,7 +24,7 @@
   }
 
   /** Whether the submitter has all that it waits for, as far as this node knows. */
-  get areWhole(): boolean {
+  get areComplete(): boolean {
     return this.wantedCount <= 0 && this.carriedOver.size === 0;
   }
 
--- a/src/coordination/service/leadership/index.ts
+++ b/src/coordination/service/leadership/index.ts
@@ -1,1 +1,1 @@
-export { DutyLease } from './duty-lease.js';
+export { LeaderLease } from './leader-lease.js';
--- a/src/coordination/service/leadership/duty-lease.ts
+++ b/src/coordination/service/leadership/leader-lease.ts
@@ -8,21 +8,21 @@
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import { SYSTEM_TIME, startElapsed, type TimeSources } from '../../../common/elapsed-time.js';
 import type { RecordAddress, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
-import type { JobOwner } from '../../../state/service/jobs/index.js';
+import type { OwnerReference } from '../../../state/service/jobs/index.js';
 import { SESSION_TABLE, type SessionMonitor } from '../membership/index.js';
-import { ANY_TARGET, addActs, allowsAct, type RecentAct } from './recent-acts.js';
+import { ANY_TARGET, addActs, allowsAct, type RecentAct } from './recent-actions.js';
 
 /** How old a confirmation may be when an act begins, milliseconds: more when the store answers slowly. */
-const SHORTEST_VALIDITY_MS = 250;
-const LONGEST_VALIDITY_MS = 3_000;
+const MIN_VALIDITY_MS = 250;
+const MAX_VALIDITY_MS = 3_000;
 const VALIDITY_ANSWERS = 4;
 /** Added to the time that two holders must be apart at one target, milliseconds. */
-const APART_MARGIN_MS = 250;
+const HANDOVER_GUARD_MARGIN_MS = 250;
 /** Owner of a lease that was given back. */
-const NOBODY: JobOwner = { node: '', life: '' };
+const NOBODY: OwnerReference = { node: '', life: '' };
 
 interface LeaseContent {
-  readonly holder: JobOwner;
+  readonly holder: OwnerReference;
   /** Rises with each change of the holder; serves as fencing token. */
   readonly epoch: number;
   /** Confirmations of this holder. */
@@ -58,7 +58,7 @@
 }
 
 /** One lease in the eyes of one node. It is read together with the beats of the sessions. */
-export class DutyLease {
+export class LeaderLease {
   private known: KnownLease | undefined;
   /** Observed time at which the holder was learnt, milliseconds. */
   private holderLearntAtMs = 0;
@@ -72,11 +72,11 @@
 
   constructor(
     private readonly store: RecordStore,
-    private readonly duty: string,
-    private readonly self: JobOwner,
+    private readonly task: string,
+    private readonly self: OwnerReference,
     private readonly sessions: SessionMonitor,
     /** Time that the acts of two holders on one target must be apart, milliseconds. */
-    private readonly apartMs: () => number,
+    private readonly handoverGuardMs: () => number,
     private readonly logger: DecisionLogger,
     private readonly time: TimeSources = SYSTEM_TIME,
   ) {}
@@ -92,7 +92,7 @@
   }
 
   /** Who holds the lease, as far as this node has seen. */
-  get holder(): JobOwner | undefined {
+  get holder(): OwnerReference | undefined {
     const holder = this.known?.content.holder;
     return holder?.node ? holder : undefined;
   }
@@ -149,7 +149,7 @@
     const { content, version } = this.known;
     const answerMs = this.store.usualAnswerMs();
     const usualMs = Math.round(answerMs * VALIDITY_ANSWERS);
-    const validMs = Math.min(LONGEST_VALIDITY_MS, Math.max(SHORTEST_VALIDITY_MS, usualMs));
+    const validMs = Math.min(MAX_VALIDITY_MS, Math.max(MIN_VALIDITY_MS, usualMs));
     const elapsed = startElapsed(this.time);
     const begunByMs = Math.round(this.store.nowMs() + answerMs + validMs);
     const { node } = this.self;
@@ -169,13 +169,13 @@
     if (!this.known) return [];
     const { recent, holder } = this.known.content;
     const nowMs = this.store.nowMs();
-    const supposed = { target: ANY_TARGET, node: holder.node, begunByMs: nowMs + LONGEST_VALIDITY_MS };
-    const sinceMs = nowMs - this.apartMs() - APART_MARGIN_MS;
+    const supposed = { target: ANY_TARGET, node: holder.node, begunByMs: nowMs + MAX_VALIDITY_MS };
+    const sinceMs = nowMs - this.handoverGuardMs() - HANDOVER_GUARD_MARGIN_MS;
     return (recent ?? [supposed]).filter((act) => act.begunByMs > sinceMs);
   }
 
   private get address(): RecordAddress {
-    return { table: SESSION_TABLE, partition: '', key: `duty/${this.duty}` };
+    return { table: SESSION_TABLE, partition: '', key: `duty/${this.task}` };
   }
 
   private note(record: StoredRecord | undefined): void {
@@ -239,6 +239,6 @@
 
   private report(change: string, detail?: string): void {
     const epoch = this.known?.content.epoch ?? 0;
-    this.logger.record({ event: 'duty-changed', duty: this.duty, change, epoch, detail });
+    this.logger.record({ event: 'duty-changed', duty: this.task, change, epoch, detail });
   }
 }
--- a/src/coordination/service/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -78,7 +78,7 @@
   /** Announces this node, which serves callers and other nodes at these addresses (`IP:PORT`), and looks for others. */
   async run(address: string, signal: AbortSignal, peerAddress?: string): Promise<void> {
     await this.untilAnswered(signal);
-    await Promise.all([this.announceRegularly(address, peerAddress, signal), this.lookRegularly(signal)]);
+    await Promise.all([this.announceRegularly(address, peerAddress, signal), this.refreshLoop(signal)]);
   }
 
   /** Until the store has answered once its clock is not known, and an announcement would bear a wrong time. */
@@ -112,11 +112,11 @@
     return (await this.store.transact({ conditions: [], writes: [write], removals: [] })).isOk();
   }
 
-  private async lookRegularly(signal: AbortSignal): Promise<void> {
+  private async refreshLoop(signal: AbortSignal): Promise<void> {
     for (let looks = 0; !signal.aborted; looks += 1) {
       const distanceMs = looks < 2 ? FIRST_LOOK_MS : LOOK_MS;
       await this.clock.sleep(distanceMs * (1 + LOOK_SPREAD * (this.clock.random() - 0.5)), signal);
-      if (!signal.aborted) await this.look();
+      if (!signal.aborted) await this.refresh();
       if (!signal.aborted && looks % COUNT_LOOKS === 1) await this.countAll();
     }
   }
@@ -131,7 +131,7 @@
     this.report(`${this.count} nodes`, version);
   }
 
-  private async look(): Promise<void> {
+  private async refresh(): Promise<void> {
     const following = await this.scan(`${this.nodeName}\0`);
     if (!following) return;
     const isShort = following.length < REMEMBERED;
--- a/src/coordination/service/membership/peer-configuration.ts
+++ b/src/coordination/service/membership/peer-configuration.ts
@@ -22,7 +22,7 @@
 
 /** What the task works with. */
 export interface PeerConfigurationServices {
-  readonly isStoreInReach: () => boolean;
+  readonly isStoreAnswering: () => boolean;
   /** Whether the store itself has told of changes lately. */
   readonly isFollowed: () => boolean;
   /** Addresses of other nodes, the likeliest to be served first. */
@@ -33,7 +33,7 @@
   /** Takes the operator's record. */
   readonly take: (value: Buffer) => void;
   /** Called while the store serves others and has not served this node for some time. */
-  readonly onTurnedAway: () => void;
+  readonly onRejectedByStore: () => void;
   readonly logger: DecisionLogger;
 }
 
@@ -56,7 +56,7 @@
   /** Asks while the store tells of no changes, until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.services.isStoreInReach()) this.turnsAway = 0;
+      if (this.services.isStoreAnswering()) this.turnsAway = 0;
       this.reportFollowed();
       if (!this.hearsOfChanges) await this.askInTurn();
       await this.clock.sleep(LOOK_MS, signal);
@@ -64,7 +64,7 @@
   }
 
   private get hearsOfChanges(): boolean {
-    return this.services.isStoreInReach() && this.services.isFollowed();
+    return this.services.isStoreAnswering() && this.services.isFollowed();
   }
 
   private async askInTurn(): Promise<void> {
@@ -83,9 +83,9 @@
   }
 
   private noteTurnedAway(): void {
-    if (this.services.isStoreInReach()) return;
+    if (this.services.isStoreAnswering()) return;
     this.turnsAway += 1;
-    if (this.turnsAway >= TURNED_AWAY_TURNS) this.services.onTurnedAway();
+    if (this.turnsAway >= TURNED_AWAY_TURNS) this.services.onRejectedByStore();
   }
 
   private reportFollowed(): void {
--- a/src/coordination/service/membership/replica-announcements.ts
+++ b/src/coordination/service/membership/replica-announcements.ts
@@ -11,7 +11,7 @@
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { ChangedRecord, RecordStore } from '../../../protocol/record-store.js';
 import type { Replica } from '../../../protocol/service/replica.js';
-import type { LifeOrder, ReplicaDirectory } from '../../../state/service/replicas/index.js';
+import type { IncarnationOrder, ReplicaDirectory } from '../../../state/service/replicas/index.js';
 import { type FeedHandler, readPartition } from '../../feeds/index.js';
 import { ALLOWS_OLD, ANNOUNCED_PARTITION, type Announced, type AnnouncementFormat } from './announcements.js';
 
@@ -24,7 +24,7 @@
   readonly format: AnnouncementFormat;
   readonly directory: ReplicaDirectory;
   /** How often a replica writes its record, milliseconds. */
-  readonly beatMs: () => number;
+  readonly heartbeatMs: () => number;
   /** Whether this node would have heard of a change of these records by now. */
   readonly isFollowed: () => boolean;
   readonly metrics: Pick<ServiceMetrics, 'unreadableReplicas'>;
@@ -78,39 +78,43 @@
     const before = directory.get(replica.id)?.replica;
     const order = directory.set(replica);
     if (order === 'untold') this.refuse(replica.id, 'born: is required', version);
-    else if (order === 'earlier') this.doubt(replica, version);
+    else if (order === 'earlier') this.awaitConfirmation(replica, version);
     else this.settled(replica, before, order, version);
   }
 
   private settled(
     replica: Replica,
     before: Replica | undefined,
-    order: LifeOrder | 'first',
+    order: IncarnationOrder | 'first',
     version: number,
   ): void {
     this.unsettled.delete(replica.id);
     const name = replica.id;
     if (order === 'first') this.report(name, `joined ${replica.service} at ${replica.address}`, version);
-    else if (order === 'next') this.report(name, `started again, born ${replica.bornMs}`, version);
+    else if (order === 'next') this.report(name, `started again, born ${replica.startedAtMs}`, version);
     else if (before?.isDraining !== replica.isDraining)
       this.report(name, replica.isDraining ? 'draining' : 'not draining any more', version);
   }
 
-  private doubt(replica: Replica, version: number): void {
+  private awaitConfirmation(replica: Replica, version: number): void {
     this.unsettled.set(replica.id, replica);
-    this.services.directory.doubt(replica.id);
-    this.report(replica.id, `may be a late word of before, born ${replica.bornMs}`, version);
+    this.services.directory.markUnconfirmed(replica.id);
+    this.report(replica.id, `may be a late word of before, born ${replica.startedAtMs}`, version);
     void this.settle(replica, version);
   }
 
   private async settle(replica: Replica, version: number): Promise<void> {
-    const { beatMs, isFollowed, directory } = this.services;
-    do await this.clock.sleep(SETTLED_BEATS * beatMs());
+    const { heartbeatMs, isFollowed, directory } = this.services;
+    do await this.clock.sleep(SETTLED_BEATS * heartbeatMs());
     while (this.unsettled.get(replica.id) === replica && !isFollowed());
     if (this.unsettled.get(replica.id) !== replica) return;
     this.unsettled.delete(replica.id);
     directory.replace(replica);
-    this.report(replica.id, `started again with an earlier time of day, born ${replica.bornMs}`, version);
+    this.report(
+      replica.id,
+      `started again with an earlier time of day, born ${replica.startedAtMs}`,
+      version,
+    );
   }
 
   private refuse(id: string, problem: string, version: number): void {
--- a/src/coordination/service/membership/session-monitor.ts
+++ b/src/coordination/service/membership/session-monitor.ts
@@ -10,7 +10,7 @@
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import { ConditionVariable } from '../../../common/condition-variable.js';
 import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
-import type { JobOwner } from '../../../state/service/jobs/index.js';
+import type { OwnerReference } from '../../../state/service/jobs/index.js';
 
 /** Table of the beats, and of whatever else every node looks at together with them. */
 export const SESSION_TABLE = 'sessions';
@@ -41,7 +41,7 @@
 const REFRESH_MS = 200;
 
 /** What a beat says. */
-interface Beat {
+interface Heartbeat {
   readonly life: string;
   readonly count: number;
   /** Whether the process takes no new jobs, because it is on its way out. */
@@ -55,7 +55,7 @@
   life: string;
   isLeaving: boolean;
   /** When the newest beat was written, on the store's clock, milliseconds. */
-  beatAtMs: number;
+  heartbeatAtMs: number;
   /** Observed time at which the beat last changed, milliseconds. */
   changedAtMs: number;
 }
@@ -67,7 +67,7 @@
   /** Whether anything is held by others, so that their beats matter. */
   readonly mustWatch: () => boolean;
   /** Processes whose loss would be acted upon. */
-  readonly holders: () => readonly JobOwner[];
+  readonly holders: () => readonly OwnerReference[];
   /** Nodes that are at work, roughly. */
   readonly fleetSize: () => number;
 }
@@ -79,16 +79,16 @@
   /** Observed time of the last gap: after it every holder gets the whole time again. */
   private restartedAtMs = 0;
   private lastReadMs = Number.NEGATIVE_INFINITY;
-  private beats = 0;
+  private heartbeats = 0;
   /** Beats that the store has not answered yet. */
-  private openBeats = 0;
+  private openHeartbeats = 0;
   private isLeaving = false;
   private readonly holding = new ConditionVariable();
   private readonly listeners = new Set<(records: readonly StoredRecord[]) => void>();
 
   constructor(
     private readonly store: RecordStore,
-    readonly self: JobOwner,
+    readonly self: OwnerReference,
     private readonly roles: SessionRoles,
     private readonly clock: Clock = SYSTEM_CLOCK,
   ) {}
@@ -112,7 +112,7 @@
    * Whether the holder has been silent for too long. `heldSinceMs` is the observed time at which this node learnt of the
    * holding: a process that held nothing before had no reason to beat.
    */
-  isLost(holder: JobOwner, heldSinceMs: number): boolean {
+  isLost(holder: OwnerReference, heldSinceMs: number): boolean {
     const session = this.sessions.get(holder.node);
     const changedAtMs = session?.life === holder.life ? session.changedAtMs : 0;
     const expiryMs = EXPIRY_MS + this.store.usualAnswerMs() * EXPIRY_ANSWERS;
@@ -128,58 +128,63 @@
   async refresh(): Promise<void> {
     if (this.clock.now() - this.lastReadMs <= POLL_MS * (1 + POLL_SPREAD)) return;
     const controller = new AbortController();
-    await Promise.race([this.look(), this.clock.sleep(REFRESH_MS, controller.signal)]);
+    await Promise.race([this.poll(), this.clock.sleep(REFRESH_MS, controller.signal)]);
     controller.abort();
   }
 
   /** Whether a process of this life beat a moment ago and takes jobs, as far as this node has seen. */
-  isFresh(owner: JobOwner): boolean {
+  isFresh(owner: OwnerReference): boolean {
     const session = this.sessions.get(owner.node);
     if (session?.life !== owner.life || session.isLeaving) return false;
     const freshMs = FRESH_MS + this.store.usualAnswerMs() * FRESH_ANSWERS;
-    return this.beatAgeMs(session) <= freshMs && this.clock.now() - this.lastReadMs <= GAP_MS;
+    return this.heartbeatAgeMs(session) <= freshMs && this.clock.now() - this.lastReadMs <= GAP_MS;
   }
 
   /** Tells all nodes that this process takes no new jobs. */
   async announceLeaving(): Promise<void> {
     this.isLeaving = true;
-    if (this.roles.isHolder()) await this.beat();
+    if (this.roles.isHolder()) await this.heartbeat();
   }
 
   /** Beats and watches until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    await Promise.all([this.beatRegularly(signal), this.watchRegularly(signal)]);
+    await Promise.all([this.heartbeatLoop(signal), this.watchRegularly(signal)]);
   }
 
-  private async beatRegularly(signal: AbortSignal): Promise<void> {
+  private async heartbeatLoop(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!this.roles.isHolder()) {
         await this.holding.wait(signal);
         continue;
       }
-      if (this.openBeats < MAX_OPEN_BEATS) void this.beat();
+      if (this.openHeartbeats < MAX_OPEN_BEATS) void this.heartbeat();
       await this.clock.sleep(BEAT_MS, signal);
     }
   }
 
-  private async beat(): Promise<void> {
-    this.openBeats += 1;
-    await this.writeBeat();
-    this.openBeats -= 1;
+  private async heartbeat(): Promise<void> {
+    this.openHeartbeats += 1;
+    await this.writeHeartbeat();
+    this.openHeartbeats -= 1;
   }
 
-  private async writeBeat(): Promise<void> {
-    this.beats += 1;
+  private async writeHeartbeat(): Promise<void> {
+    this.heartbeats += 1;
     const atMs = Math.round(this.store.nowMs());
-    const beat: Beat = { life: this.self.life, count: this.beats, isLeaving: this.isLeaving, atMs };
-    const value = Buffer.from(JSON.stringify(beat), 'utf8');
+    const content: Heartbeat = {
+      life: this.self.life,
+      count: this.heartbeats,
+      isLeaving: this.isLeaving,
+      atMs,
+    };
+    const value = Buffer.from(JSON.stringify(content), 'utf8');
     const write = { table: SESSION_TABLE, partition: '', key: BEAT_PREFIX + this.self.node, value };
     await this.store.transact({ conditions: [], writes: [write], removals: [] });
   }
 
   private async watchRegularly(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.roles.mustWatch()) await this.look();
+      if (this.roles.mustWatch()) await this.poll();
       const spread = POLL_SPREAD * (2 * this.clock.random() - 1);
       await this.pause(POLL_MS * (1 + spread), signal);
     }
@@ -197,15 +202,15 @@
     const suspectMs = SUSPECT_MS + this.store.usualAnswerMs() * FRESH_ANSWERS;
     return this.roles.holders().some(({ node, life }) => {
       const session = this.sessions.get(node);
-      return node !== this.self.node && (session?.life !== life || this.beatAgeMs(session) > suspectMs);
+      return node !== this.self.node && (session?.life !== life || this.heartbeatAgeMs(session) > suspectMs);
     });
   }
 
-  private beatAgeMs({ beatAtMs }: ObservedSession): number {
-    return this.store.nowMs() - beatAtMs;
+  private heartbeatAgeMs({ heartbeatAtMs }: ObservedSession): number {
+    return this.store.nowMs() - heartbeatAtMs;
   }
 
-  private async look(): Promise<void> {
+  private async poll(): Promise<void> {
     const page = await this.store.scan({ table: SESSION_TABLE, partition: '' });
     if (page.isErr()) return;
     this.advance();
@@ -226,7 +231,7 @@
     const node = record.key.slice(BEAT_PREFIX.length);
     const known = this.sessions.get(node);
     if (known && known.version >= version) return;
-    const { life, isLeaving, atMs = 0 } = JSON.parse(value.toString('utf8')) as Beat;
-    this.sessions.set(node, { version, life, isLeaving, beatAtMs: atMs, changedAtMs: this.observedMs });
+    const { life, isLeaving, atMs = 0 } = JSON.parse(value.toString('utf8')) as Heartbeat;
+    this.sessions.set(node, { version, life, isLeaving, heartbeatAtMs: atMs, changedAtMs: this.observedMs });
   }
 }
--- a/src/coordination/service/requests/fatal-run-reports.ts
+++ b/src/coordination/service/requests/crash-reports.ts
@@ -6,8 +6,8 @@
 import { ConditionVariable } from '../../../common/condition-variable.js';
 import { TokenBucket } from '../../../common/token-bucket.js';
 import type { RecordStore, RecordWrite, StoredRecord } from '../../../protocol/record-store.js';
-import { type FatalRunMessage, MAX_REPORTS } from '../../../protocol/service/fatal-run-peer.js';
-import { FATAL_RUN_EXPIRY_MS, parseFatalRunReport, timeOf } from '../../../state/service/replicas/index.js';
+import { type CrashReportMessage, MAX_REPORTS } from '../../../protocol/service/crash-report-peer.js';
+import { CRASH_EXPIRY_MS, parseCrashReport, timeOf } from '../../../state/service/replicas/index.js';
 
 /** Records in one transaction at most. */
 const MAX_RECORDS = 100;
@@ -22,20 +22,20 @@
 /** How often what has expired is removed, milliseconds. */
 const SWEEP_MS = 60_000;
 /** A node that reads records of others removes those that have been due for this long, milliseconds. */
-const OVERDUE_MS = FATAL_RUN_EXPIRY_MS;
+const OVERDUE_MS = CRASH_EXPIRY_MS;
 
-function toMessage({ key, value }: RecordWrite): FatalRunMessage {
+function toMessage({ key, value }: RecordWrite): CrashReportMessage {
   return { key, value: value.toString('utf8') };
 }
 
 /** The reports of one node. */
-export class FatalRunReports {
+export class CrashReports {
   /** Records that the store has not taken yet, by key. */
   private readonly pending = new Map<string, RecordWrite>();
   /** Records that this node has written, to be removed once they have expired. */
   private written: RecordWrite[] = [];
   /** The newest reports, of this node and of others, by key. */
-  private readonly newestByKey = new Map<string, FatalRunMessage>();
+  private readonly newestByKey = new Map<string, CrashReportMessage>();
   private readonly hasPending = new ConditionVariable();
   private readonly budget = new TokenBucket(REPORTS_PER_SECOND, BURST_REPORTS);
 
@@ -45,22 +45,22 @@
   ) {}
 
   /** What this node has learnt and the store has not taken yet. */
-  get unreported(): readonly FatalRunMessage[] {
+  get unreported(): readonly CrashReportMessage[] {
     return [...this.pending.values()].slice(0, MAX_REPORTS).map(toMessage);
   }
 
   /** The newest reports that this node knows. */
-  get newest(): readonly FatalRunMessage[] {
+  get newest(): readonly CrashReportMessage[] {
     return [...this.newestByKey.values()];
   }
 
   /** Whether a report is known as it is. */
-  knows({ key, value }: FatalRunMessage): boolean {
+  knows({ key, value }: CrashReportMessage): boolean {
     return this.newestByKey.get(key)?.value === value;
   }
 
   /** Keeps a report for nodes that ask. */
-  remember(message: FatalRunMessage): void {
+  remember(message: CrashReportMessage): void {
     this.newestByKey.delete(message.key);
     this.newestByKey.set(message.key, message);
     const [oldest] = this.newestByKey.keys();
@@ -82,8 +82,8 @@
 
   /** Whether a record is none, or tells of a run that no longer counts. */
   isExpired(record: Pick<RecordWrite, 'key' | 'value'>, sinceMs = 0): boolean {
-    const report = parseFatalRunReport(record);
-    return !report || timeOf(report) < this.store.nowMs() - FATAL_RUN_EXPIRY_MS - sinceMs;
+    const report = parseCrashReport(record);
+    return !report || timeOf(report) < this.store.nowMs() - CRASH_EXPIRY_MS - sinceMs;
   }
 
   /** Writes and removes until `signal` is aborted. */
--- a/src/coordination/service/requests/quarantine-exchange.ts
+++ b/src/coordination/service/requests/quarantine-exchange.ts
@@ -2,7 +2,7 @@
  * What a node that the store does not serve learns from other nodes of requests that end replicas, and tells them: it would
  * put replicas at risk under requests that all others hold back, and keep to itself what ends here.
  */
-import type { FatalRunAnswer, FatalRunMessage } from '../../../protocol/service/fatal-run-peer.js';
+import type { CrashReportMessage, CrashReportsAnswer } from '../../../protocol/service/crash-report-peer.js';
 import type { RequestQuarantine } from './request-quarantine.js';
 
 /** How often a node that is not served asks when it has nothing to tell, milliseconds. */
@@ -13,10 +13,13 @@
 /** What the task works with. */
 export interface QuarantineExchangeServices {
   readonly quarantine: RequestQuarantine;
-  readonly isStoreInReach: () => boolean;
+  readonly isStoreAnswering: () => boolean;
   /** Addresses of other nodes, the likeliest to be served first. */
   readonly peers: (count: number) => readonly string[];
-  readonly ask: (address: string, reports: readonly FatalRunMessage[]) => Promise<FatalRunAnswer | undefined>;
+  readonly ask: (
+    address: string,
+    reports: readonly CrashReportMessage[],
+  ) => Promise<CrashReportsAnswer | undefined>;
 }
 
 /** The task of one node. */
@@ -26,7 +29,7 @@
   /** Asks while the store is out of reach, until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (!this.services.isStoreInReach()) await this.exchangeInTurn();
+      if (!this.services.isStoreAnswering()) await this.exchangeInTurn();
       await this.services.quarantine.reports.untilNews(EXCHANGE_MS, signal);
     }
   }
--- a/src/coordination/service/requests/request-quarantine.ts
+++ b/src/coordination/service/requests/request-quarantine.ts
@@ -7,41 +7,41 @@
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { ChangedRecord, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
-import type { FatalRunMessage } from '../../../protocol/service/fatal-run-peer.js';
+import type { CrashReportMessage } from '../../../protocol/service/crash-report-peer.js';
 import {
-  FATAL_RUN_EXPIRY_MS,
-  FATAL_RUN_PARTITION,
-  type FatalRun,
-  FatalRuns,
-  parseFatalRunReport,
-  toFatalRunRecord,
+  CRASH_EXPIRY_MS,
+  CRASH_PARTITION,
+  type Crash,
+  CrashHistory,
+  parseCrashReport,
+  toCrashRecord,
   toServedRecord,
   type Verdict,
 } from '../../../state/service/replicas/index.js';
 import { FOLLOWED_TABLE } from '../../../state/service/store/index.js';
 import { type FeedHandler, readPartition } from '../../feeds/index.js';
 import { digestOf, type IdentifiedRequest, type UsedReplica } from '../dispatch/index.js';
-import { FatalRunReports } from './fatal-run-reports.js';
+import { CrashReports } from './crash-reports.js';
 
 const CLEAR: Verdict = { kind: 'clear' };
-const FATAL_RUN_ADDRESS = { table: FOLLOWED_TABLE, partition: FATAL_RUN_PARTITION } as const;
+const CRASH_ADDRESS = { table: FOLLOWED_TABLE, partition: CRASH_PARTITION } as const;
 
 /** What the quarantine works with. */
 export interface QuarantineServices {
   readonly store: RecordStore;
-  readonly metrics: Pick<ServiceMetrics, 'heldRequests' | 'suspectRequests'>;
+  readonly metrics: Pick<ServiceMetrics, 'quarantinedRequests' | 'suspectRequests'>;
   readonly logger: DecisionLogger;
 }
 
 /** The quarantine of one node. */
 export class RequestQuarantine implements FeedHandler<readonly StoredRecord[]> {
   readonly table = FOLLOWED_TABLE;
-  readonly reports: FatalRunReports;
-  private readonly runs = new FatalRuns();
+  readonly reports: CrashReports;
+  private readonly runs = new CrashHistory();
   private hasRead = false;
 
   constructor(private readonly services: QuarantineServices) {
-    this.reports = new FatalRunReports(services.store);
+    this.reports = new CrashReports(services.store);
   }
 
   /** Whether this node knows what others had reported before it started. */
@@ -56,14 +56,14 @@
   }
 
   /** Counts a request that was not sent because of its verdict. */
-  noteHeld(service: string): void {
-    this.services.metrics.heldRequests.inc({ service });
+  noteQuarantined(service: string): void {
+    this.services.metrics.quarantinedRequests.inc({ service });
   }
 
   /** A replica has ended while it ran the request, and was not leaving: one that leaves has ended by plan. */
-  noteEnd(request: IdentifiedRequest, { id, address }: UsedReplica): void {
+  noteCrash(request: IdentifiedRequest, { id, address }: UsedReplica): void {
     const run = { digest: digestOf(request), address, endedAtMs: this.services.store.nowMs() };
-    if (this.take(run, 'here', id)) this.reports.share(toFatalRunRecord(run, id));
+    if (this.take(run, 'here', id)) this.reports.share(toCrashRecord(run, id));
   }
 
   /** A replica has answered the request: it is not what ends them. */
@@ -77,11 +77,11 @@
   }
 
   /** Takes reports of a node, and writes those that are new here for all others. */
-  takeFromPeer(messages: readonly FatalRunMessage[]): void {
+  takeFromPeer(messages: readonly CrashReportMessage[]): void {
     for (const message of messages) {
       if (this.reports.knows(message)) continue;
       const { key, value } = message;
-      const record = { ...FATAL_RUN_ADDRESS, key, value: Buffer.from(value, 'utf8') };
+      const record = { ...CRASH_ADDRESS, key, value: Buffer.from(value, 'utf8') };
       if (this.takeReport(record)) this.reports.share(record);
     }
   }
@@ -93,7 +93,7 @@
 
   /** What was read counts at once: the other kinds of the table may not be readable yet. */
   async readAll() {
-    const read = await readPartition(this.services.store, FOLLOWED_TABLE, FATAL_RUN_PARTITION);
+    const read = await readPartition(this.services.store, FOLLOWED_TABLE, CRASH_PARTITION);
     if (read.isOk()) this.replaceAll(read.value.content);
     return read;
   }
@@ -110,7 +110,7 @@
 
   /** Takes a report of another node; false when it is none, or expired. */
   private takeReport(record: Pick<StoredRecord, 'key' | 'value'>): boolean {
-    const report = parseFatalRunReport(record);
+    const report = parseCrashReport(record);
     if (!report || this.reports.isExpired(record)) return false;
     this.reports.remember({ key: record.key, value: record.value.toString('utf8') });
     if (report.kind === 'served') this.runs.noteServed(report.run);
@@ -119,9 +119,9 @@
   }
 
   /** Takes a run; false when it was known. */
-  private take(run: FatalRun, source: 'here' | 'another node', replica: string): boolean {
+  private take(run: Crash, source: 'here' | 'another node', replica: string): boolean {
     const nowMs = this.services.store.nowMs();
-    this.runs.forgetBefore(nowMs - FATAL_RUN_EXPIRY_MS);
+    this.runs.forgetBefore(nowMs - CRASH_EXPIRY_MS);
     if (!this.runs.note(run)) return false;
     const verdict = this.runs.judge(run.digest, nowMs);
     this.services.logger.record({
--- a/src/coordination/service/requests/service-relay.ts
+++ b/src/coordination/service/requests/service-relay.ts
@@ -8,7 +8,7 @@
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import type { RoutingSnapshot, TargetSplitter } from '../../../state/service/configuration/index.js';
 import type { Verdict } from '../../../state/service/replicas/index.js';
-import type { DispatchCall, DispatchResult, WholeAnswer } from '../dispatch/index.js';
+import type { BufferedAnswer, DispatchCall, DispatchResult } from '../dispatch/index.js';
 import type { RequestQuarantine } from './request-quarantine.js';
 
 /** A request to relay. */
@@ -44,7 +44,7 @@
 
 /** What the caller is told. */
 export type RelayOutcome =
-  | { readonly kind: 'answered'; readonly answer: WholeAnswer; readonly attempts: readonly string[] }
+  | { readonly kind: 'answered'; readonly answer: BufferedAnswer; readonly attempts: readonly string[] }
   /** Did not run and will not run. */
   | {
       readonly kind: 'refused';
@@ -117,7 +117,7 @@
   private hasReachedReplica = false;
   /** Before this time no second attempt is made beside a silent one, on the monotonic clock. */
   private hedgeAtMs = 0;
-  private lastFailure: WholeAnswer | undefined;
+  private lastFailure: BufferedAnswer | undefined;
   private lastReason = 'none available';
   /** Attempts that run or may have run: the request counts once for its tenant while there is any. */
   private countedAttempts = 0;
@@ -194,11 +194,11 @@
     const tracked: Promise<Attempt> = sent.then((result) => {
       pending.delete(tracked);
       this.waitingHere.delete(attempt);
-      const { outcome, replica, hasEndedReplica } = result;
+      const { outcome, replica, hasCrashedReplica } = result;
       if (replica && outcome.kind !== 'declined') this.hasReachedReplica = true;
       if (replica) this.tried.add(replica.id);
       if (outcome.kind === 'declined') this.noteNotExecuted();
-      if (hasEndedReplica && replica) this.quarantine.noteEnd(this.request, replica);
+      if (hasCrashedReplica && replica) this.quarantine.noteCrash(this.request, replica);
       return { result, isHedge };
     });
     pending.add(tracked);
@@ -275,7 +275,7 @@
     return this.isRepeatable ? undefined : this.failed(false);
   }
 
-  private judgeAnswer(answer: WholeAnswer): RelayOutcome | undefined {
+  private judgeAnswer(answer: BufferedAnswer): RelayOutcome | undefined {
     const isFailure = answer.status >= 500;
     if (!isFailure) this.quarantine.noteServed(this.request);
     if (!isFailure || !this.isRepeatable) return { kind: 'answered', answer, attempts: this.attempts };
@@ -297,15 +297,15 @@
   private exhausted(): RelayOutcome {
     if (this.lastFailure) return { kind: 'answered', answer: this.lastFailure, attempts: this.attempts };
     const verdict = this.quarantine.judge(this.request);
-    if (verdict.kind === 'held') return this.heldBack(verdict);
+    if (verdict.kind === 'held') return this.quarantined(verdict);
     if (this.mayHaveRun) return this.failed(false);
     const reason = this.lastReason;
     return { kind: 'refused', reason, retryAfterMs: this.retryAfterMs, attempts: this.attempts };
   }
 
   /** A caller whose request has not run is told when it may; one whose request has run here is promised nothing. */
-  private heldBack({ ends, retryAfterMs }: Extract<Verdict, { kind: 'held' }>): RelayOutcome {
-    this.quarantine.noteHeld(this.service);
+  private quarantined({ ends, retryAfterMs }: Extract<Verdict, { kind: 'held' }>): RelayOutcome {
+    this.quarantine.noteQuarantined(this.service);
     this.lastReason = `${ends} replicas have ended under this request`;
     if (this.mayHaveRun) return this.failed(false);
     return { kind: 'refused', reason: this.lastReason, retryAfterMs, attempts: this.attempts };
--- a/src/coordination/service/usage/usage-accounting.ts
+++ b/src/coordination/service/usage/usage-accounting.ts
@@ -4,12 +4,12 @@
 import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { UsageSettings } from '../../../protocol/service/service-settings.js';
 import type { UsageSink } from '../../../protocol/service/usage.js';
-import type { JobOwner } from '../../../state/service/jobs/index.js';
+import type { OwnerReference } from '../../../state/service/jobs/index.js';
 import { UsageRepository } from '../../../state/service/usage/index.js';
-import type { DutyLease } from '../leadership/index.js';
+import type { LeaderLease } from '../leadership/index.js';
 import type { PeerAddresses } from '../membership/index.js';
 import { UsageCounter } from './usage-counter.js';
-import { UsageDuty } from './usage-duty.js';
+import { UsageReporter } from './usage-reporter.js';
 import { UsageWindows } from './usage-window.js';
 import { UsageWriter } from './usage-writer.js';
 
@@ -19,8 +19,8 @@
   readonly sink: UsageSink;
   readonly store: RecordStore;
   readonly peers: PeerAddresses;
-  readonly lease: DutyLease;
-  readonly self: JobOwner;
+  readonly lease: LeaderLease;
+  readonly self: OwnerReference;
   readonly metrics: ServiceMetrics;
   readonly logger: DecisionLogger;
 }
@@ -28,9 +28,9 @@
 /** The accounting of one process. */
 export class UsageAccounting {
   readonly counter: UsageCounter;
-  readonly lease: DutyLease;
+  readonly lease: LeaderLease;
   private readonly writer: UsageWriter;
-  private readonly duty: UsageDuty;
+  private readonly reporter: UsageReporter;
 
   constructor(private readonly services: UsageAccountingServices) {
     const { settings, sink, store, peers, lease, self, metrics, logger } = services;
@@ -39,7 +39,7 @@
     this.lease = lease;
     this.counter = new UsageCounter(windows);
     this.writer = new UsageWriter(repository, self, this.counter, windows, () => peers.fleetSize);
-    this.duty = new UsageDuty({
+    this.reporter = new UsageReporter({
       repository,
       lease,
       sink,
@@ -53,12 +53,15 @@
 
   /** Keeps counts and reports until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    await Promise.all([this.writer.run(signal), this.duty.run(signal)]);
+    await Promise.all([this.writer.run(signal), this.reporter.run(signal)]);
   }
 
   /** Takes what was read of duties; takes the duty of reporting when it is free and `mayHold`. */
   observe(records: readonly StoredRecord[], mayHold: boolean): void {
-    this.lease.observe(records, mayHold && this.duty.wantsDuty && this.services.store.isInReach());
+    this.lease.observe(
+      records,
+      mayHold && this.reporter.wantsLeadership && this.services.store.isAnswering(),
+    );
   }
 
   /** Writes what is counted and not kept yet; gives up at the abort. */
--- a/src/coordination/service/usage/usage-duty.ts
+++ b/src/coordination/service/usage/usage-reporter.ts
@@ -8,7 +8,7 @@
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { TenantCounts, UsageSink } from '../../../protocol/service/usage.js';
 import type { StoredReport, UsageRepository } from '../../../state/service/usage/index.js';
-import type { DutyLease } from '../leadership/index.js';
+import type { LeaderLease } from '../leadership/index.js';
 import type { UsageWindows } from './usage-window.js';
 import { EARLIER_WINDOWS, missingNodes, sumOf } from './window-counts.js';
 
@@ -36,9 +36,9 @@
 const SHOWN_NODES = 5;
 
 /** What the duty works with. */
-export interface UsageDutyServices {
+export interface UsageReporterServices {
   readonly repository: UsageRepository;
-  readonly lease: DutyLease;
+  readonly lease: LeaderLease;
   readonly sink: UsageSink;
   readonly windows: UsageWindows;
   /** Time after the end of a window at which its report is due, milliseconds. */
@@ -58,15 +58,15 @@
 }
 
 /** The reporter of one node; it acts only while the lease is held. */
-export class UsageDuty {
+export class UsageReporter {
   private progress: Progress | undefined;
   private failures = 0;
   private restsUntilMs = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly services: UsageDutyServices) {}
+  constructor(private readonly services: UsageReporterServices) {}
 
   /** Whether this node takes the duty if it is free. */
-  get wantsDuty(): boolean {
+  get wantsLeadership(): boolean {
     return monotonicMs() >= this.restsUntilMs;
   }
 
--- a/src/coordination/service/weights/index.ts
+++ b/src/coordination/service/weights/index.ts
@@ -1,1 +1,1 @@
-export { WeightOrders } from './weight-orders.js';
+export { LoadCommander } from './load-commander.js';
--- a/src/coordination/service/weights/weight-orders.ts
+++ b/src/coordination/service/weights/load-commander.ts
@@ -6,8 +6,8 @@
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type {
+  CommandOutcome,
   LoadMode,
-  OrderOutcome,
   ReplicaClient,
   ReplicaReport,
 } from '../../../protocol/service/replica.js';
@@ -17,8 +17,8 @@
   ReplicaState,
   WeightVersions,
 } from '../../../state/service/replicas/index.js';
-import type { DutyLease } from '../leadership/index.js';
-import { type FollowedModel, orderLoads } from './load-order.js';
+import type { LeaderLease } from '../leadership/index.js';
+import { type FollowedModel, prioritizeLoads } from './load-priority.js';
 import { type PlannedModel, planReplicas, usefulReplicas } from './weight-plan.js';
 
 /** Part of a service's replicas that load at once at most. */
@@ -41,12 +41,12 @@
 const CONFIRMATION_RETRY_MS = 150;
 
 /** What the orders work with. */
-export interface WeightOrderServices {
+export interface LoadCommanderServices {
   readonly routing: RoutingTable;
   readonly directory: ReplicaDirectory;
   readonly versions: WeightVersions;
   readonly client: ReplicaClient;
-  readonly lease: DutyLease;
+  readonly lease: LeaderLease;
   /** What the jobs of a model lately asked of the replicas, tokens. */
   readonly demandOf: (model: string) => number;
   /** Requests of the largest job that the model lately had, 0 while none is known. */
@@ -71,7 +71,7 @@
 }
 
 /** The giver of orders of one node; it acts only while the lease is held. */
-export class WeightOrders {
+export class LoadCommander {
   /** Loads under way, by the life of the replica that loads. */
   private readonly loading = new Map<ReplicaState, OpenLoad>();
   /** Times of the newest loads, milliseconds. */
@@ -80,7 +80,7 @@
   /** When the lease may be confirmed again. */
   private confirmFromMs = 0;
 
-  constructor(private readonly services: WeightOrderServices) {}
+  constructor(private readonly services: LoadCommanderServices) {}
 
   /** Gives orders until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
@@ -135,7 +135,7 @@
       return state !== undefined && this.isFree(state);
     };
     const wanted = new Map<string, WantedLoad>();
-    for (const { id, model } of orderLoads(models, isFree)) {
+    for (const { id, model } of prioritizeLoads(models, isFree)) {
       const state = byId.get(id);
       if (!state || wanted.has(id)) continue;
       wanted.set(id, { state, model, version: this.services.versions.newestOf(model) });
@@ -187,7 +187,7 @@
     if (!confirmation) return this.delayAll();
     const report = await client.report(state.replica, CALL_TIMEOUT_MS);
     if (report.isErr() || report.value.isBusy) return this.delay(state);
-    if (!this.isOf(state, report.value)) return this.takeLife(state, report.value);
+    if (!this.isOf(state, report.value)) return this.takeIncarnation(state, report.value);
     if ((report.value.modelVersions.get(model) ?? 0) >= version)
       return this.noteVersions(state, report.value.modelVersions);
     if (!confirmation.isFresh() || !this.services.directory.isAvailable(state)) return this.delay(state);
@@ -198,9 +198,9 @@
       mode: MODE,
       holder: this.services.nodeName,
       fencingToken: confirmation.epoch,
-      expectedOrderCount: report.value.orderCount,
+      expectedCommandCount: report.value.commandCount,
     };
-    const outcome = await client.order(state.replica, order, CALL_TIMEOUT_MS);
+    const outcome = await client.load(state.replica, order, CALL_TIMEOUT_MS);
     const result = outcome.isOk() ? outcome.value : 'unanswered';
     this.report(state, model, version, confirmation.epoch, result, monotonicMs() - startedAt);
     if (result === 'accepted' || result === 'unanswered') await this.awaitLoad(state, model, version, signal);
@@ -222,7 +222,7 @@
       if (!this.services.directory.isAvailable(state)) return;
       if (state.versionOf(model) >= version) return this.noteLoad(monotonicMs() - startedAt);
       const report = await this.services.client.report(state.replica, CALL_TIMEOUT_MS);
-      if (report.isOk() && !this.isOf(state, report.value)) return this.takeLife(state, report.value);
+      if (report.isOk() && !this.isOf(state, report.value)) return this.takeIncarnation(state, report.value);
       if (report.isOk() && (report.value.modelVersions.get(model) ?? 0) >= version) {
         this.noteLoad(monotonicMs() - startedAt);
         return this.noteVersions(state, report.value.modelVersions);
@@ -234,15 +234,15 @@
   }
 
   /** Whether a report is of the life that is known; one that doesn't say is taken for it. */
-  private isOf({ replica }: ReplicaState, { bornMs }: ReplicaReport): boolean {
-    return bornMs === undefined || bornMs === replica.bornMs;
+  private isOf({ replica }: ReplicaState, { startedAtMs }: ReplicaReport): boolean {
+    return startedAtMs === undefined || startedAtMs === replica.startedAtMs;
   }
 
   /** A report may tell of a later life before the announcement does; the word of an earlier one changes nothing. */
-  private takeLife(state: ReplicaState, { bornMs, modelVersions }: ReplicaReport): void {
+  private takeIncarnation(state: ReplicaState, { startedAtMs, modelVersions }: ReplicaReport): void {
     this.delay(state);
     if (this.services.directory.isAvailable(state))
-      this.services.directory.set({ ...state.replica, bornMs, modelVersions });
+      this.services.directory.set({ ...state.replica, startedAtMs, modelVersions });
   }
 
   /** A report may be newer than the announcement. */
@@ -265,10 +265,10 @@
     model: string,
     version: number,
     fencingToken: number,
-    outcome: OrderOutcome | 'unanswered',
+    outcome: CommandOutcome | 'unanswered',
     tookMs: number,
   ): void {
-    this.services.metrics.orders.inc({ outcome });
+    this.services.metrics.loadCommands.inc({ outcome });
     this.services.logger.record({
       event: 'order-given',
       replica: state.replica.id,
--- a/src/coordination/service/weights/load-order.ts
+++ b/src/coordination/service/weights/load-priority.ts
@@ -42,7 +42,7 @@
 }
 
 /** Loads that are missing, the most urgent first. Replicas that `isFree` rejects are passed over. */
-export function orderLoads(
+export function prioritizeLoads(
   models: readonly FollowedModel[],
   isFree: (id: string) => boolean,
 ): readonly NextLoad[] {
--- a/src/node/resource/api/caller-routes.ts
+++ b/src/node/resource/api/caller-routes.ts
@@ -21,7 +21,7 @@
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
 import type { ClaimStore, HeldClaim, RecordedAnswer } from '../../../state/resource/samples/index.js';
-import { readWhole } from '../../../transport/http-client.js';
+import { readFully } from '../../../transport/http-client.js';
 import { callerGone } from '../../../transport/http-server.js';
 import { copyBody } from '../../../transport/stream-write.js';
 import type { Route } from './api-server.js';
@@ -274,7 +274,7 @@
   const { response, release, backend } = answer;
   try {
     if (!hasDeclaredEnd(response, method)) return err(undeclaredEnd(backend.name));
-    const body = await readWhole(response.body, RECORDED_BODY_LIMIT_BYTES);
+    const body = await readFully(response.body, RECORDED_BODY_LIMIT_BYTES);
     if (body.isErr()) {
       return err(
         new CoordinationError('outcome-unknown', 'unknown', `${backend.name}: ${body.error.message}`),
--- a/src/node/resource/api/completion-routes.ts
+++ b/src/node/resource/api/completion-routes.ts
@@ -5,7 +5,7 @@
 import { REQUEST_ID_HEADER } from '../../../coordination/resource/requests/index.js';
 import type {
   EventTranscript,
-  GenerationOrder,
+  GenerationRequest,
   Generator,
 } from '../../../coordination/resource/rollouts/index.js';
 import { type CompletionRequest, CompletionRequestSchema } from '../../../protocol/resource/engine.js';
@@ -65,7 +65,7 @@
   }
   const context = contextOf(exchange, service.spec.limits?.timeoutMs ?? DEFAULT_TIMEOUT_MS);
   if (context.isErr()) return err(context.error);
-  const order: GenerationOrder = {
+  const order: GenerationRequest = {
     service,
     model: model.metadata.name,
     prompt: prompt.value,
@@ -88,7 +88,7 @@
   parts: CompletionParts,
   exchange: Exchange,
   context: RequestContext,
-  order: GenerationOrder,
+  order: GenerationRequest,
 ): Promise<Result<void, CoordinationError>> {
   const { response, requestId } = exchange;
   const generated = await parts.generator.generate(context, order, async (events) => {
@@ -111,16 +111,16 @@
   parts: CompletionParts,
   exchange: Exchange,
   context: RequestContext,
-  order: GenerationOrder,
+  order: GenerationRequest,
 ): Promise<Result<void, CoordinationError>> {
   const generated = await parts.generator.generate(context, order, async () => !exchange.response.destroyed);
   if (generated.isErr()) return err(generated.error);
-  return sendWhole(exchange, order, generated.value);
+  return sendBuffered(exchange, order, generated.value);
 }
 
-function sendWhole(
+function sendBuffered(
   exchange: Exchange,
-  order: GenerationOrder,
+  order: GenerationRequest,
   transcript: EventTranscript,
 ): Result<void, CoordinationError> {
   const read = transcript.read();
--- a/src/node/resource/api/exchange.ts
+++ b/src/node/resource/api/exchange.ts
@@ -6,7 +6,7 @@
 import { PROBLEM_MEDIA_TYPE, type Problem, STATUS_OF_CODE } from '../../../protocol/resource/problem.js';
 import type { FieldProblem, Validator } from '../../../protocol/validation.js';
 import type { Principal } from '../../../state/resource/configuration/index.js';
-import { readWhole } from '../../../transport/http-client.js';
+import { readFully } from '../../../transport/http-client.js';
 import { sendJson } from '../../../transport/http-server.js';
 
 /** A request whose content is wrong; names the fields. */
@@ -66,7 +66,7 @@
   const tooLarge = () =>
     new CoordinationError('body-too-large', 'no', `the body exceeds ${limitBytes} bytes`);
   if (Number(request.headers['content-length'] ?? 0) > limitBytes) return err(tooLarge());
-  const body = await readWhole(request, limitBytes);
+  const body = await readFully(request, limitBytes);
   return body.mapErr((error) =>
     error.failure === 'body-too-large'
       ? tooLarge()
--- a/src/node/resource/coordination-parts.ts
+++ b/src/node/resource/coordination-parts.ts
@@ -12,14 +12,14 @@
   WorkGate,
 } from '../../coordination/resource/requests/index.js';
 import { Delivery, Generator } from '../../coordination/resource/rollouts/index.js';
-import { LeaseDuties } from '../../coordination/resource/singleton-tasks/index.js';
+import { SingletonTasks } from '../../coordination/resource/singleton-tasks/index.js';
 import { EngineMonitor } from '../../coordination/resource/weights/index.js';
 import { EngineClient } from '../../protocol/resource/engine.js';
 import { MachineListClient } from '../../protocol/resource/machine-list.js';
 import { type NodeRecord, PeerClient } from '../../protocol/resource/peer.js';
 import type { HttpClient } from '../../transport/http-client.js';
-import { listDuties } from './duties.js';
 import type { Settings, Timing } from './settings.js';
+import { listSingletonTasks } from './singleton-task-list.js';
 import type { StateParts } from './state-parts.js';
 
 const DEFAULT_SUBSET_SIZE = 64;
@@ -36,7 +36,7 @@
   readonly relay: ApplicationRelay;
   readonly delivery: Delivery;
   readonly monitor: EngineMonitor;
-  readonly duties: LeaseDuties;
+  readonly singletonTasks: SingletonTasks;
 }
 
 /** What the layer is built on. */
@@ -70,7 +70,7 @@
   const subsetSize = settings.routing?.subsetSize ?? DEFAULT_SUBSET_SIZE;
   const router = new Router(settings.node.id, view, registry, random, subsetSize);
   const generator = new Generator(router, engines, gate, decisions, observer.metrics);
-  const dutyParts = {
+  const taskParts = {
     view,
     rollouts: { nodeId: settings.node.id, view, ledger: state.rollouts, generator, decisions, observer },
     weights: { view, registry, engines, gate, decisions, observer },
@@ -86,7 +86,9 @@
     relay: new ApplicationRelay(router, client, gate, decisions, observer.metrics),
     delivery: new Delivery(state.batches, view, decisions, observer.metrics),
     monitor: new EngineMonitor(view, router, engines, timing.enginePollMs),
-    duties: new LeaseDuties(state.leases, nodes, view, decisions, observer, () => listDuties(dutyParts)),
+    singletonTasks: new SingletonTasks(state.leases, nodes, view, decisions, observer, () =>
+      listSingletonTasks(taskParts),
+    ),
   };
 }
 
--- a/src/node/resource/node.ts
+++ b/src/node/resource/node.ts
@@ -40,9 +40,9 @@
   private readonly client: HttpClient;
   private readonly server: ApiServer;
   private readonly background = new AbortController();
-  private readonly dutyStop = new AbortController();
+  private readonly tasksStop = new AbortController();
   private running: Promise<unknown> = Promise.resolve();
-  private dutiesEnded: Promise<void> = Promise.resolve();
+  private tasksEnded: Promise<void> = Promise.resolve();
   private coordinationParts: CoordinationParts | undefined;
 
   constructor(
@@ -108,8 +108,8 @@
   /** Stops as planned: refuses new work, finishes what is in flight, hands the leases over, writes the records. */
   async stop(): Promise<void> {
     if (!this.lifecycle.sendIfTaken('stopRequested')) return;
-    this.dutyStop.abort();
-    await Promise.all([this.server.whenIdle(), this.dutiesEnded]);
+    this.tasksStop.abort();
+    await Promise.all([this.server.whenIdle(), this.tasksEnded]);
     await this.coordination.nodes.announceLeaving();
     this.background.abort();
     await this.running;
@@ -122,13 +122,13 @@
   /** Drops everything at once, as a crash would. For nodes that share a process. */
   async kill(): Promise<void> {
     this.background.abort();
-    this.dutyStop.abort();
+    this.tasksStop.abort();
     this.server.http.destroy();
     await this.client.close();
   }
 
   private startTasks(): void {
-    const { nodes, follower, monitor, duties } = this.coordination;
+    const { nodes, follower, monitor, singletonTasks } = this.coordination;
     const { signal } = this.background;
     this.running = Promise.all([
       nodes.run(signal),
@@ -137,7 +137,7 @@
       this.state.decisions.run(signal),
       this.becomeReady(signal),
     ]);
-    this.dutiesEnded = duties.run(this.dutyStop.signal);
+    this.tasksEnded = singletonTasks.run(this.tasksStop.signal);
   }
 
   private async becomeReady(signal: AbortSignal): Promise<void> {
@@ -151,7 +151,7 @@
     const parts = { ...state, ...coordination };
     const resourceParts = {
       ...parts,
-      leaving: this.dutyStop.signal,
+      leaving: this.tasksStop.signal,
     };
     this.server.addRoutes([
       ...healthRoutes(this.metrics, coordination.gate),
@@ -166,7 +166,7 @@
         nodeId: settings.node.id,
         zone: settings.node.zone,
         nodeState: () => this.lifecycle.current,
-        duties: () => coordination.duties.names(),
+        duties: () => coordination.singletonTasks.names(),
       }),
     ]);
   }
--- a/src/node/resource/duties.ts
+++ b/src/node/resource/singleton-task-list.ts
@@ -2,12 +2,12 @@
 
 import type { MachineWatch } from '../../coordination/resource/membership/index.js';
 import { RolloutOwner, type RolloutOwnerParts } from '../../coordination/resource/rollouts/index.js';
-import type { Duty } from '../../coordination/resource/singleton-tasks/index.js';
+import type { SingletonTask } from '../../coordination/resource/singleton-tasks/index.js';
 import { WeightRollout, type WeightRolloutParts } from '../../coordination/resource/weights/index.js';
 import type { ConfigView } from '../../state/resource/configuration/index.js';
 
 /** What the tasks need. */
-export interface DutyParts {
+export interface SingletonTaskParts {
   readonly view: ConfigView;
   readonly rollouts: RolloutOwnerParts;
   readonly weights: WeightRolloutParts;
@@ -16,30 +16,30 @@
 }
 
 /** Lists the duties. */
-export function listDuties(parts: DutyParts): Duty[] {
+export function listSingletonTasks(parts: SingletonTaskParts): SingletonTask[] {
   const trainers = parts.view.list('Trainer').flatMap((trainer) => {
     const { name } = trainer.metadata;
-    return shards(trainer.spec.shards ?? 1).map((shard) => rolloutDuty(parts, name, shard));
+    return shards(trainer.spec.shards ?? 1).map((shard) => rolloutTask(parts, name, shard));
   });
   const models = parts.view.list('Model').flatMap((model) => {
     const { name } = model.metadata;
-    return shards(model.spec.slices ?? 1).map((slice) => weightDuty(parts, name, slice));
+    return shards(model.spec.slices ?? 1).map((slice) => weightTask(parts, name, slice));
   });
-  return [...trainers, ...models, ...machineDuties(parts)];
+  return [...trainers, ...models, ...machineTasks(parts)];
 }
 
 function shards(count: number): number[] {
   return Array.from({ length: count }, (_, index) => index);
 }
 
-function rolloutDuty(parts: DutyParts, trainer: string, shard: number): Duty {
+function rolloutTask(parts: SingletonTaskParts, trainer: string, shard: number): SingletonTask {
   return {
     name: `rollouts/${trainer}/${shard}`,
     createTask: (lease, signals) => new RolloutOwner(parts.rollouts, trainer, shard, lease, signals),
   };
 }
 
-function weightDuty(parts: DutyParts, model: string, slice: number): Duty {
+function weightTask(parts: SingletonTaskParts, model: string, slice: number): SingletonTask {
   return {
     name: `weights/${model}/${slice}`,
     createTask: (lease, { stop, lost }) =>
@@ -47,10 +47,10 @@
   };
 }
 
-function machineDuties(parts: DutyParts): Duty[] {
+function machineTasks(parts: SingletonTaskParts): SingletonTask[] {
   const { machineWatch } = parts;
   if (!machineWatch) return [];
-  const createTask: Duty['createTask'] = (_lease, { stop, lost }) => ({
+  const createTask: SingletonTask['createTask'] = (_lease, { stop, lost }) => ({
     run: () => machineWatch.run(AbortSignal.any([stop, lost])),
     isIdle: () => true,
   });
--- a/src/node/service/dispatch-parts.ts
+++ b/src/node/service/dispatch-parts.ts
@@ -73,7 +73,7 @@
       members: () => this.fleet.members,
       directory,
       queues: this.queues,
-      isStoreInReach: () => store.isInReach(),
+      isStoreAnswering: () => store.isAnswering(),
       call: callPeer,
       metrics,
       logger,
@@ -87,7 +87,7 @@
     framed: Framed<DispatchMessage>,
     signal: AbortSignal,
   ): Promise<Framed<DispatchOutcomeMessage>> | undefined {
-    const knowsLess = framed.message.isServed && !this.services.store.isInReach();
+    const knowsLess = framed.message.isServed && !this.services.store.isAnswering();
     if (this.queues.areClosed || knowsLess) return undefined;
     return this.queues.dispatch(toCall(framed, signal)).then(toOutcomeMessage);
   }
--- a/src/node/service/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -8,11 +8,11 @@
 import { uniqueId } from '../../common/identifier.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import { FEED_WAIT_MS, type FeedObserver, RecordFeed, SharedTable } from '../../coordination/feeds/index.js';
-import { ReplicaEndCheck, ReplicaExchange } from '../../coordination/service/dispatch/index.js';
+import { CrashCheck, ReplicaExchange } from '../../coordination/service/dispatch/index.js';
 import { Placement, SampleLengths, SampleScorer } from '../../coordination/service/generation/index.js';
 import type { SubmissionParser } from '../../coordination/service/jobs/index.js';
 import { JobCalls, JobForwarding, JobOwnership } from '../../coordination/service/jobs/index.js';
-import { DutyLease } from '../../coordination/service/leadership/index.js';
+import { LeaderLease } from '../../coordination/service/leadership/index.js';
 import {
   type AnnouncementFormat,
   OperatorAnnouncements,
@@ -27,29 +27,29 @@
   ServiceRelay,
 } from '../../coordination/service/requests/index.js';
 import { UsageAccounting } from '../../coordination/service/usage/index.js';
-import { WeightOrders } from '../../coordination/service/weights/index.js';
+import { LoadCommander } from '../../coordination/service/weights/index.js';
 import type { RecordStore } from '../../protocol/record-store.js';
 import type { PeerConfigurationAnswer } from '../../protocol/service/configuration-peer.js';
+import type { CrashReportMessage, CrashReportsAnswer } from '../../protocol/service/crash-report-peer.js';
 import type {
   DispatchMessage,
   DispatchOutcomeMessage,
   Framed,
 } from '../../protocol/service/dispatch-peer.js';
-import type { FatalRunAnswer, FatalRunMessage } from '../../protocol/service/fatal-run-peer.js';
 import type { JobPeer } from '../../protocol/service/job-calls.js';
 import type { ReplicaClient } from '../../protocol/service/replica.js';
 import type { ServiceSettings, UsageSettings } from '../../protocol/service/service-settings.js';
 import type { UsageSink } from '../../protocol/service/usage.js';
 import { RoutingTable, TargetSplitter } from '../../state/service/configuration/index.js';
-import type { JobOwner } from '../../state/service/jobs/index.js';
+import type { OwnerReference } from '../../state/service/jobs/index.js';
 import { JobRepository, ResultCache } from '../../state/service/jobs/index.js';
-import { FATAL_RUN_PARTITION, ReplicaDirectory, WeightVersions } from '../../state/service/replicas/index.js';
+import { CRASH_PARTITION, ReplicaDirectory, WeightVersions } from '../../state/service/replicas/index.js';
 import { DispatchParts, type PeerCall } from './dispatch-parts.js';
 
 /** Duty of giving orders to model replicas. */
-const ORDERS_DUTY = 'weight-orders';
+const LOAD_COMMANDS_TASK = 'weight-orders';
 /** Duty of reporting usage. */
-const USAGE_DUTY = 'usage';
+const USAGE_TASK = 'usage';
 /** Longest effort at the end to keep what was counted, milliseconds. */
 const FLUSH_MS = 1_500;
 /** Part of the memory that listed results may take. */
@@ -90,10 +90,10 @@
   /** Asks another node for a configuration newer than a version. */
   readonly askForConfiguration: (address: string, version: number) => Promise<PeerConfigurationAnswer>;
   /** Exchanges reports of requests that end replicas with another node. */
-  readonly exchangeFatalRuns: (
+  readonly exchangeCrashReports: (
     address: string,
-    reports: readonly FatalRunMessage[],
-  ) => Promise<FatalRunAnswer | undefined>;
+    reports: readonly CrashReportMessage[],
+  ) => Promise<CrashReportsAnswer | undefined>;
   /** Gives a request to the node that deals out the places of its service. */
   readonly dispatchAtPeer: PeerCall;
   readonly metrics: ServiceMetrics;
@@ -123,8 +123,8 @@
   private readonly ownership: JobOwnership;
   private readonly sessions: SessionMonitor;
   private readonly peers: PeerAddresses;
-  private readonly orderLease: DutyLease;
-  private readonly orders: WeightOrders;
+  private readonly loadLease: LeaderLease;
+  private readonly loadCommander: LoadCommander;
   private readonly operators: OperatorAnnouncements;
   private readonly peerConfiguration: PeerConfiguration;
   /** `undefined` where no usage is reported. */
@@ -141,9 +141,9 @@
     setMaxListeners(0, this.controller.signal);
     const { store, client, format, parseSubmission, metrics, logger } = parts;
     const settings = parts.settings();
-    const self: JobOwner = { node: settings.nodeName, life: uniqueId() };
+    const self: OwnerReference = { node: settings.nodeName, life: uniqueId() };
     const splitter = new TargetSplitter();
-    const endCheck = new ReplicaEndCheck(metrics);
+    const endCheck = new CrashCheck(metrics);
     const exchange = new ReplicaExchange(client, endCheck, metrics, logger);
     const repository = new JobRepository(store);
     const cache = new ResultCache(settings.memoryBytes * RESULT_CACHE_FRACTION);
@@ -206,25 +206,25 @@
       cache,
       parseSubmission,
       logger,
-      isStoreInReach: () => store.isInReach(),
+      isStoreAnswering: () => store.isAnswering(),
       forwarding: new JobForwarding({
         peer: parts.peer,
         peers: this.peers,
-        isStoreInReach: () => store.isInReach(),
+        isStoreAnswering: () => store.isAnswering(),
         logger,
       }),
     });
-    const apartMs = () => parts.settings().leaseMs;
-    this.orderLease = new DutyLease(store, ORDERS_DUTY, self, this.sessions, apartMs, logger);
-    this.sessions.onPoll((records) => this.orderLease.observe(records, this.hasModels && !this.isDraining));
-    this.usage = settings.usage && this.createUsage(settings.usage, self, apartMs);
+    const handoverGuardMs = () => parts.settings().leaseMs;
+    this.loadLease = new LeaderLease(store, LOAD_COMMANDS_TASK, self, this.sessions, handoverGuardMs, logger);
+    this.sessions.onPoll((records) => this.loadLease.observe(records, this.hasModels && !this.isDraining));
+    this.usage = settings.usage && this.createUsage(settings.usage, self, handoverGuardMs);
     this.sessions.onPoll((records) => this.usage?.observe(records, !this.isDraining));
-    this.orders = new WeightOrders({
+    this.loadCommander = new LoadCommander({
       routing: this.routing,
       directory: this.directory,
       versions: this.versions,
       client,
-      lease: this.orderLease,
+      lease: this.loadLease,
       demandOf: (model) => this.ownership.demandOf(model),
       requestsOf: (model) => this.ownership.requestsOf(model),
       nodeName: settings.nodeName,
@@ -241,26 +241,26 @@
       logger,
     );
     this.peerConfiguration = new PeerConfiguration({
-      isStoreInReach: () => store.isInReach(),
+      isStoreAnswering: () => store.isAnswering(),
       isFollowed: () => this.isConfigurationFollowed,
       peers: (count) => this.peers.likeliestPeers(count),
       version: () => this.routing.current?.version ?? 0,
       ask: parts.askForConfiguration,
       take: (value) => this.operators.takeConfiguration(value),
-      onTurnedAway: () => this.ownership.giveUpRuns(),
+      onRejectedByStore: () => this.ownership.cancelRuns(),
       logger,
     });
     this.quarantineExchange = new QuarantineExchange({
       quarantine: this.quarantine,
-      isStoreInReach: () => store.isInReach(),
+      isStoreAnswering: () => store.isAnswering(),
       peers: (count) => this.peers.likeliestPeers(count),
-      ask: parts.exchangeFatalRuns,
+      ask: parts.exchangeCrashReports,
     });
     const replicas = new ReplicaAnnouncements({
       store,
       format,
       directory: this.directory,
-      beatMs: () => parts.settings().replicaBeatMs,
+      heartbeatMs: () => parts.settings().replicaHeartbeatMs,
       isFollowed: () => this.isFollowing(this.replicaFeed),
       metrics,
       logger,
@@ -275,7 +275,7 @@
       new RecordFeed(store, this.dispatch.fleet, observer, pause),
       new RecordFeed(
         store,
-        new SharedTable(this.ownership, { partition: FATAL_RUN_PARTITION, handler: this.quarantine }),
+        new SharedTable(this.ownership, { partition: CRASH_PARTITION, handler: this.quarantine }),
         observer,
         pause,
       ),
@@ -296,7 +296,7 @@
     void this.usage?.run(signal);
     for (const feed of this.feeds) void feed.run(signal);
     void this.sessions.run(signal);
-    void this.orders.run(signal);
+    void this.loadCommander.run(signal);
   }
 
   /**
@@ -307,7 +307,7 @@
     const isInformed = this.routing.current !== undefined && this.directory.ids.length > 0;
     const hasFollowed = Number.isFinite(this.operatorFeed.ageMs);
     const knowsFatalRuns = this.quarantine.isInformed || monotonicMs() - this.startedAtMs > UNINFORMED_MS;
-    return !this.isDraining && isInformed && hasFollowed && knowsFatalRuns && this.parts.store.isInReach();
+    return !this.isDraining && isInformed && hasFollowed && knowsFatalRuns && this.parts.store.isAnswering();
   }
 
   /**
@@ -324,12 +324,12 @@
    */
   private get isConfigurationFollowed(): boolean {
     const boundMs = Math.max(this.parts.settings().configurationBoundMs, this.usualFeedAgeMs);
-    return this.parts.store.isInReach() && this.operatorFeed.ageMs < boundMs;
+    return this.parts.store.isAnswering() && this.operatorFeed.ageMs < boundMs;
   }
 
   /** Whether a feed goes on as usual: its newest answer is to the question before the one that is open. */
   private isFollowing(feed: RecordFeed<unknown>): boolean {
-    return this.parts.store.isInReach() && feed.ageMs < FEED_WAIT_MS + this.usualFeedAgeMs;
+    return this.parts.store.isAnswering() && feed.ageMs < FEED_WAIT_MS + this.usualFeedAgeMs;
   }
 
   private get usualFeedAgeMs(): number {
@@ -345,10 +345,10 @@
   }
 
   /** What another node is told that exchanges reports of requests that end replicas. */
-  exchangeFatalRuns(reports: readonly FatalRunMessage[]): FatalRunAnswer {
+  exchangeCrashReports(reports: readonly CrashReportMessage[]): CrashReportsAnswer {
     const known = this.quarantine.reports.newest;
     this.quarantine.takeFromPeer(reports);
-    return { isServed: this.parts.store.isInReach(), reports: [...known] };
+    return { isServed: this.parts.store.isAnswering(), reports: [...known] };
   }
 
   /** A request of another node for a service whose places this one deals out; `undefined` when it takes none. */
@@ -380,7 +380,7 @@
     metrics.items.set({ state: 'open' }, this.ownership.openItems);
     metrics.items.set({ state: 'waiting' }, this.placement.waitingCount);
     metrics.oldestJobSeconds.set({}, this.ownership.oldestAgeMs / MILLISECONDS_PER_SECOND);
-    metrics.dutiesHeld.set({}, this.leases.filter((lease) => lease.isHeld).length);
+    metrics.leaderLeasesHeld.set({}, this.leases.filter((lease) => lease.isHeld).length);
     this.usage?.measure();
     this.quarantine.measure();
     this.dispatch.measure();
@@ -416,14 +416,18 @@
     await Promise.race([this.usage?.flush(AbortSignal.timeout(FLUSH_MS)), sleep(FLUSH_MS)]);
   }
 
-  private createUsage(usageSettings: UsageSettings, self: JobOwner, apartMs: () => number): UsageAccounting {
+  private createUsage(
+    usageSettings: UsageSettings,
+    self: OwnerReference,
+    apartMs: () => number,
+  ): UsageAccounting {
     const { store, metrics, logger, createUsageSink } = this.parts;
     return new UsageAccounting({
       settings: usageSettings,
       sink: createUsageSink(usageSettings),
       store,
       peers: this.peers,
-      lease: new DutyLease(store, USAGE_DUTY, self, this.sessions, apartMs, logger),
+      lease: new LeaderLease(store, USAGE_TASK, self, this.sessions, apartMs, logger),
       self,
       metrics,
       logger,
@@ -431,8 +435,8 @@
   }
 
   /** Leases of all duties that this node may hold. */
-  private get leases(): DutyLease[] {
-    return [this.orderLease, ...(this.usage ? [this.usage.lease] : [])];
+  private get leases(): LeaderLease[] {
+    return [this.loadLease, ...(this.usage ? [this.usage.lease] : [])];
   }
 
   private get hasModels(): boolean {
--- a/src/node/service/service-process.ts
+++ b/src/node/service/service-process.ts
@@ -4,17 +4,17 @@
 import type { StandardOutputLogger } from '../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import { CONFIGURATION_PATH, NEWER_THAN } from '../../protocol/service/configuration-peer.js';
+import {
+  CRASH_REPORTS_PATH,
+  MAX_MESSAGE_BYTES,
+  parseCrashReports,
+} from '../../protocol/service/crash-report-peer.js';
 import {
   DISPATCH_PATH,
   MAX_DISPATCH_BYTES,
   parseDispatch,
   renderDispatchOutcome,
 } from '../../protocol/service/dispatch-peer.js';
-import {
-  FATAL_RUNS_PATH,
-  MAX_MESSAGE_BYTES,
-  parseFatalRunQuestion,
-} from '../../protocol/service/fatal-run-peer.js';
 import type { ServiceSettings } from '../../protocol/service/service-settings.js';
 import { callerGone, HttpServer, readRequestBody, sendJson } from '../../transport/http-server.js';
 import type { ServiceNode } from './service-node.js';
@@ -88,8 +88,8 @@
     this.peers.route('GET', CONFIGURATION_PATH, async (request, response) =>
       this.answerPeer(request, response),
     );
-    this.peers.route('POST', FATAL_RUNS_PATH, (request, response) =>
-      this.exchangeFatalRuns(request, response),
+    this.peers.route('POST', CRASH_REPORTS_PATH, (request, response) =>
+      this.exchangeCrashReports(request, response),
     );
   }
 
@@ -131,10 +131,10 @@
   }
 
   /** Another node, which the store does not serve, exchanges reports of requests that end replicas. */
-  private async exchangeFatalRuns(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async exchangeCrashReports(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readRequestBody(request, MAX_MESSAGE_BYTES);
-    const reports = body && parseFatalRunQuestion(body);
-    if (reports) sendJson(response, 200, this.parts.node.exchangeFatalRuns(reports));
+    const reports = body && parseCrashReports(body);
+    if (reports) sendJson(response, 200, this.parts.node.exchangeCrashReports(reports));
     else sendJson(response, 400, { error: 'no reports' });
   }
 
--- a/src/protocol/record-store.ts
+++ b/src/protocol/record-store.ts
@@ -132,7 +132,7 @@
   /** How long an answer usually takes now, milliseconds; 0 while nothing is known. */
   usualAnswerMs(): number;
   /** Whether the store has served this process lately; false when all calls of some time were left without success. */
-  isInReach(): boolean;
+  isAnswering(): boolean;
   /** The store's steady clock, milliseconds, as estimated from its newest answer. */
   nowMs(): number;
 }
--- a/src/protocol/resource/engine.ts
+++ b/src/protocol/resource/engine.ts
@@ -6,7 +6,7 @@
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
 import type { HttpClient, IncomingResponse } from '../../transport/http-client.js';
-import { readWhole } from '../../transport/http-client.js';
+import { readFully } from '../../transport/http-client.js';
 import { fromTransport, ProtocolError } from '../protocol-error.js';
 import { Validator } from '../validation.js';
 import { exchangeJson, retryAfterMs } from './json-exchange.js';
@@ -80,7 +80,7 @@
 export type EngineState = Static<typeof EngineStateSchema>;
 
 /** A fenced order. An engine refuses a fence that is lower than the highest it has seen. */
-export const EngineOrderSchema = Type.Union([
+export const EngineCommandSchema = Type.Union([
   Type.Object({
     fence: Type.Integer({ minimum: 0 }),
     order: Type.Literal('load'),
@@ -94,7 +94,7 @@
     role: Type.Union([Type.Literal('serving'), Type.Literal('draining')]),
   }),
 ]);
-export type EngineOrder = Static<typeof EngineOrderSchema>;
+export type EngineCommand = Static<typeof EngineCommandSchema>;
 
 /** Header by which a back end says of a refusal that it did not admit the request. */
 export const NOT_ADMITTED_HEADER = 'x-not-admitted';
@@ -132,7 +132,7 @@
     });
     if (sent.isErr()) return err(fromTransport(sent.error, 'generate'));
     if (sent.value.status === 200) return ok({ response: sent.value });
-    const reason = await readWhole(sent.value.body, REFUSAL_LIMIT_BYTES);
+    const reason = await readFully(sent.value.body, REFUSAL_LIMIT_BYTES);
     const effect = sent.value.headers[NOT_ADMITTED_HEADER] === 'true' ? 'none' : 'unknown';
     const wait = retryAfterMs(sent.value.headers);
     const text = reason.map((bytes) => bytes.toString('utf8')).unwrapOr('');
@@ -152,7 +152,7 @@
   }
 
   /** Gives a fenced order; resolves when it has been carried out. */
-  order(address: string, order: EngineOrder): Promise<Result<EngineState, ProtocolError>> {
+  order(address: string, order: EngineCommand): Promise<Result<EngineState, ProtocolError>> {
     const call = { method: 'POST', url: `${address}/orders`, json: order, headTimeoutMs: ORDER_TIMEOUT_MS };
     return exchangeJson(this.client, call, state);
   }
--- a/src/protocol/resource/json-exchange.ts
+++ b/src/protocol/resource/json-exchange.ts
@@ -1,7 +1,7 @@
 /** JSON request and response over the transport, with the answer checked against a schema. */
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
-import type { HttpClient, OutgoingRequest, WholeResponse } from '../../transport/http-client.js';
+import type { BufferedResponse, HttpClient, OutgoingRequest } from '../../transport/http-client.js';
 import { fromTransport, ProtocolError } from '../protocol-error.js';
 import { formatProblems, type Validator } from '../validation.js';
 
@@ -16,7 +16,7 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 /** The `Retry-After` of an answer in milliseconds, when it is given in seconds. */
-export function retryAfterMs(headers: WholeResponse['headers']): number | undefined {
+export function retryAfterMs(headers: BufferedResponse['headers']): number | undefined {
   const seconds = Number(headers['retry-after']);
   return Number.isFinite(seconds) ? seconds * MILLISECONDS_PER_SECOND : undefined;
 }
@@ -30,7 +30,7 @@
   }
 }
 
-function refusal(response: WholeResponse, target: string): ProtocolError {
+function refusal(response: BufferedResponse, target: string): ProtocolError {
   const detail = parseJson(response.body).unwrapOr(undefined);
   const wait = retryAfterMs(response.headers);
   const message = `${target}: status ${response.status}`;
--- a/src/protocol/service/fatal-run-peer.ts
+++ b/src/protocol/service/crash-report-peer.ts
@@ -7,7 +7,7 @@
 import { Validator } from '../validation.js';
 
 /** Path of the exchange. */
-export const FATAL_RUNS_PATH = '/fatal-runs';
+export const CRASH_REPORTS_PATH = '/fatal-runs';
 /** Reports in one message at most. */
 export const MAX_REPORTS = 500;
 /** Size of a message at most, bytes. */
@@ -19,18 +19,18 @@
   key: Type.String({ maxLength: MAX_TEXT }),
   value: Type.String({ maxLength: MAX_TEXT }),
 });
-export type FatalRunMessage = Static<typeof ReportSchema>;
+export type CrashReportMessage = Static<typeof ReportSchema>;
 
 const ReportsSchema = Type.Array(ReportSchema, { maxItems: MAX_REPORTS });
-const QuestionSchema = Type.Object({ reports: ReportsSchema });
+const RequestSchema = Type.Object({ reports: ReportsSchema });
 const AnswerSchema = Type.Object({
   /** Whether the store serves the other node, so that it passes on what it was told. */
   isServed: Type.Boolean(),
   reports: ReportsSchema,
 });
-export type FatalRunAnswer = Static<typeof AnswerSchema>;
+export type CrashReportsAnswer = Static<typeof AnswerSchema>;
 
-const question = new Validator(QuestionSchema);
+const requestValidator = new Validator(RequestSchema);
 const answer = new Validator(AnswerSchema);
 
 const STATUS_OK = 200;
@@ -45,23 +45,23 @@
 }
 
 /** The reports in a question; `undefined` when it is none. */
-export function parseFatalRunQuestion(body: Buffer): readonly FatalRunMessage[] | undefined {
-  return question
+export function parseCrashReports(body: Buffer): readonly CrashReportMessage[] | undefined {
+  return requestValidator
     .check(parseJson(body))
     .map(({ reports }) => reports)
     .unwrapOr(undefined);
 }
 
 /** Exchanges reports with the node at `address` (`IP:PORT`); `undefined` when it does not answer. */
-export async function exchangeFatalRuns(
+export async function exchangeCrashReports(
   http: HttpClient,
   address: string,
-  reports: readonly FatalRunMessage[],
-): Promise<FatalRunAnswer | undefined> {
+  reports: readonly CrashReportMessage[],
+): Promise<CrashReportsAnswer | undefined> {
   const response = await http.exchange(
     {
       method: 'POST',
-      url: `http://${address}${FATAL_RUNS_PATH}`,
+      url: `http://${address}${CRASH_REPORTS_PATH}`,
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify({ reports }),
       totalTimeoutMs: CALL_TIMEOUT_MS,
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -6,7 +6,7 @@
 import type { Readable } from 'node:stream';
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
-import { type HttpClient, readWhole } from '../../transport/http-client.js';
+import { type HttpClient, readFully } from '../../transport/http-client.js';
 import { TransportError } from '../../transport/transport-error.js';
 import { Validator } from '../validation.js';
 
@@ -154,7 +154,7 @@
 }
 
 async function readOutcome(body: Readable): Promise<Result<Framed<DispatchOutcomeMessage>, TransportError>> {
-  const bytes = await readWhole(body, MAX_DISPATCH_BYTES);
+  const bytes = await readFully(body, MAX_DISPATCH_BYTES);
   return bytes.andThen((whole) => {
     const parts = unframe(whole);
     const message = parts && outcome.check(parts.line).unwrapOr(undefined as never);
--- a/src/protocol/service/replica.ts
+++ b/src/protocol/service/replica.ts
@@ -3,11 +3,11 @@
 import type { Result } from 'neverthrow';
 import type { TransportError } from '../../transport/transport-error.js';
 
-/** A replica as it announces itself. One that starts again may keep its `id`; `bornMs` tells its lives apart. */
+/** A replica as it announces itself. One that starts again may keep its `id`; `startedAtMs` tells its incarnations apart. */
 export interface Replica {
   readonly id: string;
   /** When it started, by its own time of day, milliseconds since 1970; `undefined` where replicas don't say. */
-  readonly bornMs: number | undefined;
+  readonly startedAtMs: number | undefined;
   readonly service: string;
   /** `IP:PORT`. */
   readonly address: string;
@@ -78,12 +78,12 @@
 /** What a model replica tells of itself. */
 export interface ReplicaReport {
   /** Start of the life that reports, as in `Replica`. */
-  readonly bornMs: number | undefined;
+  readonly startedAtMs: number | undefined;
   readonly modelVersions: ReadonlyMap<string, number>;
   /** Whether an order is under way. */
   readonly isBusy: boolean;
   /** Orders taken since its start. */
-  readonly orderCount: number;
+  readonly commandCount: number;
   readonly waiting: number;
   readonly running: number;
 }
@@ -92,7 +92,7 @@
 export type LoadMode = 'wait' | 'truncate' | 'retain';
 
 /** An order to load a version. */
-export interface LoadOrder {
+export interface LoadCommand {
   readonly model: string;
   readonly version: number;
   readonly mode: LoadMode;
@@ -101,11 +101,11 @@
   /** Rises with each change of the holder. */
   readonly fencingToken: number;
   /** The order is void unless the replica has taken this number of orders. */
-  readonly expectedOrderCount: number;
+  readonly expectedCommandCount: number;
 }
 
 /** What became of an order. */
-export type OrderOutcome = 'accepted' | 'already-loaded' | 'conflict' | 'fenced-off' | 'rejected';
+export type CommandOutcome = 'accepted' | 'already-loaded' | 'conflict' | 'fenced-off' | 'rejected';
 
 /** Client of replicas. No call is ever repeated by it. */
 export interface ReplicaClient {
@@ -113,5 +113,9 @@
   readonly eventVersionField: string;
   dispatch(replica: Replica, request: ReplicaRequest): Promise<Result<ReplicaAnswer, TransportError>>;
   report(replica: Replica, timeoutMs: number): Promise<Result<ReplicaReport, TransportError>>;
-  order(replica: Replica, order: LoadOrder, timeoutMs: number): Promise<Result<OrderOutcome, TransportError>>;
+  load(
+    replica: Replica,
+    order: LoadCommand,
+    timeoutMs: number,
+  ): Promise<Result<CommandOutcome, TransportError>>;
 }
--- a/src/protocol/service/service-settings.ts
+++ b/src/protocol/service/service-settings.ts
@@ -37,7 +37,7 @@
   /** Two holders of one duty never act on one replica within this time. */
   readonly leaseMs: number;
   /** How often a replica writes its announcement. */
-  readonly replicaBeatMs: number;
+  readonly replicaHeartbeatMs: number;
   /** How long results stay readable after a job was submitted. */
   readonly resultRetentionMs: number;
   /** `undefined` where no usage is reported. */
--- a/src/state/service/admission/waiting-list.ts
+++ b/src/state/service/admission/waiting-list.ts
@@ -6,7 +6,7 @@
  *
  * Pure decisions: the time is passed in.
  */
-import type { FlowUsage } from './party-use.js';
+import type { FlowUsage } from './flow-usage.js';
 
 /** What the order looks at. Times are on the monotonic clock, milliseconds. */
 export interface Waiting {
--- a/src/state/service/jobs/job-record.ts
+++ b/src/state/service/jobs/job-record.ts
@@ -16,7 +16,7 @@
 const AFTER_KEYS = '~';
 
 /** Who runs a job: one life of one node's process. */
-export interface JobOwner {
+export interface OwnerReference {
   readonly node: string;
   readonly life: string;
 }
@@ -25,7 +25,7 @@
 export interface JobRecord {
   readonly state: 'open' | 'ended';
   /** `null` when the last owner has handed the job back. */
-  readonly owner: JobOwner | null;
+  readonly owner: OwnerReference | null;
   /** Rises with each change of the owner. */
   readonly epoch: number;
   readonly host: string;
--- a/src/state/service/jobs/job-repository.ts
+++ b/src/state/service/jobs/job-repository.ts
@@ -15,8 +15,8 @@
   JOB_PARTITIONS,
   JOB_TABLE,
   type JobHead,
-  type JobOwner,
   type JobRecord,
+  type OwnerReference,
   parseJobRecord,
 } from './job-record.js';
 import type { SubmittedJob } from './submitted-job.js';
@@ -53,7 +53,7 @@
   /** Accepts a job once, for `owner` to run. A failure whose effect is `unknown` may still become an accepted job. */
   async accept(
     job: SubmittedJob,
-    owner: JobOwner | null,
+    owner: OwnerReference | null,
     deadlineMs: number,
   ): Promise<Result<Acceptance, StateError>> {
     const stored = await this.contents.storeSubmission(job);
@@ -104,7 +104,7 @@
   }
 
   /** Makes `owner` the owner, if the head is still the one given. */
-  claim(head: JobHead, owner: JobOwner, deadlineMs: number): Promise<Result<JobHead, StateError>> {
+  claim(head: JobHead, owner: OwnerReference, deadlineMs: number): Promise<Result<JobHead, StateError>> {
     return this.replaceHead(head, { ...head.record, owner, epoch: head.record.epoch + 1 }, deadlineMs);
   }
 
--- a/src/state/service/replicas/fatal-runs.ts
+++ b/src/state/service/replicas/crash-history.ts
@@ -6,7 +6,7 @@
  */
 
 /** A replica ended while it ran a request. */
-export interface FatalRun {
+export interface Crash {
   /** Says which request it was, whatever identifier it bore. */
   readonly digest: string;
   /** `IP:PORT` of the replica. */
@@ -48,35 +48,35 @@
 const MAX_REMEMBERED = 5_000;
 
 /** After this time a run is no longer held against its request, milliseconds. */
-export const FATAL_RUN_EXPIRY_MS = LONG_HOLD_MS;
+export const CRASH_EXPIRY_MS = LONG_HOLD_MS;
 
 const CLEAR: Verdict = { kind: 'clear' };
 
 /** The end of a replica, and the requests that it ran. */
-interface ReplicaEnd {
+interface ReplicaCrash {
   readonly endedAtMs: number;
   readonly digests: Set<string>;
 }
 
 /** All that one node knows. */
-export class FatalRuns {
-  private readonly endsByAddress = new Map<string, ReplicaEnd[]>();
-  private readonly endsByDigest = new Map<string, ReplicaEnd[]>();
+export class CrashHistory {
+  private readonly crashesByAddress = new Map<string, ReplicaCrash[]>();
+  private readonly crashesByDigest = new Map<string, ReplicaCrash[]>();
   /** When requests that were accused before were served last, milliseconds. */
   private readonly servedAtMs = new Map<string, number>();
 
   /** Requests that are remembered. */
   get size(): number {
-    return this.endsByDigest.size;
+    return this.crashesByDigest.size;
   }
 
   /** Takes a run; false when it was known, or the request was served since. */
-  note({ digest, address, endedAtMs }: FatalRun): boolean {
+  note({ digest, address, endedAtMs }: Crash): boolean {
     if (endedAtMs <= (this.servedAtMs.get(digest) ?? Number.NEGATIVE_INFINITY)) return false;
-    const end = this.endAt(address, endedAtMs);
+    const end = this.crashAt(address, endedAtMs);
     if (end.digests.has(digest)) return false;
     end.digests.add(digest);
-    this.endsByDigest.set(digest, [...(this.endsByDigest.get(digest) ?? []), end]);
+    this.crashesByDigest.set(digest, [...(this.crashesByDigest.get(digest) ?? []), end]);
     if (this.size > MAX_REMEMBERED) this.forgetOldest();
     return true;
   }
@@ -88,26 +88,26 @@
     this.servedAtMs.set(digest, Math.max(before, servedAtMs));
     const [oldest] = this.servedAtMs.keys();
     if (this.servedAtMs.size > MAX_REMEMBERED && oldest !== undefined) this.servedAtMs.delete(oldest);
-    const ends = this.endsByDigest.get(digest) ?? [];
+    const ends = this.crashesByDigest.get(digest) ?? [];
     const later = ends.filter(({ endedAtMs }) => endedAtMs > servedAtMs);
     for (const end of ends) if (end.endedAtMs <= servedAtMs) end.digests.delete(digest);
-    if (later.length === 0) this.endsByDigest.delete(digest);
-    else this.endsByDigest.set(digest, later);
+    if (later.length === 0) this.crashesByDigest.delete(digest);
+    else this.crashesByDigest.set(digest, later);
     return later.length < ends.length;
   }
 
   /** Whether a replica has ended under the request, and it was not served since. */
   isAccused(digest: string): boolean {
-    return this.endsByDigest.has(digest);
+    return this.crashesByDigest.has(digest);
   }
 
   /** What may be done with a request at `nowMs` on the store's clock. */
   judge(digest: string, nowMs: number): Verdict {
-    const ends = this.endsByDigest.get(digest);
+    const ends = this.crashesByDigest.get(digest);
     if (!ends) return CLEAR;
     const count = ends.length;
     const lastMs = Math.max(...ends.map(({ endedAtMs }) => endedAtMs));
-    const retryAfterMs = lastMs + this.holdMs(digest, ends) - nowMs;
+    const retryAfterMs = lastMs + this.quarantineMs(digest, ends) - nowMs;
     return retryAfterMs > 0
       ? { kind: 'held', ends: count, retryAfterMs }
       : { kind: 'suspected', ends: count };
@@ -115,44 +115,44 @@
 
   /** Forgets all runs before `ms` on the store's clock. */
   forgetBefore(ms: number): void {
-    for (const [digest, ends] of this.endsByDigest) {
+    for (const [digest, ends] of this.crashesByDigest) {
       const kept = ends.filter(({ endedAtMs }) => endedAtMs >= ms);
-      if (kept.length === 0) this.endsByDigest.delete(digest);
-      else if (kept.length < ends.length) this.endsByDigest.set(digest, kept);
+      if (kept.length === 0) this.crashesByDigest.delete(digest);
+      else if (kept.length < ends.length) this.crashesByDigest.set(digest, kept);
     }
     for (const [digest, servedAtMs] of this.servedAtMs) if (servedAtMs < ms) this.servedAtMs.delete(digest);
-    for (const [address, ends] of this.endsByAddress) {
+    for (const [address, ends] of this.crashesByAddress) {
       const kept = ends.filter(({ endedAtMs }) => endedAtMs >= ms);
-      if (kept.length === 0) this.endsByAddress.delete(address);
-      else this.endsByAddress.set(address, kept);
+      if (kept.length === 0) this.crashesByAddress.delete(address);
+      else this.crashesByAddress.set(address, kept);
     }
   }
 
-  private holdMs(digest: string, ends: readonly ReplicaEnd[]): number {
+  private quarantineMs(digest: string, ends: readonly ReplicaCrash[]): number {
     if (ends.length >= MAX_ENDS) return LONG_HOLD_MS;
     return ends.length >= SOLE_SUSPECT_ENDS && this.isSoleSuspect(digest, ends) ? SHORT_HOLD_MS : 0;
   }
 
   /** Whether no other request ran at each of the ends. */
-  private isSoleSuspect(digest: string, [first, ...others]: readonly ReplicaEnd[]): boolean {
+  private isSoleSuspect(digest: string, [first, ...others]: readonly ReplicaCrash[]): boolean {
     for (const other of first?.digests ?? [])
       if (other !== digest && others.every(({ digests }) => digests.has(other))) return false;
     return true;
   }
 
-  private endAt(address: string, endedAtMs: number): ReplicaEnd {
-    const ends = this.endsByAddress.get(address) ?? [];
+  private crashAt(address: string, endedAtMs: number): ReplicaCrash {
+    const ends = this.crashesByAddress.get(address) ?? [];
     const same = ends.find((end) => Math.abs(end.endedAtMs - endedAtMs) < SAME_END_MS);
     if (same) return same;
-    const end: ReplicaEnd = { endedAtMs, digests: new Set() };
-    this.endsByAddress.set(address, [...ends, end]);
+    const end: ReplicaCrash = { endedAtMs, digests: new Set() };
+    this.crashesByAddress.set(address, [...ends, end]);
     return end;
   }
 
   private forgetOldest(): void {
-    const [oldest] = this.endsByDigest.keys();
+    const [oldest] = this.crashesByDigest.keys();
     if (oldest === undefined) return;
-    for (const end of this.endsByDigest.get(oldest) ?? []) end.digests.delete(oldest);
-    this.endsByDigest.delete(oldest);
+    for (const end of this.crashesByDigest.get(oldest) ?? []) end.digests.delete(oldest);
+    this.crashesByDigest.delete(oldest);
   }
 }
--- a/src/state/service/replicas/fatal-run-record.ts
+++ b/src/state/service/replicas/crash-record.ts
@@ -4,10 +4,10 @@
  */
 import type { ChangedRecord, RecordWrite } from '../../../protocol/record-store.js';
 import { FOLLOWED_TABLE } from '../store/index.js';
-import type { FatalRun, ServedRun } from './fatal-runs.js';
+import type { Crash, ServedRun } from './crash-history.js';
 
 /** Partition of these records. */
-export const FATAL_RUN_PARTITION = 'fatal-runs';
+export const CRASH_PARTITION = 'fatal-runs';
 
 const KEY_SEPARATOR = '/';
 const LINE = '\n';
@@ -16,21 +16,21 @@
 const SERVED = 'served';
 
 /** What a record tells. */
-export type FatalRunReport =
-  | { readonly kind: 'ended'; readonly run: FatalRun }
+export type CrashReport =
+  | { readonly kind: 'ended'; readonly run: Crash }
   | { readonly kind: 'served'; readonly run: ServedRun };
 
 function record(digest: string, subject: string, text: string, timeMs: number): RecordWrite {
   return {
     table: FOLLOWED_TABLE,
-    partition: FATAL_RUN_PARTITION,
+    partition: CRASH_PARTITION,
     key: `${digest}${KEY_SEPARATOR}${subject}`,
     value: Buffer.from(`${text}${LINE}${Math.round(timeMs)}`, 'utf8'),
   };
 }
 
 /** The record of a run at one replica; another report of the same run takes its place. */
-export function toFatalRunRecord({ digest, address, endedAtMs }: FatalRun, replicaId: string): RecordWrite {
+export function toCrashRecord({ digest, address, endedAtMs }: Crash, replicaId: string): RecordWrite {
   return record(digest, replicaId, address, endedAtMs);
 }
 
@@ -40,10 +40,10 @@
 }
 
 /** What a record tells; `undefined` when it tells nothing. */
-export function parseFatalRunReport({
+export function parseCrashReport({
   key,
   value,
-}: Pick<ChangedRecord, 'key' | 'value'>): FatalRunReport | undefined {
+}: Pick<ChangedRecord, 'key' | 'value'>): CrashReport | undefined {
   const [digest] = key.split(KEY_SEPARATOR);
   const [text, time] = (value?.toString('utf8') ?? '').split(LINE);
   const timeMs = Number(time);
@@ -53,6 +53,6 @@
 }
 
 /** Time that a report tells of, on the store's clock, milliseconds. */
-export function timeOf(report: FatalRunReport): number {
+export function timeOf(report: CrashReport): number {
   return report.kind === 'served' ? report.run.servedAtMs : report.run.endedAtMs;
 }
--- a/src/state/service/replicas/index.ts
+++ b/src/state/service/replicas/index.ts
@@ -1,16 +1,20 @@
+export { CRASH_EXPIRY_MS, type Crash, CrashHistory, type Verdict } from './crash-history.js';
 export {
-  FATAL_RUN_PARTITION,
-  type FatalRunReport,
-  parseFatalRunReport,
+  CRASH_PARTITION,
+  type CrashReport,
+  parseCrashReport,
   timeOf,
-  toFatalRunRecord,
+  toCrashRecord,
   toServedRecord,
-} from './fatal-run-record.js';
-export { FATAL_RUN_EXPIRY_MS, type FatalRun, FatalRuns, type Verdict } from './fatal-runs.js';
+} from './crash-record.js';
+export { dispatcherCount, type FleetMember, homeOf, rankDispatchers } from './dispatcher-selection.js';
 export { type Choice, type ChoiceTerms, capacityOf, chooseReplica, drainRate } from './replica-choice.js';
 export { ReplicaDirectory } from './replica-directory.js';
-export { type LifeOrder, orderOfLives, type ReplicaLife } from './replica-life.js';
+export {
+  compareIncarnations,
+  type IncarnationOrder,
+  type ReplicaIncarnation,
+} from './replica-incarnation.js';
 export { ReplicaState } from './replica-state.js';
-export { dispatcherCount, type FleetMember, homeOf, rankDispatchers } from './service-homes.js';
+export { ServiceTimes } from './service-times.js';
 export { WeightVersions } from './weight-versions.js';
-export { ServiceTimes } from './work-times.js';
--- a/src/state/service/replicas/replica-directory.ts
+++ b/src/state/service/replicas/replica-directory.ts
@@ -1,6 +1,6 @@
 /** Replicas that are known, and the choice among them. */
 import type { Replica } from '../../../protocol/service/replica.js';
-import { type LifeOrder, orderOfLives } from './replica-life.js';
+import { compareIncarnations, type IncarnationOrder } from './replica-incarnation.js';
 import { ReplicaState } from './replica-state.js';
 
 /** A replica is slow when it takes this many times as long as the fastest of its service. */
@@ -40,7 +40,7 @@
   private readonly listeners = new Set<() => void>();
   /** Replicas whose announcements are gone: the same life may be announced again, with requests of this node under way. */
   private readonly absent = new Map<string, ReplicaState>();
-  private readonly doubted = new Set<string>();
+  private readonly unconfirmed = new Set<string>();
   private readonly evacuated = new Set<string>();
 
   /** Called after each change. */
@@ -52,11 +52,11 @@
    * Adds a replica or takes what it says of itself anew. A later life takes the place of the known one, of which nothing is
    * believed any more. Returns how the life stands to the known one; the word of one that seems earlier changes nothing.
    */
-  set(replica: Replica): LifeOrder | 'first' {
+  set(replica: Replica): IncarnationOrder | 'first' {
     const existing = this.states.get(replica.id);
-    const order = existing ? orderOfLives(existing.replica, replica) : 'first';
+    const order = existing ? compareIncarnations(existing.replica, replica) : 'first';
     if (order === 'earlier' || order === 'untold') return order;
-    this.doubted.delete(replica.id);
+    this.unconfirmed.delete(replica.id);
     if (!existing) this.add(replica);
     else if (order === 'same') this.update(existing, replica);
     else this.succeed(existing, replica);
@@ -67,15 +67,15 @@
   /** Takes `replica` as the life that lives now, whatever it says of its start. */
   replace(replica: Replica): void {
     const existing = this.states.get(replica.id);
-    this.doubted.delete(replica.id);
+    this.unconfirmed.delete(replica.id);
     if (existing) this.succeed(existing, replica);
     else this.add(replica);
     this.notify();
   }
 
   /** Uses a replica no more until it is set or replaced: which of its lives lives is not known. */
-  doubt(id: string): void {
-    this.doubted.add(id);
+  markUnconfirmed(id: string): void {
+    this.unconfirmed.add(id);
     this.notify();
   }
 
@@ -180,7 +180,7 @@
   }
 
   private isUsable({ replica }: ReplicaState): boolean {
-    return !replica.isDraining && !this.doubted.has(replica.id) && !this.evacuated.has(replica.zone);
+    return !replica.isDraining && !this.unconfirmed.has(replica.id) && !this.evacuated.has(replica.zone);
   }
 
   /** The next life of a replica: it starts with nothing of what was believed of the one before. */
@@ -193,7 +193,7 @@
   private take(state: ReplicaState): void {
     this.states.delete(state.id);
     this.services.get(state.replica.service)?.delete(state);
-    this.doubted.delete(state.id);
+    this.unconfirmed.delete(state.id);
   }
 
   /** A life that was known and whose announcement was gone goes on with its statistics and requests. */
@@ -201,7 +201,7 @@
     const known = this.absent.get(replica.id);
     this.absent.delete(replica.id);
     const isSame =
-      known?.replica.service === replica.service && orderOfLives(known.replica, replica) === 'same';
+      known?.replica.service === replica.service && compareIncarnations(known.replica, replica) === 'same';
     if (!known || !isSame) {
       known?.noteEnd('restarted');
       return new ReplicaState(replica);
--- a/src/state/service/replicas/replica-life.ts
+++ b/src/state/service/replicas/replica-incarnation.ts
@@ -4,14 +4,14 @@
  */
 
 /** What tells the lives of replicas apart. */
-export interface ReplicaLife {
+export interface ReplicaIncarnation {
   readonly id: string;
   /** When this life began, by the replica's own time of day, milliseconds since 1970; `undefined` where it doesn't say. */
-  readonly bornMs: number | undefined;
+  readonly startedAtMs: number | undefined;
 }
 
 /** How a life that was heard of stands to the one that is known. */
-export type LifeOrder =
+export type IncarnationOrder =
   | 'same'
   /** The known life has ended. */
   | 'next'
@@ -24,9 +24,9 @@
   | 'untold';
 
 /** Compares two lives of one replica. */
-export function orderOfLives(known: ReplicaLife, heard: ReplicaLife): LifeOrder {
-  if (known.bornMs === heard.bornMs) return 'same';
-  if (heard.bornMs === undefined) return 'untold';
-  if (known.bornMs === undefined) return 'next';
-  return heard.bornMs > known.bornMs ? 'next' : 'earlier';
+export function compareIncarnations(known: ReplicaIncarnation, heard: ReplicaIncarnation): IncarnationOrder {
+  if (known.startedAtMs === heard.startedAtMs) return 'same';
+  if (heard.startedAtMs === undefined) return 'untold';
+  if (known.startedAtMs === undefined) return 'next';
+  return heard.startedAtMs > known.startedAtMs ? 'next' : 'earlier';
 }
--- a/src/state/service/replicas/replica-state.ts
+++ b/src/state/service/replicas/replica-state.ts
@@ -34,7 +34,7 @@
 const EVENT_WEIGHT = 0.05;
 
 /** Why nothing more is sent to a life of a replica: it is to leave, or the replica has started again. */
-export type LifeEnd = 'left' | 'restarted';
+export type IncarnationEnd = 'left' | 'restarted';
 
 /** One life of a replica with its statistics. */
 export class ReplicaState {
@@ -54,7 +54,7 @@
   private unanswered = 0;
   /** When it answered last, or was sent the first request that it has not answered. */
   private answeredAtMs = 0;
-  private ending: LifeEnd | undefined;
+  private ending: IncarnationEnd | undefined;
   /** Logarithm of how many times the usual requests take there, and when that was measured. */
   private logLatencyRatio = 0;
   private latencyRatioAtMs = 0;
@@ -97,7 +97,7 @@
   }
 
   /** Notes that the announcement is gone, or that a later life was heard of. */
-  noteEnd(ending: LifeEnd): void {
+  noteEnd(ending: IncarnationEnd): void {
     this.ending = ending;
     if (ending !== 'restarted') return;
     for (const listener of this.restartListeners) listener();
--- a/src/state/service/store/instrumented-store.ts
+++ b/src/state/service/store/instrumented-store.ts
@@ -68,7 +68,7 @@
     return this.calls.usualAnswerMs;
   }
 
-  isInReach(): boolean {
+  isAnswering(): boolean {
     return this.calls.silentMs < Math.max(OUT_OF_REACH_MS, this.usualAnswerMs() * OUT_OF_REACH_ANSWERS);
   }
 
@@ -133,7 +133,7 @@
   /** A call that fails while others are answered says nothing: a part of the store may be down, or one answer lost. */
   private noteHealth(failure: string | undefined): void {
     const usualMs = this.usualAnswerMs();
-    if (!this.isInReach()) this.health.sendIfTaken('failed', failure ?? 'no answer');
+    if (!this.isAnswering()) this.health.sendIfTaken('failed', failure ?? 'no answer');
     else if (failure === undefined)
       this.health.sendIfTaken(usualMs > LATE_MS ? 'answeredLate' : 'answered', `${Math.round(usualMs)} ms`);
   }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -48,7 +48,7 @@
 }
 
 /** A response read whole. */
-export interface WholeResponse {
+export interface BufferedResponse {
   readonly status: number;
   readonly headers: Record<string, string | string[] | undefined>;
   readonly body: Buffer;
@@ -74,7 +74,7 @@
 const DEFAULT_BODY_LIMIT_BYTES = 32 * 1024 * 1024;
 
 /** Reads a stream whole, at most `limitBytes`. Fails when it ends before its declared end. */
-export async function readWhole(body: Readable, limitBytes: number): Promise<Result<Buffer, TransportError>> {
+export async function readFully(body: Readable, limitBytes: number): Promise<Result<Buffer, TransportError>> {
   const chunks: Buffer[] = [];
   let size = 0;
   try {
@@ -237,24 +237,24 @@
   async exchange(
     outgoing: OutgoingRequest,
     limitBytes = DEFAULT_BODY_LIMIT_BYTES,
-  ): Promise<Result<WholeResponse, TransportError>> {
-    if (outgoing.totalTimeoutMs === undefined) return this.exchangeWhole(outgoing, limitBytes);
+  ): Promise<Result<BufferedResponse, TransportError>> {
+    if (outgoing.totalTimeoutMs === undefined) return this.exchangeBuffered(outgoing, limitBytes);
     const limited = limitTime(outgoing.totalTimeoutMs, outgoing.signal);
     try {
-      return await this.exchangeWhole({ ...outgoing, signal: limited.signal }, limitBytes);
+      return await this.exchangeBuffered({ ...outgoing, signal: limited.signal }, limitBytes);
     } finally {
       limited.release();
     }
   }
 
-  private async exchangeWhole(
+  private async exchangeBuffered(
     outgoing: OutgoingRequest,
     limitBytes: number,
-  ): Promise<Result<WholeResponse, TransportError>> {
+  ): Promise<Result<BufferedResponse, TransportError>> {
     const response = await this.send(outgoing);
     if (response.isErr()) return err(response.error);
     const { status, headers, body } = response.value;
-    const whole = await readWhole(body, limitBytes);
+    const whole = await readFully(body, limitBytes);
     return whole.map((bytes) => ({ status, headers, body: bytes }));
   }
 
--- a/test/cli/job-timeline.test.ts
+++ b/test/cli/job-timeline.test.ts
@@ -83,7 +83,7 @@
     expect(job.acceptedAtMs).to.equal(ACCEPTED_MS);
     expect([job.firstStartMs, job.lastStartMs]).to.deep.equal([50, 1_250]);
     expect(job.itemsListedMs).to.deep.equal([2_220, undefined, undefined, undefined]);
-    expect(job.groupsWholeMs).to.deep.equal([3_130, 3_130, 3_130, 3_130]);
+    expect(job.groupsCompleteMs).to.deep.equal([3_130, 3_130, 3_130, 3_130]);
     expect([job.declined, job.owners, job.endedMs]).to.deep.equal([1, 1, 4_000]);
   });
 
--- a/test/coordination/service/dispatch/replica-end-check.test.ts
+++ b/test/coordination/service/dispatch/crash-check.test.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
 import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
-import { ReplicaEndCheck } from '../../../../src/coordination/service/dispatch/replica-end-check.js';
+import { CrashCheck } from '../../../../src/coordination/service/dispatch/crash-check.js';
 import {
   digestOf,
   type IdentifiedRequest,
@@ -22,33 +22,33 @@
 
 describe('the look at a replica whose connection broke', () => {
   it('tells one that has ended from one that has cut a connection', async () => {
-    const check = new ReplicaEndCheck(new ServiceMetrics());
+    const check = new CrashCheck(new ServiceMetrics());
     const { server, replica } = await listen();
-    expect(await check.hasEnded(replica)).to.equal(false);
+    expect(await check.hasCrashed(replica)).to.equal(false);
     server.close();
     await once(server, 'close');
-    expect(await check.hasEnded(replica)).to.equal(true);
+    expect(await check.hasCrashed(replica)).to.equal(true);
   });
 
   it('takes a machine that says nothing for one that may be there', async () => {
-    const check = new ReplicaEndCheck(new ServiceMetrics(), async () => 'unknown');
-    expect(await check.hasEnded(replicaAt('127.0.0.1:1'))).to.equal(false);
+    const check = new CrashCheck(new ServiceMetrics(), async () => 'unknown');
+    expect(await check.hasCrashed(replicaAt('127.0.0.1:1'))).to.equal(false);
   });
 
   it('takes one that has started again at its address for ended', async () => {
-    const check = new ReplicaEndCheck(new ServiceMetrics(), async () => 'listening');
+    const check = new CrashCheck(new ServiceMetrics(), async () => 'listening');
     const replica = replicaAt('127.0.0.1:1');
     replica.noteEnd('restarted');
-    expect(await check.hasEnded(replica)).to.equal(true);
+    expect(await check.hasCrashed(replica)).to.equal(true);
   });
 
   it('is shared by requests that broke together', async () => {
     let looks = 0;
-    const check = new ReplicaEndCheck(new ServiceMetrics(), async () => {
+    const check = new CrashCheck(new ServiceMetrics(), async () => {
       looks += 1;
       return 'refused';
     });
-    const ended = await Promise.all([1, 2, 3].map(() => check.hasEnded(replicaAt('127.0.0.1:1'))));
+    const ended = await Promise.all([1, 2, 3].map(() => check.hasCrashed(replicaAt('127.0.0.1:1'))));
     expect(ended).to.deep.equal([true, true, true]);
     expect(looks).to.equal(1);
   });
--- a/test/coordination/service/dispatch/home-dispatch.test.ts
+++ b/test/coordination/service/dispatch/remote-dispatch.test.ts
@@ -11,7 +11,7 @@
   RemoteDispatch,
   toCall,
   toOutcomeMessage,
-} from '../../../../src/coordination/service/dispatch/home-dispatch.js';
+} from '../../../../src/coordination/service/dispatch/remote-dispatch.js';
 import type { ServiceQueues } from '../../../../src/coordination/service/dispatch/service-queues.js';
 import {
   type DispatchMessage,
@@ -20,8 +20,11 @@
   type PeerDispatch,
   type PeerDispatchOptions,
 } from '../../../../src/protocol/service/dispatch-peer.js';
+import {
+  type FleetMember,
+  rankDispatchers,
+} from '../../../../src/state/service/replicas/dispatcher-selection.js';
 import { ReplicaDirectory } from '../../../../src/state/service/replicas/replica-directory.js';
-import { type FleetMember, rankDispatchers } from '../../../../src/state/service/replicas/service-homes.js';
 import { replicaWith } from '../../../support/replicas.js';
 
 const SERVICE = 's';
@@ -30,7 +33,7 @@
     kind: 'answered',
     answer: { status: 200, headers: {}, body: Buffer.from('here'), signature: 'x', isFramed: true },
   },
-  hasEndedReplica: false,
+  hasCrashedReplica: false,
 };
 const MEMBERS: FleetMember[] = Array.from({ length: 12 }, (_, index) => ({
   name: `node-${index}`,
@@ -87,7 +90,7 @@
           return HERE;
         },
       } as unknown as ServiceQueues,
-      isStoreInReach: () => true,
+      isStoreAnswering: () => true,
       call: (address, framed, options) => {
         const { name } = MEMBERS.find(({ peerAddress }) => peerAddress === address) as FleetMember;
         asked.push(name);
@@ -204,7 +207,7 @@
       options.onTaken();
       const refused: DispatchResult = {
         outcome: { kind: 'declined', reason: 'no replica', isFull: true },
-        hasEndedReplica: false,
+        hasCrashedReplica: false,
         capacity: { free: 0, slots: 0, waiting: 0 },
       };
       const { message, body } = toOutcomeMessage(refused);
@@ -219,7 +222,7 @@
       options.onTaken();
       const refused: DispatchResult = {
         outcome: { kind: 'declined', reason: 'this node is leaving', isFull: true },
-        hasEndedReplica: false,
+        hasCrashedReplica: false,
         capacity: { free: 0, slots: 6, waiting: 0 },
         isClosed: true,
       };
--- a/test/coordination/service/dispatch/service-queue.test.ts
+++ b/test/coordination/service/dispatch/service-queue.test.ts
@@ -282,10 +282,10 @@
     const first = queue.dispatch(call());
     const second = queue.dispatch(call());
     await turn();
-    open[0]?.end({ kind: 'unknown', reason: 'reset', replicaEnded: true });
-    expect((await first).hasEndedReplica).to.equal(true);
+    open[0]?.end({ kind: 'unknown', reason: 'reset', replicaCrashed: true });
+    expect((await first).hasCrashedReplica).to.equal(true);
     directory.set(replicaWith({ slots: SLOTS, isDraining: true }));
-    open[1]?.end({ kind: 'unknown', reason: 'reset', replicaEnded: true });
-    expect((await second).hasEndedReplica).to.equal(false);
+    open[1]?.end({ kind: 'unknown', reason: 'reset', replicaCrashed: true });
+    expect((await second).hasCrashedReplica).to.equal(false);
   });
 });
--- a/test/coordination/service/jobs/result-lister.test.ts
+++ b/test/coordination/service/jobs/result-lister.test.ts
@@ -106,7 +106,7 @@
 
   function whole(groups: WantedGroups, ids: readonly number[]): boolean {
     for (const id of ids) groups.note(items[id] as JobItem);
-    return groups.areWhole;
+    return groups.areComplete;
   }
 
   it('are as many as it desires, any of them', () => {
--- a/test/coordination/service/leadership/duty-lease.test.ts
+++ b/test/coordination/service/leadership/leader-lease.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
 import { silentDecisionLogger } from '../../../../src/common/decision-logger.js';
-import { DutyLease } from '../../../../src/coordination/service/leadership/duty-lease.js';
+import { LeaderLease } from '../../../../src/coordination/service/leadership/leader-lease.js';
 import type { SessionMonitor } from '../../../../src/coordination/service/membership/session-monitor.js';
 import {
   type RecordStore,
@@ -59,9 +59,9 @@
   let suspendedMs = 0;
   const time = { monotonicMs: () => performance.now(), timeOfDayMs: () => performance.now() + suspendedMs };
 
-  function leaseAt(node: string, life: string): DutyLease {
+  function leaseAt(node: string, life: string): LeaderLease {
     const sessions = { isLost: () => isLost, noteHolding: () => {}, observedTimeMs: 0 };
-    return new DutyLease(
+    return new LeaderLease(
       store as unknown as RecordStore,
       DUTY,
       { node, life },
@@ -72,14 +72,14 @@
     );
   }
 
-  async function taken(lease: DutyLease): Promise<DutyLease> {
+  async function taken(lease: LeaderLease): Promise<LeaderLease> {
     lease.observe(store.record ? [store.record] : [], true);
     await lease.untilHeld(AbortSignal.timeout(LONG_MS));
     return lease;
   }
 
   /** A successor on another machine, which takes the lease when its holder is lost. */
-  async function successor(node: string): Promise<DutyLease> {
+  async function successor(node: string): Promise<LeaderLease> {
     isLost = true;
     return taken(leaseAt(node, `${node}-life`));
   }
--- a/test/coordination/service/membership/peer-configuration.test.ts
+++ b/test/coordination/service/membership/peer-configuration.test.ts
@@ -28,7 +28,7 @@
     turnedAway = 0;
     peer = new PeerConfiguration(
       {
-        isStoreInReach: () => isInReach,
+        isStoreAnswering: () => isInReach,
         isFollowed: () => isFollowed,
         peers: () => Object.keys(answers),
         version: () => 7,
@@ -37,7 +37,7 @@
           return answers[address] as PeerConfigurationAnswer;
         },
         take: (value) => taken.push(value.toString()),
-        onTurnedAway: () => {
+        onRejectedByStore: () => {
           turnedAway += 1;
         },
         logger: { record: () => {} } as never,
--- a/test/coordination/service/membership/replica-announcements.test.ts
+++ b/test/coordination/service/membership/replica-announcements.test.ts
@@ -41,7 +41,7 @@
           },
         } as AnnouncementFormat,
         directory,
-        beatMs: () => BEAT_MS,
+        heartbeatMs: () => BEAT_MS,
         isFollowed: () => isFollowed,
         metrics,
         logger: { record: (record) => lines.push(JSON.stringify(record)) },
@@ -55,7 +55,7 @@
 
   function announce(fields: Partial<Replica> = {}): void {
     version += 1;
-    rows.push(replicaWith({ bornMs: BORN_MS, ...fields }));
+    rows.push(replicaWith({ startedAtMs: BORN_MS, ...fields }));
     const value = Buffer.from(String(rows.length - 1));
     announcements.apply({ table: 'replicas', partition: '', key: 'r1', value, version });
   }
@@ -97,7 +97,7 @@
     former.onRestart(() => {
       ends += 1;
     });
-    announce({ bornMs: BORN_MS + 1, modelVersions: new Map([['m', 2]]) });
+    announce({ startedAtMs: BORN_MS + 1, modelVersions: new Map([['m', 2]]) });
     expect(known()).to.not.equal(former);
     expect(known().averageMs).to.equal(0);
     expect(known().isUnhealthy).to.equal(false);
@@ -112,19 +112,19 @@
     announce();
     const former = known();
     announceBytes(undefined);
-    announce({ bornMs: BORN_MS + 1 });
+    announce({ startedAtMs: BORN_MS + 1 });
     expect(known()).to.not.equal(former);
     expect(former.hasRestarted).to.equal(true);
   });
 
   it('are not undone by the late word of a former life: the living one writes again within a beat', async () => {
     announce();
-    announce({ bornMs: BORN_MS + 500, isDraining: true });
+    announce({ startedAtMs: BORN_MS + 500, isDraining: true });
     const living = known();
     announce({ modelVersions: new Map([['m', 9]]) });
     expect(isUsed()).to.equal(false);
     await clock.advance(BEAT_MS);
-    announce({ bornMs: BORN_MS + 500, isDraining: true });
+    announce({ startedAtMs: BORN_MS + 500, isDraining: true });
     await clock.advance(10 * BEAT_MS);
     expect(known()).to.equal(living);
     expect(living.versionOf('m')).to.equal(0);
@@ -134,20 +134,20 @@
   it('tell a life that began with an earlier time of day: its word stays', async () => {
     announce();
     const former = known();
-    announce({ bornMs: BORN_MS - 60_000 });
+    announce({ startedAtMs: BORN_MS - 60_000 });
     expect(isUsed(), 'neither is used before it is settled').to.equal(false);
     await clock.advance(2 * BEAT_MS);
     expect(isUsed()).to.equal(false);
     await clock.advance(2 * BEAT_MS);
     expect(isUsed()).to.equal(true);
-    expect(known().replica.bornMs).to.equal(BORN_MS - 60_000);
+    expect(known().replica.startedAtMs).to.equal(BORN_MS - 60_000);
     expect(former.hasRestarted).to.equal(true);
   });
 
   it('settle nothing while changes would not be heard', async () => {
     announce();
     isFollowed = false;
-    announce({ bornMs: BORN_MS - 60_000 });
+    announce({ startedAtMs: BORN_MS - 60_000 });
     await clock.advance(9 * BEAT_MS);
     expect(isUsed()).to.equal(false);
     isFollowed = true;
@@ -168,18 +168,18 @@
 
   it('without the moment of a start name no replica where one was told', () => {
     announce();
-    announce({ bornMs: undefined });
+    announce({ startedAtMs: undefined });
     expect(isUsed()).to.equal(false);
     announce();
     expect(isUsed()).to.equal(true);
   });
 
   it('of replicas that never tell when they started are taken as they come', () => {
-    announce({ bornMs: undefined });
+    announce({ startedAtMs: undefined });
     const state = known();
-    announce({ bornMs: undefined, slots: 9 });
+    announce({ startedAtMs: undefined, slots: 9 });
     expect(known()).to.equal(state);
-    announce({ bornMs: BORN_MS });
+    announce({ startedAtMs: BORN_MS });
     expect(known()).to.not.equal(state);
   });
 
--- a/test/coordination/service/requests/service-relay.test.ts
+++ b/test/coordination/service/requests/service-relay.test.ts
@@ -42,7 +42,7 @@
     const send = (call: DispatchCall) =>
       new Promise<DispatchResult>((resolve) => {
         calls.push(call);
-        const cancel = () => resolve({ outcome: { kind: 'cancelled' }, hasEndedReplica: false });
+        const cancel = () => resolve({ outcome: { kind: 'cancelled' }, hasCrashedReplica: false });
         call.signal.addEventListener('abort', cancel);
         onCall(call);
       });
--- a/test/coordination/service/weights/weight-orders.test.ts
+++ b/test/coordination/service/weights/load-commander.test.ts
@@ -3,9 +3,9 @@
 import { ok } from 'neverthrow';
 import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
 import {
-  type WeightOrderServices,
-  WeightOrders,
-} from '../../../../src/coordination/service/weights/weight-orders.js';
+  LoadCommander,
+  type LoadCommanderServices,
+} from '../../../../src/coordination/service/weights/load-commander.js';
 import {
   planReplicas,
   shareReplicas,
@@ -205,7 +205,7 @@
       metrics: { orders: { inc: () => {} } },
       logger: { record: () => {} },
     };
-    const orders = new WeightOrders(services as unknown as WeightOrderServices).run(controller.signal);
+    const orders = new LoadCommander(services as unknown as LoadCommanderServices).run(controller.signal);
     await until('orders are given', () => ordered.length >= enough);
     controller.abort();
     await orders;
--- a/test/coordination/service/weights/load-order.test.ts
+++ b/test/coordination/service/weights/load-priority.test.ts
@@ -1,6 +1,9 @@
 /** The order of loads when several models are behind. */
 import { expect } from 'chai';
-import { type FollowedModel, orderLoads } from '../../../../src/coordination/service/weights/load-order.js';
+import {
+  type FollowedModel,
+  prioritizeLoads,
+} from '../../../../src/coordination/service/weights/load-priority.js';
 
 const all = () => true;
 
@@ -19,25 +22,25 @@
 describe('the order of loads', () => {
   it('brings a few replicas of each model up to date before many of one', () => {
     const models = ['a', 'b', 'c', 'd'].map((model) => followed(model, 3, [1, 1, 1, 1]));
-    const loads = orderLoads(models, all);
+    const loads = prioritizeLoads(models, all);
     expect(new Set(modelsOf(loads.slice(0, 4)))).to.have.length(4);
     expect(modelsOf(loads.slice(0, 8)).filter((model) => model === 'a')).to.have.length(2);
   });
 
   it('puts a model without a version that jobs may use before one that has it', () => {
-    const loads = orderLoads([followed('a', 3, [2, 2]), followed('b', 3, [1, 1])], all);
+    const loads = prioritizeLoads([followed('a', 3, [2, 2]), followed('b', 3, [1, 1])], all);
     expect(modelsOf(loads)).to.deep.equal(['b', 'b', 'a', 'a']);
   });
 
   it('counts loads under way as done, and passes over replicas that are not free', () => {
     const a = followed('a', 2, [1, 1]);
     const replicas = a.replicas.map((replica, index) => ({ ...replica, isLoading: index === 0 }));
-    const loads = orderLoads([{ ...a, replicas }, followed('b', 2, [1, 1])], (id) => id !== 'b-1');
+    const loads = prioritizeLoads([{ ...a, replicas }, followed('b', 2, [1, 1])], (id) => id !== 'b-1');
     expect(loads.map(({ id }) => id)).to.deep.equal(['b-2', 'a-2']);
   });
 
   it('keeps the order of the replicas within a model, and leaves out those that are up to date', () => {
-    const loads = orderLoads([followed('a', 4, [4, 2, 3])], all);
+    const loads = prioritizeLoads([followed('a', 4, [4, 2, 3])], all);
     expect(loads.map(({ id }) => id)).to.deep.equal(['a-2', 'a-3']);
   });
 });
--- a/test/platform/replica-rows.test.ts
+++ b/test/platform/replica-rows.test.ts
@@ -38,7 +38,7 @@
     const replica = parse(GOOD)._unsafeUnwrap();
     expect(replica).to.deep.equal({
       id: 'r1',
-      bornMs: GOOD.born,
+      startedAtMs: GOOD.born,
       service: GOOD.service,
       address: GOOD.addr,
       zone: GOOD.zone,
@@ -48,7 +48,7 @@
       modelVersions: new Map([['model-a', 3]]),
     });
     const { born, ...before } = GOOD;
-    expect(parse(before)._unsafeUnwrap().bornMs, `not ${born}`).to.equal(undefined);
+    expect(parse(before)._unsafeUnwrap().startedAtMs, `not ${born}`).to.equal(undefined);
     expect(parse({ ...GOOD, state: 'draining', later: 1 })._unsafeUnwrap().isDraining).to.equal(true);
   });
 
@@ -103,10 +103,10 @@
       fc.property(bytes, (value) => {
         const parsed = parseReplica('r1', value);
         if (parsed.isErr()) return;
-        const { slots, address, bornMs, modelVersions } = parsed.value;
+        const { slots, address, startedAtMs, modelVersions } = parsed.value;
         expect(Number.isInteger(slots) && slots > 0 && slots <= 10_000).to.equal(true);
         expect(address).to.match(/^[0-9a-f.:[\]]+:\d{1,5}$/);
-        expect(bornMs === undefined || Number.isSafeInteger(bornMs)).to.equal(true);
+        expect(startedAtMs === undefined || Number.isSafeInteger(startedAtMs)).to.equal(true);
         for (const version of modelVersions.values()) expect(Number.isSafeInteger(version)).to.equal(true);
       }),
       { numRuns: RUNS, seed: SEED },
--- a/test/state/service/admission/admission.test.ts
+++ b/test/state/service/admission/admission.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { type AdmissionTerms, admit } from '../../../../src/state/service/admission/admission.js';
-import { RetryBudget } from '../../../../src/state/service/admission/extra-attempts.js';
+import { RetryBudget } from '../../../../src/state/service/admission/retry-budget.js';
 
 const options = { numRuns: 500, seed: 20_261_205 };
 const terms = (fields: Partial<AdmissionTerms> = {}): AdmissionTerms => ({
--- a/test/state/service/admission/waiting-list.test.ts
+++ b/test/state/service/admission/waiting-list.test.ts
@@ -1,7 +1,7 @@
 /** Who has the next place at a replica, under drawn loads. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { FlowUsage } from '../../../../src/state/service/admission/party-use.js';
+import { FlowUsage } from '../../../../src/state/service/admission/flow-usage.js';
 import { type Waiting, WaitingList } from '../../../../src/state/service/admission/waiting-list.js';
 
 const SEED = 20_261_204;
--- a/test/state/service/replicas/fatal-runs.test.ts
+++ b/test/state/service/replicas/crash-history.test.ts
@@ -1,23 +1,23 @@
 /** Which requests are held back after replicas have ended, and which are not. */
 import { expect } from 'chai';
 import {
-  parseFatalRunReport,
-  toFatalRunRecord,
-  toServedRecord,
-} from '../../../../src/state/service/replicas/fatal-run-record.js';
+  CRASH_EXPIRY_MS,
+  type Crash,
+  CrashHistory,
+} from '../../../../src/state/service/replicas/crash-history.js';
 import {
-  FATAL_RUN_EXPIRY_MS,
-  type FatalRun,
-  FatalRuns,
-} from '../../../../src/state/service/replicas/fatal-runs.js';
+  parseCrashReport,
+  toCrashRecord,
+  toServedRecord,
+} from '../../../../src/state/service/replicas/crash-record.js';
 
 const SHORT_HOLD_MS = 4_000;
 
 describe('requests under which replicas have ended', () => {
-  let runs: FatalRuns;
+  let runs: CrashHistory;
 
   beforeEach(() => {
-    runs = new FatalRuns();
+    runs = new CrashHistory();
   });
 
   const end = (address: string, endedAtMs: number, ...digests: string[]) => {
@@ -51,7 +51,7 @@
     expect(runs.judge('fatal', 300)).to.deep.equal({
       kind: 'held',
       ends: 3,
-      retryAfterMs: FATAL_RUN_EXPIRY_MS,
+      retryAfterMs: CRASH_EXPIRY_MS,
     });
     expect(runs.judge('other', 300).kind).to.equal('suspected');
   });
@@ -91,14 +91,14 @@
   });
 
   it('come back from their records as they were', () => {
-    const run: FatalRun = { digest: '0a1b', address: '127.0.0.1:80', endedAtMs: 1_234 };
-    const { key, value } = toFatalRunRecord(run, 'replica-1');
-    expect(parseFatalRunReport({ key, value })).to.deep.equal({ kind: 'ended', run });
+    const run: Crash = { digest: '0a1b', address: '127.0.0.1:80', endedAtMs: 1_234 };
+    const { key, value } = toCrashRecord(run, 'replica-1');
+    expect(parseCrashReport({ key, value })).to.deep.equal({ kind: 'ended', run });
     expect(() => JSON.parse(value.toString('utf8'))).to.throw();
     const served = { digest: '0a1b', servedAtMs: 1_235 };
-    expect(parseFatalRunReport(toServedRecord(served))).to.deep.equal({ kind: 'served', run: served });
+    expect(parseCrashReport(toServedRecord(served))).to.deep.equal({ kind: 'served', run: served });
     for (const other of ['', 'x', 'x\n', 'x\ny', '{"state":"open"}'])
-      expect(parseFatalRunReport({ key, value: Buffer.from(other) }), other).to.equal(undefined);
-    expect(parseFatalRunReport({ key, value: undefined })).to.equal(undefined);
+      expect(parseCrashReport({ key, value: Buffer.from(other) }), other).to.equal(undefined);
+    expect(parseCrashReport({ key, value: undefined })).to.equal(undefined);
   });
 });
--- a/test/state/service/replicas/service-homes.test.ts
+++ b/test/state/service/replicas/dispatcher-selection.test.ts
@@ -6,7 +6,7 @@
   type FleetMember,
   homeOf,
   rankDispatchers,
-} from '../../../../src/state/service/replicas/service-homes.js';
+} from '../../../../src/state/service/replicas/dispatcher-selection.js';
 
 const SERVICES = Array.from({ length: 200 }, (_, index) => `service-${index}`);
 
--- a/test/state/service/replicas/work-times.test.ts
+++ b/test/state/service/replicas/service-times.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { Random } from '../../../../src/common/random.js';
 import { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
-import { ServiceTimes } from '../../../../src/state/service/replicas/work-times.js';
+import { ServiceTimes } from '../../../../src/state/service/replicas/service-times.js';
 import { replicaWith } from '../../../support/replicas.js';
 
 describe('usual times of work', () => {
--- a/test/state/service/store/instrumented-store.test.ts
+++ b/test/state/service/store/instrumented-store.test.ts
@@ -42,7 +42,7 @@
       await store.scan(asked % 2 === 0 ? DOWN : UP);
       await sleep(PAUSE_MS);
     }
-    expect(store.isInReach()).to.equal(true);
+    expect(store.isAnswering()).to.equal(true);
     expect(lines).to.deep.equal([]);
   });
 
@@ -50,12 +50,12 @@
     await store.scan(UP);
     await until('it is out of reach', async () => {
       await store.scan(DOWN);
-      return !store.isInReach();
+      return !store.isAnswering();
     });
     await store.scan(DOWN);
     await store.scan(UP);
     await store.scan(UP);
-    expect(store.isInReach()).to.equal(true);
+    expect(store.isAnswering()).to.equal(true);
     expect(lines).to.deep.equal(['store silent', 'store answering']);
   });
 });
--- a/test/support/faulty-platform.ts
+++ b/test/support/faulty-platform.ts
@@ -104,7 +104,7 @@
     return 0;
   }
 
-  isInReach(): boolean {
+  isAnswering(): boolean {
     return true;
   }
 
--- a/test/support/replicas.ts
+++ b/test/support/replicas.ts
@@ -5,7 +5,7 @@
 export function replicaWith(fields: Partial<Replica> = {}): Replica {
   return {
     id: 'r1',
-    bornMs: undefined,
+    startedAtMs: undefined,
     service: 's',
     address: '127.0.0.1:1',
     zone: 'z',
--- a/test/support/service-system.ts
+++ b/test/support/service-system.ts
@@ -13,7 +13,7 @@
 import { StoreServer } from '../../emulator/store/store-server.js';
 import { UsageServer } from '../../emulator/usage/usage-server.js';
 import { HEADER, OPERATOR_KEY, SETTINGS_VARIABLE, TABLE } from '../../platform/names.js';
-import type { WholeResponse } from '../../src/transport/http-client.js';
+import type { BufferedResponse } from '../../src/transport/http-client.js';
 import { HttpClient } from '../../src/transport/http-client.js';
 import { FaultProxy } from './fault-proxy.js';
 import { until } from './wait.js';
@@ -200,7 +200,7 @@
     headers: Readonly<Record<string, string>> = {},
     path = `${LOOKUP_PATH}x`,
     body = 'question',
-  ): Promise<WholeResponse | undefined> {
+  ): Promise<BufferedResponse | undefined> {
     const answer = await this.http.exchange({
       method: 'POST',
       url: `${node.url}${path}`,
--- a/test/transport/http-client.test.ts
+++ b/test/transport/http-client.test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from 'node:net';
 import { createServer, type Server, type Socket } from 'node:net';
 import { expect } from 'chai';
-import { HttpClient, readWhole } from '../../src/transport/http-client.js';
+import { HttpClient, readFully } from '../../src/transport/http-client.js';
 
 const HEAD = 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n';
 const BODY = 'answer';
@@ -38,7 +38,7 @@
     const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}/`;
     const response = await client.send({ method: 'GET', url, headers: {} });
     if (response.isErr()) return undefined;
-    const body = await readWhole(response.value.body, BODY_LIMIT);
+    const body = await readFully(response.value.body, BODY_LIMIT);
     return body.isOk() ? body.value.toString() : undefined;
   }
 
