--- a/test/contract/contract.test.ts
+++ b/test/contract/contract.test.ts
@@ -9,7 +9,7 @@
 import type { ReplicaServer } from '../../emulator/replica/replica-server.js';
 import * as names from '../../platform/names.js';
 import { parseSettingsFile } from '../../platform/settings-file.js';
-import { checkSettings, DEFAULT_TIMING, SettingsSchema } from '../../src/node/settings.js';
+import { checkSettings, DEFAULT_TIMING, SettingsSchema } from '../../src/node/resource/settings.js';
 import { wholeText } from '../support/jobs.js';
 import { runCli } from '../support/processes.js';
 import { MODEL, type ServiceNodeProcess, ServiceSystem } from '../support/service-system.js';
