--- a/src/coordination/feeds/record-feed.ts
+++ b/src/coordination/feeds/record-feed.ts
@@ -43,7 +43,7 @@
 /** Who is told of a feed. */
 export interface FeedObserver {
   /** The store has answered. */
-  answered(table: string): void;
+  answered?(table: string): void;
   /** The table was read whole, or its history was lost. */
   changed(table: string, change: string, version: number): void;
 }
@@ -188,7 +188,7 @@
 
   private noteAnswer(askedAtMs: number): void {
     this.currentAsOfMs = askedAtMs;
-    this.observer.answered(this.handler.table);
+    this.observer.answered?.(this.handler.table);
   }
 
   private report(change: string): void {
--- a/src/coordination/service/requests/index.ts
+++ b/src/coordination/service/requests/index.ts
@@ -1,3 +1,3 @@
 export { QuarantineExchange } from './quarantine-exchange.js';
 export { RequestQuarantine } from './request-quarantine.js';
-export { type RelayedRequest, type RelayOutcome, ServiceRelay } from './service-relay.js';
+export { type RelayedRequest, type RelayOutcome, type SendAttempt, ServiceRelay } from './service-relay.js';
--- /dev/null
+++ b/src/node/service/job-parts.ts
@@ -0,0 +1,110 @@
+/**
+ * Batch jobs of one node: the calls about them, their ownership, and the placement of their samples.
+ *
+ * Relies on: the store (jobs and results), the session monitor (loss of an owner), the relay (scoring calls).
+ * Without the store calls are forwarded to nodes that reach it, and owned jobs are cancelled here once others
+ * are known to reach it.
+ */
+import type { CrashCheck } from '../../coordination/service/dispatch/index.js';
+import { Placement, SampleLengths, SampleScorer } from '../../coordination/service/generation/index.js';
+import { JobCalls, JobForwarding, JobOwnership } from '../../coordination/service/jobs/index.js';
+import type { PeerAddresses, SessionMonitor } from '../../coordination/service/membership/index.js';
+import type { RequestQuarantine, ServiceRelay } from '../../coordination/service/requests/index.js';
+import type { TargetSplitter } from '../../state/service/configuration/index.js';
+import { JobRepository, ResultCache } from '../../state/service/jobs/index.js';
+import type { NodeContext } from './service-node-parts.js';
+import type { SessionRole } from './session-roles.js';
+
+/** Share of the process's memory that cached results may take. Chosen, not measured. */
+const RESULT_CACHE_FRACTION = 0.05;
+const MILLISECONDS_PER_SECOND = 1000;
+
+/** What jobs work with. */
+export interface JobPartsServices {
+  readonly splitter: TargetSplitter;
+  readonly crashCheck: CrashCheck;
+  readonly quarantine: RequestQuarantine;
+  readonly relay: ServiceRelay;
+  readonly sessions: SessionMonitor;
+  readonly peers: PeerAddresses;
+}
+
+/** The jobs of one node. */
+export class JobParts {
+  readonly ownership: JobOwnership;
+  readonly calls: JobCalls;
+  private readonly placement: Placement;
+
+  constructor(
+    private readonly context: NodeContext,
+    services: JobPartsServices,
+  ) {
+    const { store, routing, directory, settings, parseSubmission } = context;
+    const { zone, memoryBytes } = settings();
+    const cache = new ResultCache(memoryBytes * RESULT_CACHE_FRACTION);
+    const repository = new JobRepository(store);
+    this.placement = new Placement(directory, zone, ({ replica }) =>
+      routing.current?.slowStartPerSecondOfOwner(replica.service),
+    );
+    this.ownership = this.createOwnership(services, repository, cache);
+    const isStoreAnswering = () => store.isAnswering();
+    const { peer, logger } = context;
+    this.calls = new JobCalls({
+      repository,
+      ownership: this.ownership,
+      cache,
+      parseSubmission,
+      logger,
+      isStoreAnswering,
+      forwarding: new JobForwarding({ peer, peers: services.peers, isStoreAnswering, logger }),
+    });
+  }
+
+  /** Why this process takes part in sessions on account of jobs. */
+  get sessionRole(): SessionRole {
+    return {
+      isHolder: () => this.ownership.isWarm,
+      mustWatch: () => this.ownership.hasForeignJobs,
+      holders: () => this.ownership.owners,
+    };
+  }
+
+  /** Sets the gauges. */
+  measure(): void {
+    const { metrics } = this.context;
+    metrics.items.set({ state: 'open' }, this.ownership.openItems);
+    metrics.items.set({ state: 'waiting' }, this.placement.waitingCount);
+    metrics.oldestJobSeconds.set({}, this.ownership.oldestAgeMs / MILLISECONDS_PER_SECOND);
+  }
+
+  private createOwnership(
+    { splitter, crashCheck, quarantine, relay, sessions }: JobPartsServices,
+    repository: JobRepository,
+    cache: ResultCache,
+  ): JobOwnership {
+    const { routing, directory, versions, client, metrics, logger, parseSubmission, store } = this.context;
+    return new JobOwnership(
+      {
+        routing,
+        splitter,
+        placement: this.placement,
+        directory,
+        versions,
+        client,
+        endCheck: crashCheck,
+        quarantine,
+        lengths: new SampleLengths(),
+        scorer: new SampleScorer(routing, relay),
+        metrics,
+        logger,
+        repository,
+        cache,
+        parseSubmission,
+        store,
+        sessions,
+        retentionMs: () => this.context.settings().resultRetentionMs,
+      },
+      this.context.self,
+    );
+  }
+}
--- /dev/null
+++ b/src/node/service/node-feeds.ts
@@ -0,0 +1,118 @@
+/**
+ * The tables of the store that a node follows: operators' records, replicas, the fleet, and jobs with crash
+ * reports.
+ *
+ * Owns: one feed per table, and how fresh each is. Relies on: the store's long polls. While they fail, the
+ * feeds age and `isConfigurationFollowed` becomes false; each feed retries by itself.
+ */
+import type { DecisionLogger } from '../../common/decision-logger.js';
+import {
+  type FeedHandler,
+  type FeedObserver,
+  RecordFeed,
+  SharedTable,
+} from '../../coordination/feeds/index.js';
+import type { JobOwnership } from '../../coordination/service/jobs/index.js';
+import {
+  type FleetDirectory,
+  OperatorAnnouncements,
+  type PeerAddresses,
+  ReplicaAnnouncements,
+  type SessionMonitor,
+} from '../../coordination/service/membership/index.js';
+import type { RequestQuarantine } from '../../coordination/service/requests/index.js';
+import { CRASH_PARTITION } from '../../state/service/replicas/index.js';
+import { changePauseMs, isConfigurationFollowed, isFeedFollowed } from './readiness.js';
+import type { NodeContext } from './service-node-parts.js';
+
+const MILLISECONDS_PER_SECOND = 1000;
+
+/** Who takes what the feeds bring, and what sets their pace. */
+export interface NodeFeedServices {
+  readonly fleet: FleetDirectory;
+  readonly ownership: JobOwnership;
+  readonly quarantine: RequestQuarantine;
+  readonly sessions: SessionMonitor;
+  readonly peers: PeerAddresses;
+}
+
+/** Logs whole reads and losses of history. */
+function feedObserver(logger: DecisionLogger): FeedObserver {
+  return {
+    changed: (name, change, version) =>
+      logger.record({ event: 'belief-changed', subject: 'feed', name, change, version }),
+  };
+}
+
+/** The feeds of one node. */
+export class NodeFeeds {
+  readonly operators: OperatorAnnouncements;
+  private readonly operatorFeed: RecordFeed<unknown>;
+  private readonly feeds: readonly RecordFeed<unknown>[];
+
+  constructor(
+    private readonly context: NodeContext,
+    private readonly services: NodeFeedServices,
+  ) {
+    const { store, format, routing, versions, directory, settings, metrics, logger } = context;
+    const observer = feedObserver(logger);
+    const pause = (signal: AbortSignal) =>
+      services.sessions.pauseUnlessHolder(changePauseMs(services.peers.fleetSize), signal);
+    const follow = <T>(handler: FeedHandler<T>) =>
+      new RecordFeed(store, handler, observer, pause) as RecordFeed<unknown>;
+    // A cycle: the handler asks how fresh its own feed is, at the earliest when that feed has brought a
+    // record.
+    const replicaFeed: RecordFeed<unknown> = follow(
+      new ReplicaAnnouncements({
+        store,
+        format,
+        directory,
+        heartbeatMs: () => settings().replicaHeartbeatMs,
+        isFollowed: () => isFeedFollowed(this.freshnessOf(replicaFeed)),
+        metrics,
+        logger,
+      }),
+    );
+    this.operators = new OperatorAnnouncements(store, format, routing, versions, directory, metrics, logger);
+    this.operatorFeed = follow(this.operators);
+    const jobs = new SharedTable(services.ownership, {
+      partition: CRASH_PARTITION,
+      handler: services.quarantine,
+    });
+    this.feeds = [this.operatorFeed, replicaFeed, follow(services.fleet), follow(jobs)];
+  }
+
+  /** Follows all tables until `signal` is aborted. */
+  run(signal: AbortSignal): void {
+    for (const feed of this.feeds) void feed.run(signal);
+  }
+
+  /**
+   * Age of the feed of the operators' table, milliseconds; infinite before its first answer about changes.
+   */
+  get operatorAgeMs(): number {
+    return this.operatorFeed.ageMs;
+  }
+
+  /** Whether a change of the configuration that is unknown here is within the operator's bound. */
+  get isConfigurationFollowed(): boolean {
+    return isConfigurationFollowed(
+      this.freshnessOf(this.operatorFeed),
+      this.context.settings().configurationBoundMs,
+    );
+  }
+
+  /** Sets the gauges. */
+  measure(): void {
+    for (const feed of this.feeds)
+      this.context.metrics.feedAge.set({ table: feed.table }, feed.ageMs / MILLISECONDS_PER_SECOND);
+  }
+
+  private freshnessOf(feed: RecordFeed<unknown>) {
+    return {
+      isStoreAnswering: this.context.store.isAnswering(),
+      feedAgeMs: feed.ageMs,
+      fleetSize: this.services.peers.fleetSize,
+    };
+  }
+}
--- /dev/null
+++ b/src/node/service/readiness.ts
@@ -0,0 +1,82 @@
+/**
+ * Rules of readiness and of configuration freshness: pure functions of what the node observes. Ages and
+ * durations are in milliseconds on the monotonic clock.
+ */
+import { FEED_WAIT_MS } from '../../coordination/feeds/index.js';
+
+/**
+ * Time after start from which a node may be ready without having read the crash reports, since their part of
+ * the store may be down. Chosen, not measured: long enough for a first read of a store that answers, short
+ * beside a rolling restart.
+ */
+const CRASH_REPORTS_WAIT_MS = 2_000;
+/**
+ * Pause before the next long poll of a node that holds neither jobs nor a lease, per node of the fleet, so
+ * that several changes arrive in one answer: at most 200 polls a second of the whole fleet during changes,
+ * until the longest pause is reached. Both chosen, not measured.
+ */
+const CHANGE_PAUSE_PER_NODE_MS = 5;
+const LONGEST_CHANGE_PAUSE_MS = 1_000;
+/**
+ * Time that the answer to a long poll may take beyond the time for which it is held. Chosen, not measured.
+ */
+const FEED_ANSWER_MS = 500;
+
+/** Inputs of readiness. */
+export interface ReadinessInput {
+  readonly isDraining: boolean;
+  readonly isStoreAnswering: boolean;
+  readonly hasConfiguration: boolean;
+  readonly knownReplicas: number;
+  /** Infinite before the first answer about changes of the operators' table. */
+  readonly operatorFeedAgeMs: number;
+  readonly hasReadCrashReports: boolean;
+  /** Negative infinity before the start. */
+  readonly sinceStartMs: number;
+}
+
+/**
+ * Whether new callers may be sent here. Without the store a node can serve no jobs, and its view of replicas
+ * and configuration grows old, while other nodes may still reach the store.
+ */
+export function isReady(input: ReadinessInput): boolean {
+  const isInformed = input.hasConfiguration && input.knownReplicas > 0;
+  const hasFollowed = Number.isFinite(input.operatorFeedAgeMs);
+  const isPastCrashReports = input.hasReadCrashReports || input.sinceStartMs > CRASH_REPORTS_WAIT_MS;
+  return !input.isDraining && isInformed && hasFollowed && isPastCrashReports && input.isStoreAnswering;
+}
+
+/** Pause between two long polls of a feed after changes. */
+export function changePauseMs(fleetSize: number): number {
+  return Math.min(LONGEST_CHANGE_PAUSE_MS, fleetSize * CHANGE_PAUSE_PER_NODE_MS);
+}
+
+/**
+ * Age that a feed reaches in normal operation: one long poll held to its end, its answer, and the pause
+ * before it.
+ */
+function usualFeedAgeMs(fleetSize: number): number {
+  return FEED_WAIT_MS + FEED_ANSWER_MS + changePauseMs(fleetSize);
+}
+
+/** Inputs of a feed's freshness. */
+export interface FeedFreshnessInput {
+  readonly isStoreAnswering: boolean;
+  readonly feedAgeMs: number;
+  readonly fleetSize: number;
+}
+
+/**
+ * Whether the store has reported changes of the configuration so recently that one unknown here is within the
+ * operator's bound. Only the feed of the operators' table counts: answers about other tables prove nothing
+ * about it.
+ */
+export function isConfigurationFollowed(input: FeedFreshnessInput, configurationBoundMs: number): boolean {
+  const boundMs = Math.max(configurationBoundMs, usualFeedAgeMs(input.fleetSize));
+  return input.isStoreAnswering && input.feedAgeMs < boundMs;
+}
+
+/** Whether a feed runs normally: its newest answer belongs to the open long poll or the one before. */
+export function isFeedFollowed({ isStoreAnswering, feedAgeMs, fleetSize }: FeedFreshnessInput): boolean {
+  return isStoreAnswering && feedAgeMs < FEED_WAIT_MS + usualFeedAgeMs(fleetSize);
+}
--- /dev/null
+++ b/src/node/service/service-node-parts.ts
@@ -0,0 +1,61 @@
+/** What an adapter supplies to a node, and what the node's subsystems share. */
+import type { DecisionLogger } from '../../common/decision-logger.js';
+import { uniqueId } from '../../common/identifier.js';
+import type { ServiceMetrics } from '../../common/service-metrics.js';
+import type { SubmissionParser } from '../../coordination/service/jobs/index.js';
+import type { AnnouncementFormat } from '../../coordination/service/membership/index.js';
+import type { RecordStore } from '../../protocol/record-store.js';
+import type { PeerConfigurationAnswer } from '../../protocol/service/configuration-peer.js';
+import type { CrashReportMessage, CrashReportsAnswer } from '../../protocol/service/crash-report-peer.js';
+import type { JobPeer } from '../../protocol/service/job-calls.js';
+import type { ReplicaClient } from '../../protocol/service/replica.js';
+import type { ServiceSettings, UsageSettings } from '../../protocol/service/service-settings.js';
+import type { UsageSink } from '../../protocol/service/usage.js';
+import { RoutingTable } from '../../state/service/configuration/index.js';
+import type { OwnerReference } from '../../state/service/jobs/index.js';
+import { ReplicaDirectory, WeightVersions } from '../../state/service/replicas/index.js';
+import type { PeerCall } from './dispatch-parts.js';
+
+/** What an adapter supplies. */
+export interface ServiceNodeParts {
+  /** The settings in force; they may be reloaded while the node runs. */
+  readonly settings: () => ServiceSettings;
+  readonly store: RecordStore;
+  readonly client: ReplicaClient;
+  readonly peer: JobPeer;
+  readonly format: AnnouncementFormat;
+  readonly parseSubmission: SubmissionParser;
+  /** Creates the client of the usage collector; called only where usage is reported. */
+  readonly createUsageSink: (settings: UsageSettings) => UsageSink;
+  /** Asks another node for a configuration newer than a version. */
+  readonly askForConfiguration: (address: string, version: number) => Promise<PeerConfigurationAnswer>;
+  /** Exchanges crash reports with another node; `undefined` when it does not answer. */
+  readonly exchangeCrashReports: (
+    address: string,
+    reports: readonly CrashReportMessage[],
+  ) => Promise<CrashReportsAnswer | undefined>;
+  /** Forwards a request to the dispatcher of its service. */
+  readonly dispatchAtPeer: PeerCall;
+  readonly metrics: ServiceMetrics;
+  readonly logger: DecisionLogger;
+}
+
+/** What all subsystems of one node may use. */
+export interface NodeContext extends ServiceNodeParts {
+  /** This process: the node's name and its incarnation. */
+  readonly self: OwnerReference;
+  readonly routing: RoutingTable;
+  readonly directory: ReplicaDirectory;
+  readonly versions: WeightVersions;
+}
+
+/** Begins a new incarnation of the node, which knows nothing yet. */
+export function createContext(parts: ServiceNodeParts): NodeContext {
+  return {
+    ...parts,
+    self: { node: parts.settings().nodeName, life: uniqueId() },
+    routing: new RoutingTable(),
+    directory: new ReplicaDirectory(),
+    versions: new WeightVersions(),
+  };
+}
