--- a/test/coordination/service/weights/load-commander.test.ts
+++ b/test/coordination/service/weights/load-commander.test.ts
@@ -185,10 +185,10 @@
 
   /** Gives orders under a lease until `enough` replicas were ordered. */
   async function order(enough: number, lease: object): Promise<void> {
-    const report = { modelVersions: new Map(), isBusy: false, orderCount: 0, waiting: 0, running: 0 };
+    const report = { modelVersions: new Map(), isBusy: false, commandCount: 0, waiting: 0, running: 0 };
     const client = {
       report: async () => ok(report),
-      order: async ({ id }: Replica) => {
+      load: async ({ id }: Replica) => {
         ordered.push(id);
         return ok('rejected');
       },
@@ -202,7 +202,7 @@
       demandOf: () => 1,
       requestsOf: () => 0,
       nodeName: 'node-1',
-      metrics: { orders: { inc: () => {} } },
+      metrics: { loadCommands: { inc: () => {} } },
       logger: { record: () => {} },
     };
     const orders = new LoadCommander(services as unknown as LoadCommanderServices).run(controller.signal);
