--- a/src/coordination/service/leadership/leader-lease.ts
+++ b/src/coordination/service/leadership/leader-lease.ts
@@ -1,97 +1,86 @@
 /**
- * A duty that one node holds at a time, such as giving orders to replicas. The lease record is written before each act,
- * conditional on its version: an act is allowed only right after the store has confirmed that write. The record names the
- * targets of the newest acts and when each of these began at the latest, so a successor acts at once on all targets but
- * those on which another machine may have acted a moment ago.
+ * Leader lease of a singleton task, such as commanding weight loads: at most one node acts.
+ *
+ * Owns: this node's view of the lease record and its epoch, which is the fencing token. Before each action
+ * the record is written, conditional on its version; an action may begin only while that confirmation is
+ * fresh. The record names the targets of recent actions and when each had begun at the latest: a successor
+ * acts at once on all targets but those on which another machine may have acted within the handover guard.
+ * Relies on: the store (conditional writes, its clock), the session monitor (loss of the leader). Without the
+ * store nothing is confirmed, so nobody acts.
  */
 import { ConditionVariable } from '../../../common/condition-variable.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import { SYSTEM_TIME, startElapsed, type TimeSources } from '../../../common/elapsed-time.js';
 import type { RecordAddress, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { OwnerReference } from '../../../state/service/jobs/index.js';
-import { SESSION_TABLE, type SessionMonitor } from '../membership/index.js';
-import { ANY_TARGET, addActs, allowsAct, type RecentAct } from './recent-actions.js';
-
-/** How old a confirmation may be when an act begins, milliseconds: more when the store answers slowly. */
-const MIN_VALIDITY_MS = 250;
-const MAX_VALIDITY_MS = 3_000;
-const VALIDITY_ANSWERS = 4;
-/** Added to the time that two holders must be apart at one target, milliseconds. */
-const HANDOVER_GUARD_MARGIN_MS = 250;
-/** Owner of a lease that was given back. */
-const NOBODY: OwnerReference = { node: '', life: '' };
-
-interface LeaseContent {
-  readonly holder: OwnerReference;
-  /** Rises with each change of the holder; serves as fencing token. */
-  readonly epoch: number;
-  /** Confirmations of this holder. */
-  readonly acts: number;
-  /** How long after the last act was confirmed it may still begin, milliseconds. */
-  readonly validMs: number;
-  /** Acts of this and earlier holders that are not long past; nodes of version 0.1.0 do not name them. */
-  readonly recent?: readonly RecentAct[];
-}
-
-interface KnownLease {
-  readonly content: LeaseContent;
-  /** 0 while there is no record. */
-  readonly version: number;
-}
-
-/** A confirmed right to act. */
+import type { SessionMonitor } from '../membership/index.js';
+import {
+  ABSENT_LEASE,
+  type KnownLease,
+  type LeaseContent,
+  leaseAddress,
+  NOBODY,
+  parseLease,
+} from './lease-record.js';
+import { acquisitionReason, confirmationValidityMs, guardedActions, isTakenOver } from './lease-rules.js';
+import { addActions, allowsAction, type RecentAction } from './recent-actions.js';
+
+/** A confirmed right to act once. */
 export interface LeaseConfirmation {
+  /** Fencing token. */
   readonly epoch: number;
-  /** Whether the confirmation is fresh enough to begin an act. */
+  /** Whether an action may still begin under it. Ask right before the action. */
   isFresh(): boolean;
 }
 
-const ABSENT: KnownLease = {
-  content: { holder: NOBODY, epoch: 0, acts: 0, validMs: 0, recent: [] },
-  version: 0,
-};
-
-/** Acts that begin at the same time and share one confirmation. */
+/** Actions that begin together and share one confirmation. */
 interface Batch {
   readonly targets: Set<string>;
   readonly confirmation: Promise<LeaseConfirmation | undefined>;
 }
 
-/** One lease in the eyes of one node. It is read together with the beats of the sessions. */
+/** One lease as one node sees it. It is read together with the heartbeats of sessions. */
 export class LeaderLease {
   private known: KnownLease | undefined;
-  /** Observed time at which the holder was learnt, milliseconds. */
-  private holderLearntAtMs = 0;
+  /** When this epoch's holder was first seen, on the session monitor's observed time, milliseconds. */
+  private holderSeenAtMs = 0;
+  /** 0 while the lease is not held. */
   private heldEpoch = 0;
-  private isTaking = false;
-  private readonly taken = new ConditionVariable();
-  /** Acts whose confirmation has not been asked for yet. */
+  private isAcquiring = false;
+  private readonly acquired = new ConditionVariable();
+  /** Actions whose confirmation has not been requested yet. */
   private batch: Batch | undefined;
-  /** Resolves when the confirmation that was asked for last is answered. */
+  /** Resolves when the confirmation requested last is answered. */
   private lastAnswer: Promise<unknown> = Promise.resolve();
+  private readonly address: RecordAddress;
 
   constructor(
     private readonly store: RecordStore,
     private readonly task: string,
     private readonly self: OwnerReference,
     private readonly sessions: SessionMonitor,
-    /** Time that the acts of two holders on one target must be apart, milliseconds. */
+    /** Time between actions of leaders on two machines on one target, milliseconds. */
     private readonly handoverGuardMs: () => number,
     private readonly logger: DecisionLogger,
     private readonly time: TimeSources = SYSTEM_TIME,
-  ) {}
+  ) {
+    this.address = leaseAddress(task);
+  }
 
   /** Whether this node believes that it holds the lease. */
   get isHeld(): boolean {
     return this.heldEpoch > 0;
   }
 
-  /** Number of this holding; it rises with each change of the holder, and is 0 while the lease is not held. */
+  /**
+   * Fencing token of this holding; it rises with each change of the holder, and is 0 while the lease is not
+   * held.
+   */
   get epoch(): number {
     return this.heldEpoch;
   }
 
-  /** Who holds the lease, as far as this node has seen. */
+  /** Last known holder. */
   get holder(): OwnerReference | undefined {
     const holder = this.known?.content.holder;
     return holder?.node ? holder : undefined;
@@ -99,16 +88,19 @@
 
   /** Resolves while the lease is held, or when `signal` is aborted. */
   async untilHeld(signal: AbortSignal): Promise<void> {
-    while (!this.isHeld && !signal.aborted) await this.taken.wait(signal);
+    while (!this.isHeld && !signal.aborted) await this.acquired.wait(signal);
   }
 
-  /** Takes what was read; takes the lease when it is free or its holder is lost. */
+  /** Notes the records that were read; acquires the lease if wanted, and free or its holder lost. */
   observe(records: readonly StoredRecord[], wantsLease: boolean): void {
     this.note(records.find((record) => record.key === this.address.key));
-    if (!this.isHeld && wantsLease && !this.isTaking) void this.takeIfFree();
+    if (!this.isHeld && wantsLease && !this.isAcquiring) void this.acquireIfAllowed();
   }
 
-  /** Gives the lease back, so that another node takes it without waiting for this one's loss. */
+  /**
+   * Releases the lease, so that a successor need not wait for this node's loss. If the write fails, the
+   * successor waits for it.
+   */
   async resign(): Promise<void> {
     if (!this.isHeld || !this.known) return;
     const { content, version } = this.known;
@@ -117,15 +109,16 @@
     this.report('resigned');
   }
 
-  /** Whether no other machine can have acted on `target` so lately that this one must wait. */
+  /** Whether no other machine may have acted on `target` within the handover guard. */
   mayActOn(target: string): boolean {
-    return allowsAct(this.recentActs, target, this.self.node);
+    return allowsAction(this.guardedActions, target, this.self.node);
   }
 
   /**
-   * Asks the store to confirm the lease before an act on `target`; `undefined` when it is not confirmed. A machine that was suspended
-   * has a confirmation that is older than its monotonic clock says, and takes the store's clock for earlier than it is until
-   * the store has answered: neither lets an act begin later than its record says.
+   * Has the store confirm the lease before an action on `target`; `undefined` when it does not. After a
+   * suspension of the machine the confirmation is older than the monotonic clock says, and the estimate of
+   * the store's clock is behind until the store has answered: freshness takes both into account, so no action
+   * begins later than its record says.
    */
   confirm(target: string): Promise<LeaseConfirmation | undefined> {
     this.batch ??= this.openBatch();
@@ -133,90 +126,78 @@
     return this.batch.confirmation;
   }
 
-  /** Takes targets until the answer before has come and this turn of the event loop is over. */
+  /** Collects targets until the previous request is answered and this turn of the event loop is over. */
   private openBatch(): Batch {
     const targets = new Set<string>();
     const confirmation = this.lastAnswer.then(() => {
       this.batch = undefined;
-      return this.askForConfirmation(targets);
+      return this.requestConfirmation(targets);
     });
     this.lastAnswer = confirmation;
     return { targets, confirmation };
   }
 
-  private async askForConfirmation(targets: ReadonlySet<string>): Promise<LeaseConfirmation | undefined> {
+  private async requestConfirmation(targets: ReadonlySet<string>): Promise<LeaseConfirmation | undefined> {
     if (!this.isHeld || !this.known) return undefined;
     const { content, version } = this.known;
     const answerMs = this.store.usualAnswerMs();
-    const usualMs = Math.round(answerMs * VALIDITY_ANSWERS);
-    const validMs = Math.min(MAX_VALIDITY_MS, Math.max(MIN_VALIDITY_MS, usualMs));
+    const validMs = confirmationValidityMs(answerMs);
     const elapsed = startElapsed(this.time);
     const begunByMs = Math.round(this.store.nowMs() + answerMs + validMs);
     const { node } = this.self;
-    const acts = [...targets].map((target) => ({ target, node, begunByMs }));
-    const recent = addActs(this.recentActs, acts);
+    const actions = [...targets].map((target) => ({ target, node, begunByMs }));
+    const recent = addActions(this.guardedActions, actions);
     if (!(await this.write(version, { ...content, acts: content.acts + 1, validMs, recent })))
       return undefined;
     const isBegunInTime = () => this.store.nowMs() <= begunByMs;
     return { epoch: content.epoch, isFresh: () => elapsed() < validMs && isBegunInTime() };
   }
 
-  /**
-   * Acts from which another holder must still keep its distance: those that the record names, or what must be supposed of
-   * a holder that names none.
-   */
-  private get recentActs(): readonly RecentAct[] {
-    if (!this.known) return [];
-    const { recent, holder } = this.known.content;
-    const nowMs = this.store.nowMs();
-    const supposed = { target: ANY_TARGET, node: holder.node, begunByMs: nowMs + MAX_VALIDITY_MS };
-    const sinceMs = nowMs - this.handoverGuardMs() - HANDOVER_GUARD_MARGIN_MS;
-    return (recent ?? [supposed]).filter((act) => act.begunByMs > sinceMs);
-  }
-
-  private get address(): RecordAddress {
-    return { table: SESSION_TABLE, partition: '', key: `duty/${this.task}` };
+  private get guardedActions(): readonly RecentAction[] {
+    return this.known ? guardedActions(this.known.content, this.store.nowMs(), this.handoverGuardMs()) : [];
   }
 
   private note(record: StoredRecord | undefined): void {
     if (!record) {
-      this.known ??= ABSENT;
+      this.known ??= ABSENT_LEASE;
       return;
     }
     if (this.known && this.known.version >= record.version) return;
-    const content = JSON.parse(record.value.toString('utf8')) as LeaseContent;
+    const content = parseLease(record);
     const before = this.known?.content;
-    if (before?.epoch !== content.epoch) this.holderLearntAtMs = this.sessions.observedTimeMs;
+    if (before?.epoch !== content.epoch) this.holderSeenAtMs = this.sessions.observedTimeMs;
     this.known = { content, version: record.version };
-    if (this.isHeld && (content.holder.life !== this.self.life || content.epoch !== this.heldEpoch))
+    if (this.isHeld && isTakenOver(content, this.self, this.heldEpoch))
       this.lose(`taken by ${content.holder.node}`);
   }
 
-  private async takeIfFree(): Promise<void> {
+  private async acquireIfAllowed(): Promise<void> {
     if (!this.known) return;
     const { holder } = this.known.content;
-    const isFormerSelf = holder.node === this.self.node;
-    if (holder.node === '') await this.take('free');
-    else if (isFormerSelf) await this.take('my former self');
-    else if (this.sessions.isLost(holder, this.holderLearntAtMs)) await this.take(`${holder.node} is lost`);
+    const isLost = () => this.sessions.isLost(holder, this.holderSeenAtMs);
+    const reason = acquisitionReason(holder, this.self, isLost);
+    if (reason !== undefined) await this.acquire(reason);
   }
 
-  private async take(reason: string): Promise<void> {
+  private async acquire(reason: string): Promise<void> {
     if (!this.known) return;
     const { content, version } = this.known;
-    this.isTaking = true;
-    const recent = this.recentActs;
+    this.isAcquiring = true;
+    const recent = this.guardedActions;
     const epoch = content.epoch + 1;
-    const taken = await this.write(version, { holder: this.self, epoch, acts: 0, validMs: 0, recent });
-    this.isTaking = false;
-    if (!taken) return;
+    const isWritten = await this.write(version, { holder: this.self, epoch, acts: 0, validMs: 0, recent });
+    this.isAcquiring = false;
+    if (!isWritten) return;
     this.heldEpoch = epoch;
     this.sessions.noteHolding();
-    this.taken.notifyAll();
-    const others = recent.filter((act) => act.node !== this.self.node);
+    this.acquired.notifyAll();
+    const others = recent.filter((action) => action.node !== this.self.node);
     this.report('taken', `${reason}, ${others.length} targets must wait`);
   }
 
+  /**
+   * Whether the record was written; one without an answer counts as not, and the next scan shows the truth.
+   */
   private async write(version: number, content: LeaseContent): Promise<boolean> {
     const value = Buffer.from(JSON.stringify(content), 'utf8');
     const outcome = await this.store.transact({
--- a/src/coordination/service/leadership/recent-actions.ts
+++ b/src/coordination/service/leadership/recent-actions.ts
@@ -1,36 +1,45 @@
-/** Acts of a duty's holders, such as orders to replicas, from which another holder must keep its distance. */
+/**
+ * Recent actions of a task's leaders, such as load commands to replicas. A leader on another machine keeps
+ * the handover guard from each of them. Field names of `RecentAction` are stored in the lease record.
+ */
 
-/** One act, or the newest one of a node on a target. */
-export interface RecentAct {
+/** One action, or the newest one of a node on a target. */
+export interface RecentAction {
   readonly target: string;
-  /** Node that acts. */
+  /** Node that acted. */
   readonly node: string;
-  /** When it has begun at the latest, on the store's clock, milliseconds. */
+  /** When it had begun at the latest, on the store's clock, milliseconds. */
   readonly begunByMs: number;
 }
 
 /** Stands for every target. */
 export const ANY_TARGET = '*';
 
-/** Acts that are remembered one by one; when there are more, those of a node count as one on every target. */
-const MAX_ACTS = 500;
+/**
+ * Actions that are stored one by one; beyond, those of a node are merged into one on every target. Chosen,
+ * not measured: one for each replica of a large site, in a record of some tens of kilobytes.
+ */
+const MAX_ACTIONS = 500;
 
-/** Whether none of the acts is one of another machine on `target`. */
-export function allowsAct(recent: readonly RecentAct[], target: string, node: string): boolean {
-  return !recent.some((act) => act.node !== node && (act.target === target || act.target === ANY_TARGET));
+/** Whether none of the actions is one of another machine on `target`. */
+export function allowsAction(recent: readonly RecentAction[], target: string, node: string): boolean {
+  return !recent.some((action) => action.node !== node && [target, ANY_TARGET].includes(action.target));
 }
 
-/** The acts with `added`, each of which takes the place of the node's earlier act on the same target. */
-export function addActs(recent: readonly RecentAct[], added: readonly RecentAct[]): readonly RecentAct[] {
-  const isReplaced = (act: RecentAct) =>
-    added.some(({ node, target }) => node === act.node && target === act.target);
-  const all = [...recent.filter((act) => !isReplaced(act)), ...added];
-  return all.length <= MAX_ACTS ? all : mergeByNode(all);
+/** The actions with `added`, each of which replaces the node's earlier action on the same target. */
+export function addActions(
+  recent: readonly RecentAction[],
+  added: readonly RecentAction[],
+): readonly RecentAction[] {
+  const isReplaced = (action: RecentAction) =>
+    added.some(({ node, target }) => node === action.node && target === action.target);
+  const all = [...recent.filter((action) => !isReplaced(action)), ...added];
+  return all.length <= MAX_ACTIONS ? all : mergeByNode(all);
 }
 
-function mergeByNode(acts: readonly RecentAct[]): RecentAct[] {
+function mergeByNode(actions: readonly RecentAction[]): RecentAction[] {
   const latest = new Map<string, number>();
-  for (const { node, begunByMs } of acts)
+  for (const { node, begunByMs } of actions)
     latest.set(node, Math.max(begunByMs, latest.get(node) ?? Number.NEGATIVE_INFINITY));
   return [...latest].map(([node, begunByMs]) => ({ target: ANY_TARGET, node, begunByMs }));
 }
--- a/test/coordination/service/leadership/leader-lease.test.ts
+++ b/test/coordination/service/leadership/leader-lease.test.ts
@@ -1,4 +1,4 @@
-/** A lease of a duty: when a successor may act, and on what. */
+/** Leader lease: when a successor may act, and on what. */
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
 import { silentDecisionLogger } from '../../../../src/common/decision-logger.js';
@@ -12,9 +12,9 @@
 } from '../../../../src/protocol/record-store.js';
 
 const DUTY = 'orders';
-/** Time that the acts of two holders on one target are apart, milliseconds. */
-const APART_MS = 3_000;
-/** Time after which no act of an earlier holder is in the way, milliseconds. */
+/** Handover guard between actions of two machines on one target, milliseconds. */
+const HANDOVER_GUARD_MS = 3_000;
+/** Time after which no action of an earlier holder is guarded any more, milliseconds. */
 const LONG_MS = 10_000;
 
 /** A store with one record and a clock that stands still until a test moves it. */
@@ -45,7 +45,7 @@
   }
 }
 
-describe('a lease of a duty', () => {
+describe('a leader lease', () => {
   let store: LeaseStore;
   let isLost: boolean;
 
@@ -66,7 +66,7 @@
       DUTY,
       { node, life },
       sessions as unknown as SessionMonitor,
-      () => APART_MS,
+      () => HANDOVER_GUARD_MS,
       silentDecisionLogger,
       time,
     );
@@ -84,19 +84,19 @@
     return taken(leaseAt(node, `${node}-life`));
   }
 
-  it('lets a successor act at once where the holder before has not acted lately, and later where it has', async () => {
+  it('lets a successor act at once on targets without a recent action of its predecessor, on others after the handover guard', async () => {
     const first = await taken(leaseAt('node-1', 'life-1'));
     expect(await first.confirm('replica-1')).to.not.equal(undefined);
     const second = await successor('node-2');
     expect(second.mayActOn('replica-2')).to.equal(true);
     expect(second.mayActOn('replica-1')).to.equal(false);
-    store.clockMs += APART_MS;
+    store.clockMs += HANDOVER_GUARD_MS;
     expect(second.mayActOn('replica-1')).to.equal(false);
-    store.clockMs += APART_MS;
+    store.clockMs += HANDOVER_GUARD_MS;
     expect(second.mayActOn('replica-1')).to.equal(true);
   });
 
-  it('keeps the distance from acts of all machines that held it lately, not only of the last one', async () => {
+  it('guards recent actions of all machines that held it, not only of the last one', async () => {
     const first = await taken(leaseAt('node-1', 'life-1'));
     await first.confirm('replica-1');
     const second = await successor('node-2');
@@ -107,14 +107,14 @@
     expect(third.mayActOn('replica-3')).to.equal(true);
   });
 
-  it('needs no distance from acts of an earlier process on the same machine', async () => {
+  it('does not guard actions of an earlier process on the same machine', async () => {
     const before = await taken(leaseAt('node-1', 'life-1'));
     await before.confirm('replica-1');
     const after = await taken(leaseAt('node-1', 'life-2'));
     expect(after.mayActOn('replica-1')).to.equal(true);
   });
 
-  it('keeps the distance after it was given back', async () => {
+  it('guards actions after it was released', async () => {
     const first = await taken(leaseAt('node-1', 'life-1'));
     await first.confirm('replica-1');
     await first.resign();
@@ -122,7 +122,7 @@
     expect(second.mayActOn('replica-1')).to.equal(false);
   });
 
-  it('confirms acts that begin together with one write that names them all', async () => {
+  it('confirms actions that begin together with one write that names them all', async () => {
     const first = await taken(leaseAt('node-1', 'life-1'));
     const before = store.transactions;
     const together = ['replica-1', 'replica-2', 'replica-3'].map((target) => first.confirm(target));
@@ -133,7 +133,7 @@
       expect(second.mayActOn(target)).to.equal(false);
   });
 
-  it('names an act that begins while another confirmation is asked for in a write of its own', async () => {
+  it('confirms an action that begins while another confirmation is open with a write of its own', async () => {
     const first = await taken(leaseAt('node-1', 'life-1'));
     const early = first.confirm('replica-1');
     await Promise.resolve();
@@ -144,7 +144,7 @@
     expect(second.mayActOn('replica-2')).to.equal(false);
   });
 
-  it('keeps the distance everywhere from a holder of an earlier build, which names no acts', async () => {
+  it('guards all targets after a holder of an earlier build, which names no actions', async () => {
     const value = { holder: { node: 'node-1', life: 'life-1' }, epoch: 1, acts: 7, validMs: 250 };
     const write = { table: 'sessions', partition: '', key: `duty/${DUTY}` };
     await store.transact({
@@ -158,7 +158,7 @@
     expect(second.mayActOn('replica-1')).to.equal(true);
   });
 
-  it('confirms no act that begins after the machine was suspended', async () => {
+  it('confirms no action that begins after the machine was suspended', async () => {
     const first = await taken(leaseAt('node-1', 'life-1'));
     const confirmation = await first.confirm('replica-1');
     expect(confirmation?.isFresh()).to.equal(true);
@@ -166,7 +166,7 @@
     expect(confirmation?.isFresh()).to.equal(false);
   });
 
-  it('confirms no act of which the record says that it began before, by the clock of a machine that was suspended', async () => {
+  it('confirms no action that would begin later than recorded, by the clock of a machine that was suspended', async () => {
     const first = await taken(leaseAt('node-1', 'life-1'));
     store.clockMs += LONG_MS;
     store.behindMs = LONG_MS;
@@ -182,7 +182,7 @@
     expect(first.isHeld).to.equal(false);
   });
 
-  it('keeps the distance everywhere after more acts than are remembered one by one', async () => {
+  it('guards all targets after more actions than are stored one by one', async () => {
     const first = await taken(leaseAt('node-1', 'life-1'));
     await Promise.all(Array.from({ length: 2_000 }, (_, index) => first.confirm(`replica-${index}`)));
     expect(store.record?.value.length).to.be.lessThan(60_000);
