--- a/src/coordination/service/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -1,34 +1,41 @@
-/** A request on its way to some replica of a service, and what became of it. */
+/**
+ * A request on its way to some replica of a service, and its result: the terms of the queue and of remote
+ * dispatch.
+ */
 import type { ReplicaRequest } from '../../../protocol/service/replica.js';
 import type { AttemptOutcome } from './replica-exchange.js';
 
 /** A request for some replica of a service. Times are on the monotonic clock, milliseconds. */
 export interface DispatchCall {
   readonly service: string;
-  /** Which requests are alike in how long they take: the name of the route. */
+  /** Requests of one kind are expected to take equally long: the name of the route. */
   readonly workKind: string;
   readonly request: Omit<ReplicaRequest, 'remainingMs' | 'signal'>;
-  /** Rank; 0 is the most urgent. */
+  /** 0 is the most urgent; counts upwards. */
   readonly priority: number;
-  /** Who is charged for the use of replicas: a tenant, or a caller where there are none. */
+  /** Charged for the use of replicas: a tenant, or a caller where there are no tenants. */
   readonly flow: string;
-  /** Whether it is work in the background, which gives way to callers. */
+  /** Whether it yields to interactive requests of its priority. */
   readonly isBackground: boolean;
-  /** When the answer is wanted, and when it is of no use any more. */
+  /** Latency target, and deadline: when the answer is wanted, and when it is of no more use. */
   readonly targetAtMs: number;
   readonly deadlineMs: number;
-  /** Whether it is made beside another attempt: it takes a free place and a part of the budget, or is declined. */
+  /**
+   * Whether another attempt of it runs: it takes a free slot and is charged to the retry budget, or is
+   * declined.
+   */
   readonly isHedge: boolean;
-  /** Whether it is made after another attempt: it takes a part of the budget. */
+  /** Whether an earlier attempt reached a replica: it is charged to the retry budget. */
   readonly isRetry: boolean;
-  /** Replicas that are not to be taken: it was sent to them already. */
+  /** Ids of replicas that it was sent to before; used only when there are no others. */
   readonly excluded: ReadonlySet<string>;
   readonly configVersion: number;
   /** Aborted when nobody wants the answer any more. */
   readonly signal: AbortSignal;
   /**
-   * Told `true` when the request is handed to a replica or to another node, from where on it may run, and `false` when that one has
-   * certainly not run it and it waits here again. A request that was never handed over has not run.
+   * Called with `true` when the request is handed to a replica or to another node, where it may run, and with
+   * `false` when it has certainly not run there and is queued here again. A request that was never handed
+   * over has not run.
    */
   readonly onHandOver?: (mayRun: boolean) => void;
 }
@@ -36,31 +43,32 @@
 /** A replica that a request was sent to. */
 export interface UsedReplica {
   readonly id: string;
+  /** `IP:PORT`. */
   readonly address: string;
 }
 
-/** How full the replicas of a service are, as the node knows that deals out their places. */
+/** Slots of a service and queued requests, as its dispatcher sees them. */
 export interface ServiceCapacity {
   readonly free: number;
   readonly slots: number;
   readonly waiting: number;
 }
 
-/** What became of a call. */
+/** The result of a call. */
 export interface DispatchResult {
   readonly outcome: AttemptOutcome;
-  /** The replica that has it or had it last; none where it was sent to none. */
+  /** The last replica that it was sent to; none where it was sent to none. */
   readonly replica?: UsedReplica;
-  /** Whether the replica has ended under the request, not by plan. */
+  /** Whether the replica has crashed while it ran the request; a planned end is none. */
   readonly hasCrashedReplica: boolean;
-  /** When it should come back where it has not run, milliseconds. */
+  /** Retry-After of a request that has not run, milliseconds. */
   readonly retryAfterMs?: number;
   readonly capacity?: ServiceCapacity;
-  /** Whether it was refused only because the node that it waited at deals out no places any more. */
+  /** Whether it was rejected only because its dispatcher is leaving. */
   readonly isClosed?: boolean;
-  /** Node that dealt with it, for the logs. */
+  /** Name of the dispatcher, for the logs. */
   readonly via?: string;
 }
 
-/** Sends calls. Never rejects. */
-export type Dispatch = (call: DispatchCall) => Promise<DispatchResult>;
+/** The result of a call that its caller has cancelled. */
+export const CANCELLED: DispatchResult = { outcome: { kind: 'cancelled' }, hasCrashedReplica: false };
--- /dev/null
+++ b/src/coordination/service/dispatch/queue-checks.ts
@@ -0,0 +1,37 @@
+/** When a queue assigns its requests: after a change, and at a fixed period while requests are queued. */
+
+/**
+ * Period of the check without a change, milliseconds: the end of a back-off or of slow start is no event.
+ * Chosen, not measured: below the service time of most requests.
+ */
+export const RECHECK_MS = 20;
+
+export class QueueChecks {
+  private timer: NodeJS.Timeout | undefined;
+  private isScheduled = false;
+
+  /** `check` is called only from the event loop, never within a call of this object. */
+  constructor(
+    private readonly check: () => void,
+    private readonly hasWaiting: () => boolean,
+  ) {}
+
+  /** Checks in this turn of the event loop, once however often this is called. */
+  schedule(): void {
+    if (this.isScheduled || !this.hasWaiting()) return;
+    this.isScheduled = true;
+    setImmediate(() => {
+      this.isScheduled = false;
+      this.check();
+    });
+  }
+
+  /** Checks once after `RECHECK_MS`, unless that is planned already. */
+  armTimer(): void {
+    if (this.timer || !this.hasWaiting()) return;
+    this.timer = setTimeout(() => {
+      this.timer = undefined;
+      this.check();
+    }, RECHECK_MS);
+  }
+}
--- /dev/null
+++ b/src/coordination/service/dispatch/rejection-reports.ts
@@ -0,0 +1,43 @@
+/** Log line and metric of a request that the queue of a service rejects. */
+import { monotonicMs } from '../../../common/clock.js';
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { ServiceCapacity } from './dispatch-call.js';
+import type { QueueEntry } from './queue-entry.js';
+
+/** Where rejections are reported. */
+export interface RejectionSinks {
+  readonly metrics: Pick<ServiceMetrics, 'refusedRequests'>;
+  readonly logger: DecisionLogger;
+}
+
+/** A rejection as it is reported. */
+export interface RejectionReport {
+  readonly service: string;
+  readonly entry: QueueEntry;
+  readonly reason: string;
+  /** Milliseconds; 0 where none is given. */
+  readonly retryAfterMs: number;
+  readonly capacity: ServiceCapacity;
+}
+
+/** Reports a rejection. The log keys `party` and `rank` are the request's flow and priority. */
+export function reportRejection({ metrics, logger }: RejectionSinks, report: RejectionReport): void {
+  const { service, entry, reason, retryAfterMs, capacity } = report;
+  const { free, slots, waiting } = capacity;
+  metrics.refusedRequests.inc({ service, rank: String(entry.priority) });
+  logger.record({
+    event: 'request-refused',
+    requestId: entry.call.request.id,
+    service,
+    party: entry.flow,
+    rank: entry.priority,
+    reason,
+    waitedMs: Math.round(monotonicMs() - entry.sinceMs),
+    leftMs: Math.round(entry.deadlineMs - monotonicMs()),
+    retryAfterMs: Math.round(retryAfterMs),
+    waiting,
+    free,
+    slots,
+  });
+}
--- a/src/coordination/service/dispatch/service-queues.ts
+++ b/src/coordination/service/dispatch/service-queues.ts
@@ -1,31 +1,33 @@
-/** The queues of the services whose places this node deals out. */
+/**
+ * The queues of the services that this node dispatches for. A queue is created with the first request of its
+ * service and kept until the process ends.
+ */
 import type { DispatchCall, DispatchResult } from './dispatch-call.js';
 import { ServiceQueue, type ServiceQueueServices } from './service-queue.js';
 
-/** The queues of one node. */
 export class ServiceQueues {
   private readonly queues = new Map<string, ServiceQueue>();
   private isClosed = false;
 
   constructor(private readonly services: ServiceQueueServices) {}
 
-  /** Sends a request or lets it wait here. */
+  /** Sends or queues a request here. Never rejects. */
   dispatch(call: DispatchCall): Promise<DispatchResult> {
     return this.queueOf(call.service).dispatch(call);
   }
 
-  /** Refuses what waits and lets nothing wait any more; what runs goes on. */
+  /** Rejects all queued requests; what runs goes on. */
   close(): void {
     this.isClosed = true;
-    for (const queue of this.queues.values()) queue.close('this node is leaving');
+    for (const queue of this.queues.values()) queue.close();
   }
 
-  /** Whether this node is on its way out, so that others deal out the places. */
+  /** Whether this node is leaving, so that other nodes dispatch. */
   get areClosed(): boolean {
     return this.isClosed;
   }
 
-  /** Services with their queues. */
+  /** Queues by service. */
   get all(): ReadonlyMap<string, ServiceQueue> {
     return this.queues;
   }
--- /dev/null
+++ b/src/coordination/service/dispatch/service-replicas.ts
@@ -0,0 +1,69 @@
+/**
+ * The replicas of one service as its queue sees them: which are available, their capacity, and the choice
+ * among them. Keeps no state of its own; what is known of a replica lies in its `ReplicaState`.
+ */
+import { type RunningRequest, slotWaitMs } from '../../../state/service/admission/index.js';
+import {
+  type Choice,
+  capacityOf,
+  chooseReplica,
+  drainRate,
+  type ReplicaDirectory,
+  type ReplicaState,
+} from '../../../state/service/replicas/index.js';
+
+/** What the configuration and the fleet say of replicas. */
+export interface ReplicaPolicy {
+  readonly directory: ReplicaDirectory;
+  /** Requests that a replica runs at once. */
+  readonly slotsOf: (state: ReplicaState) => number;
+  /** Requests that a replica in slow start may get from this node in a second; `undefined` for no limit. */
+  readonly slowStartPerSecond: (state: ReplicaState) => number | undefined;
+  /** Added to the load of a replica in another zone, as a share of its slots. */
+  readonly distance: (state: ReplicaState) => number;
+}
+
+export class ServiceReplicas {
+  constructor(
+    private readonly service: string,
+    private readonly policy: ReplicaPolicy,
+  ) {}
+
+  /** Free slots, and all slots. */
+  get capacity(): { free: number; all: number } {
+    return capacityOf(this.available(), this.policy);
+  }
+
+  /**
+   * Work that the replicas finish in a millisecond while all slots are taken, in milliseconds of usual time.
+   */
+  get drainPerMs(): number {
+    return drainRate(this.available(), this.policy);
+  }
+
+  /** Available replicas without the excluded ones. */
+  eligible(excluded: ReadonlySet<string>): ReplicaState[] {
+    const states = this.available();
+    return excluded.size === 0 ? states : states.filter(({ id }) => !excluded.has(id));
+  }
+
+  /** The replica for a request of `serviceTimeMs` behind work of `queuedAheadMs`. */
+  choose(excluded: ReadonlySet<string>, serviceTimeMs: number, queuedAheadMs: number): Choice {
+    const { slotsOf, distance, slowStartPerSecond } = this.policy;
+    const input = { slotsOf, distance, slowStartPerSecond, serviceTimeMs, queuedAheadMs };
+    return chooseReplica(this.eligible(excluded), input);
+  }
+
+  /** Least expected time until a slot becomes free, milliseconds. */
+  slotWaitMs(runningAt: (replicaId: string) => ReadonlySet<RunningRequest>, nowMs: number): number {
+    const uses = this.available().map((state) => {
+      const running = runningAt(state.id);
+      return { slots: Math.max(1, this.policy.slotsOf(state)), running, runningCount: running.size };
+    });
+    return slotWaitMs(uses, nowMs);
+  }
+
+  private available(): ReplicaState[] {
+    return this.policy.directory.availableOf(this.service);
+  }
+}
--- a/src/state/service/admission/admission.ts
+++ b/src/state/service/admission/admission.ts
@@ -1,61 +1,146 @@
 /**
- * Whether a request may wait for a place, and when one that may not should come back. It answers loads beyond the room: what cannot
- * be served in its time is refused while it has not run, at once, rather than kept until its caller gives up.
+ * Admission control: whether a request may queue for a slot, when a queued one is rejected, whether a hedge
+ * may be sent, and Retry-After of a rejected request. Under overload, work that cannot meet its deadline is
+ * rejected before it runs.
  *
- * Pure decisions: time and chance are passed in.
+ * Pure decisions: time and randomness are arguments. They rest on estimates of service time and drain rate;
+ * where these are wrong a request is rejected while it waits (`isDeadlineUnreachable`), still before it has
+ * run.
  */
 
-/** What the decision looks at. */
-export interface AdmissionTerms {
-  /** Usual time of the requests that go before it, and of all that wait, milliseconds. */
+/** Inputs of admission control. Times in milliseconds; work is expected time at a replica of usual speed. */
+export interface AdmissionInput extends RetryAfterInput {
+  /** Whether a replica is available; one that the request was sent to before counts. */
+  readonly hasReplica: boolean;
+  /** Whether a slot is free and no other request waits for it. */
+  readonly hasFreeSlot: boolean;
+  /** Work of the queued requests that are served before it. */
   readonly queuedAheadMs: number;
+  /** Least expected time until a slot becomes free (`slotWaitMs`); 0 where one is free or it is unknown. */
+  readonly slotWaitMs: number;
+}
+
+/** Inputs of Retry-After. Times in milliseconds. */
+export interface RetryAfterInput {
+  /** Work of all queued requests. */
   readonly queuedMs: number;
-  /** Usual time of requests that the replicas end in a millisecond. */
+  /** Work that the replicas finish in a millisecond. */
   readonly drainPerMs: number;
-  /** Least expected time until a replica frees a slot, milliseconds; 0 where a slot is free or nothing is known. */
-  readonly slotWaitMs: number;
-  /** Whether a place is free that it could have now. */
-  readonly hasFreeSlot: boolean;
-  /** Time that it takes once it runs, milliseconds. */
+  /** Expected service time of the request. */
   readonly serviceTimeMs: number;
-  /** Time until its caller gives up, milliseconds. */
+  /** Time until its deadline. */
   readonly remainingMs: number;
 }
 
-/** What follows for the request. */
-export type Admission =
-  | { readonly kind: 'admitted'; readonly expectedWaitMs: number }
-  | { readonly kind: 'refused'; readonly retryAfterMs: number };
+/** Why a request was rejected. It has not run. */
+export type RejectionReason =
+  | 'no-replica'
+  | 'deadline-unreachable'
+  | 'queue-full'
+  | 'retry-budget-exhausted'
+  | 'no-slot-for-hedge'
+  | 'route-removed'
+  | 'dispatcher-leaving';
+
+/** A rejection; the log line's `reason` is its `rejectionText`. */
+export interface Rejection {
+  readonly kind: 'reject';
+  readonly reason: RejectionReason;
+  /** Milliseconds; 0 where the caller is given none. */
+  readonly retryAfterMs: number;
+  /** Expected wait for a slot, milliseconds, where it is the reason. */
+  readonly expectedWaitMs?: number;
+}
+
+export type AdmissionDecision = { readonly kind: 'admit' } | Rejection;
 
-/** Callers come back after this time at least, milliseconds: sooner the room is not seen to change. */
+/** Least Retry-After, milliseconds. Chosen, not measured: sooner than that little work has drained. */
 const MIN_RETRY_AFTER_MS = 50;
-/** Callers heed a time to come back up to this part of the time that they have left. */
+/**
+ * Largest Retry-After as a share of the remaining time. Chosen, not measured: leaves time for the retry
+ * itself.
+ */
 const MAX_RETRY_AFTER_FRACTION = 1 / 3;
-/** Times to come back are spread over this part of themselves, so that those who are refused together don't come together. */
+/**
+ * Retry-After is lengthened by up to this share of itself at random. Chosen, not measured: spreads retries.
+ */
 const RETRY_AFTER_JITTER = 0.5;
+/**
+ * Share of the expected service time below which the remaining time of a queued request is too short. Chosen.
+ */
+const MIN_SERVICE_FRACTION = 0.5;
+/**
+ * Share of slots that must be free for a hedge. Chosen, not measured: hedges must not take first attempts'
+ * slots.
+ */
+const MIN_FREE_SLOT_FRACTION_FOR_HEDGE = 0.1;
+
+const TEXTS: Readonly<Record<RejectionReason, string>> = {
+  'no-replica': 'no replica is available',
+  'deadline-unreachable': 'the deadline cannot be met',
+  'queue-full': 'the queue is full',
+  'retry-budget-exhausted': 'the retry budget is exhausted',
+  'no-slot-for-hedge': 'too few free slots for a hedge',
+  'route-removed': 'the configuration no longer routes it to this service',
+  'dispatcher-leaving': 'this node is leaving',
+};
 
 /**
- * Decides on a request. While a place is free it is never refused: what is known of its time may be wrong, and would stay so if
- * none of its kind ran.
+ * Decides on a request at its arrival. One that finds a free slot is always admitted: otherwise a service
+ * time that was overestimated would never be corrected, since none of its kind would run. `random` is in [0,
+ * 1).
  */
-export function admit(terms: AdmissionTerms, chance: number): Admission {
-  if (terms.hasFreeSlot) return { kind: 'admitted', expectedWaitMs: 0 };
-  const queueWaitMs = terms.queuedAheadMs / Math.max(terms.drainPerMs, Number.EPSILON);
-  const expectedWaitMs = Math.max(queueWaitMs, terms.slotWaitMs);
-  if (expectedWaitMs + terms.serviceTimeMs <= terms.remainingMs) return { kind: 'admitted', expectedWaitMs };
-  return { kind: 'refused', retryAfterMs: retryAfterMs(terms, chance) };
+export function admit(input: AdmissionInput, random: number): AdmissionDecision {
+  if (!input.hasReplica)
+    return { kind: 'reject', reason: 'no-replica', retryAfterMs: retryAfterMs(input, random) };
+  if (input.hasFreeSlot) return { kind: 'admit' };
+  const queueWaitMs = input.queuedAheadMs / Math.max(input.drainPerMs, Number.EPSILON);
+  const expectedWaitMs = Math.max(queueWaitMs, input.slotWaitMs);
+  if (expectedWaitMs + input.serviceTimeMs <= input.remainingMs) return { kind: 'admit' };
+  const reason = 'deadline-unreachable';
+  return { kind: 'reject', reason, expectedWaitMs, retryAfterMs: retryAfterMs(input, random) };
+}
+
+/** Inputs of the check of a queued request. Milliseconds. */
+export interface QueuedDeadline {
+  readonly remainingMs: number;
+  readonly slotWaitMs: number;
+  readonly serviceTimeMs: number;
+  /** Least time that must be left, whatever its service time. */
+  readonly marginMs: number;
 }
 
 /**
- * When a request that is refused should come back, milliseconds: once those that wait now are served, and not all at once; within
- * what callers heed. `chance` lies between 0 and 1.
+ * Whether a queued request is to be rejected: after the wait for a slot less than the margin or half of its
+ * service time would be left. More lenient than `admit`, since it has already waited and the estimate may be
+ * wrong.
  */
-export function retryAfterMs(terms: AdmissionTerms, chance: number): number {
-  const drainedMs = terms.queuedMs / Math.max(terms.drainPerMs, Number.EPSILON);
+export function isDeadlineUnreachable(input: QueuedDeadline): boolean {
+  const usableMs = input.remainingMs - input.slotWaitMs;
+  return usableMs < Math.max(input.marginMs, input.serviceTimeMs * MIN_SERVICE_FRACTION);
+}
+
+/** Whether a hedge may take a slot; it never queues. The retry budget must allow it as well. */
+export function mayHedge({ free, slots, waiting }: Record<'free' | 'slots' | 'waiting', number>): boolean {
+  return waiting === 0 && free >= slots * MIN_FREE_SLOT_FRACTION_FOR_HEDGE;
+}
+
+/**
+ * Retry-After of a rejected request, milliseconds: once the queue has drained and the request's own service
+ * time has passed, with jitter, within a share of the remaining time. `random` is in [0, 1).
+ */
+export function retryAfterMs(input: RetryAfterInput, random: number): number {
+  const drainedMs = input.queuedMs / Math.max(input.drainPerMs, Number.EPSILON);
   const spreadMs =
-    Math.max(MIN_RETRY_AFTER_MS, drainedMs + terms.serviceTimeMs) * (1 + RETRY_AFTER_JITTER * chance);
+    Math.max(MIN_RETRY_AFTER_MS, drainedMs + input.serviceTimeMs) * (1 + RETRY_AFTER_JITTER * random);
   return Math.max(
-    MIN_RETRY_AFTER_MS * (1 + chance),
-    Math.min(spreadMs, terms.remainingMs * MAX_RETRY_AFTER_FRACTION),
+    MIN_RETRY_AFTER_MS * (1 + random),
+    Math.min(spreadMs, input.remainingMs * MAX_RETRY_AFTER_FRACTION),
   );
 }
+
+/** Text of a rejection, for log lines and for the caller. */
+export function rejectionText({ reason, expectedWaitMs }: Rejection): string {
+  const wait = expectedWaitMs ? `: expected wait for a slot ${Math.round(expectedWaitMs)} ms` : '';
+  return TEXTS[reason] + wait;
+}
--- a/src/state/service/admission/flow-usage.ts
+++ b/src/state/service/admission/flow-usage.ts
@@ -1,60 +1,64 @@
 /**
- * How much of the replicas' time each party (a tenant, or a caller where there are none) has lately used. It answers loads in which
- * one party asks for many times as much as the others: whoever has used least goes first, so that its demand cannot displace
- * theirs, and what the others leave is lent to it at once.
+ * Recent use of replica time by flow (a tenant, or a caller where there are no tenants), for fair queueing:
+ * the flow with the least use is served first, and what the others leave idle goes to any flow at once.
+ *
+ * Owns the usage at one node, in memory; lost with the process, after which all flows start equal.
  */
 
-/** After this time half of a use is forgotten, milliseconds: a queue that callers still wait in drains in less. */
+/**
+ * Half-life of a use, milliseconds. Chosen, not measured: of the order of the time that callers wait in a
+ * queue.
+ */
 const HALF_LIFE_MS = 1_000;
-/** Parties that are remembered: as many as the tenants of a large configuration. */
+/** Flows that are kept. Chosen, not measured: more than the tenants of a large configuration. */
 const MAX_FLOWS = 100_000;
-/** A use below this is forgotten, milliseconds of a replica's time. */
+/** Use below which a flow is removed, milliseconds of replica time. Chosen: far below one request. */
 const NEGLIGIBLE_MS = 1;
-/** Forgetting looks at so many parties at each new one, so that its cost is spread. */
-const FORGET_STEP = 2;
+/** Flows removed at each addition, at most. Above 1, so that the number of flows can fall. */
+const MAX_REMOVED_PER_ADDITION = 2;
 
-interface Use {
+interface Usage {
   usedMs: number;
   atMs: number;
 }
 
-/** Uses of the parties, as seen by one node. Times are on the monotonic clock. */
+/** Times are on the monotonic clock, milliseconds. */
 export class FlowUsage {
-  private readonly uses = new Map<string, Use>();
+  private readonly usages = new Map<string, Usage>();
 
-  /** Parties that are remembered. */
+  /** Flows that are kept. */
   get size(): number {
-    return this.uses.size;
+    return this.usages.size;
   }
 
-  /** What a party has lately used, milliseconds, over its `weight`. */
+  /** Decayed use of a flow, milliseconds of replica time, divided by its `weight`. */
   of(flow: string, nowMs: number, weight = 1): number {
-    const use = this.uses.get(flow);
-    return use ? decayed(use, nowMs) / weight : 0;
+    const usage = this.usages.get(flow);
+    return usage ? decayed(usage, nowMs) / weight : 0;
   }
 
-  /** Adds to what a party has used; a negative time takes back what was added too much. */
+  /** Adds a use; a negative one corrects an estimate that was too long. */
   add(flow: string, usedMs: number, nowMs: number): void {
-    const use = this.uses.get(flow);
-    const total = Math.max(0, (use ? decayed(use, nowMs) : 0) + usedMs);
-    this.uses.delete(flow);
-    this.uses.set(flow, { usedMs: total, atMs: nowMs });
-    this.forgetIdle(nowMs);
+    const usage = this.usages.get(flow);
+    const total = Math.max(0, (usage ? decayed(usage, nowMs) : 0) + usedMs);
+    this.usages.delete(flow);
+    this.usages.set(flow, { usedMs: total, atMs: nowMs });
+    this.removeIdle(nowMs);
   }
 
-  /** The parties that were longest without a use stand first. */
-  private forgetIdle(nowMs: number): void {
-    let looked = 0;
-    for (const [flow, use] of this.uses) {
-      const isIdle = decayed(use, nowMs) < NEGLIGIBLE_MS;
-      if (!isIdle && this.uses.size <= MAX_FLOWS) return;
-      this.uses.delete(flow);
-      looked += 1;
-      if (looked >= FORGET_STEP) return;
+  /** Removes idle flows, and beyond the maximum any; least recently used ones come first in the map. */
+  private removeIdle(nowMs: number): void {
+    let removed = 0;
+    for (const [flow, usage] of this.usages) {
+      const isIdle = decayed(usage, nowMs) < NEGLIGIBLE_MS;
+      if (!isIdle && this.usages.size <= MAX_FLOWS) return;
+      this.usages.delete(flow);
+      removed += 1;
+      if (removed >= MAX_REMOVED_PER_ADDITION) return;
     }
   }
 }
 
-function decayed({ usedMs, atMs }: Use, nowMs: number): number {
+function decayed({ usedMs, atMs }: Usage, nowMs: number): number {
   return usedMs * 2 ** (-Math.max(0, nowMs - atMs) / HALF_LIFE_MS);
 }
--- a/src/state/service/admission/index.ts
+++ b/src/state/service/admission/index.ts
@@ -1,5 +1,16 @@
-export { type Admission, type AdmissionTerms, admit, retryAfterMs } from './admission.js';
+export {
+  type AdmissionDecision,
+  type AdmissionInput,
+  admit,
+  isDeadlineUnreachable,
+  mayHedge,
+  type Rejection,
+  type RejectionReason,
+  rejectionText,
+  retryAfterMs,
+} from './admission.js';
 export { FlowUsage } from './flow-usage.js';
+export { mayRequeue } from './requeue.js';
 export { RetryBudget } from './retry-budget.js';
 export { type ReplicaUse, type RunningRequest, slotWaitMs } from './slot-wait.js';
 export { type Waiting, type WaitingBounds, WaitingList } from './waiting-list.js';
--- a/src/state/service/admission/retry-budget.ts
+++ b/src/state/service/admission/retry-budget.ts
@@ -1,28 +1,30 @@
 /**
- * The budget of second attempts: retries and attempts beside a silent one may be a part of the first attempts. It answers the load
- * that attempts make of themselves: when replicas slow down every request is doubled, which slows them further.
+ * Retry budget of one service at one node: retries and hedges are limited to a share of first attempts, so
+ * that slow replicas do not double their own load. Lost with the process; a new one starts half full.
  */
 
-/** Second attempts for each first one, at most: a few slow replicas among many are covered, a slow service is not doubled. */
+/**
+ * Retries and hedges for each first attempt. Chosen, not measured: covers a few slow replicas, not a slow
+ * service.
+ */
 const RETRIES_PER_REQUEST = 0.2;
-/** Second attempts that may be saved up: those of a few replicas that fall silent together. */
+/** Largest budget, requests. Chosen, not measured: what a few replicas that fail together have in flight. */
 const MAX_SAVED = 20;
 
-/** The budget of one service at one node. */
 export class RetryBudget {
   private saved = MAX_SAVED / 2;
 
-  /** Second attempts that may be made now. */
+  /** Whole retries or hedges that may be sent now. */
   get left(): number {
     return Math.floor(this.saved);
   }
 
-  /** A first attempt was made. */
+  /** Notes a first attempt. */
   noteFirst(): void {
     this.saved = Math.min(MAX_SAVED, this.saved + RETRIES_PER_REQUEST);
   }
 
-  /** Takes one second attempt from the budget; false when there is none left. */
+  /** Takes one from the budget; false when it is exhausted. */
   take(): boolean {
     if (this.saved < 1) return false;
     this.saved -= 1;
--- a/src/state/service/admission/slot-wait.ts
+++ b/src/state/service/admission/slot-wait.ts
@@ -1,8 +1,8 @@
 /**
- * Estimates how long no slot of a service becomes free, from the requests that this node has running at its replicas. It covers work that
- * takes much longer than its kind usually does, of which a drain rate made from usual times knows nothing.
+ * Estimates how long no slot of a service becomes free, from the requests that this node has running. Covers
+ * work that takes much longer than its kind usually does, which a drain rate made of usual times misses.
  *
- * Pure: the time is passed in.
+ * Pure: the time is an argument.
  */
 
 /** A request that runs at a replica. Times are on the monotonic clock, milliseconds. */
@@ -12,7 +12,7 @@
   readonly serviceTimeMs: number;
 }
 
-/** The requests of this node at one replica, and the requests that it runs at once. */
+/** The slots of one replica, and the requests of this node that run there. */
 export interface ReplicaUse {
   readonly slots: number;
   readonly running: Iterable<RunningRequest>;
@@ -20,8 +20,8 @@
 }
 
 /**
- * Least expected time until a slot becomes free, milliseconds; 0 where one is free, where requests of other nodes may hold it, or where a
- * request runs no longer than expected.
+ * Least expected time until a slot becomes free, milliseconds; 0 where one is free, may be held by requests
+ * of other nodes, or runs a request that has not yet exceeded its expected time.
  */
 export function slotWaitMs(replicas: Iterable<ReplicaUse>, nowMs: number): number {
   let leastMs = Number.POSITIVE_INFINITY;
@@ -33,8 +33,8 @@
 }
 
 /**
- * Remaining time of a request, milliseconds. One that has run longer than expected is taken to run as long again. That its deadline may end
- * it sooner does not count: the slot is free then, but of a replica that has needed longer than that for a request.
+ * Remaining time of a request, milliseconds. One that exceeded its expected time is assumed to run as long
+ * again, even beyond its deadline: that frees the slot of a replica which is too slow for such a request.
  */
 function remainingMs({ sentAtMs, serviceTimeMs }: RunningRequest, nowMs: number): number {
   const elapsedMs = nowMs - sentAtMs;
--- a/src/state/service/admission/waiting-list.ts
+++ b/src/state/service/admission/waiting-list.ts
@@ -1,54 +1,54 @@
 /**
- * Requests that wait for a place at a replica, and which of them goes next. It answers overload: the more urgent rank first; within
- * it those that can still be answered in time before those that no longer can; among these whoever has lately used least of the
- * replicas' time; then the one whose time is over soonest. A part of the places goes to those that have waited longest, so that
- * nobody is starved.
+ * Queue order of one service: which request gets the next slot, and which is dropped when the queue is full.
+ * By priority; then requests that can still meet their latency target; then interactive before background
+ * work; then the flow with the least recent use of replica time; then the earliest deadline. A share of the
+ * slots goes to the longest waiting request of another priority, and of background work, so that none
+ * starves.
  *
- * Pure decisions: the time is passed in.
+ * Owns the queued requests, in memory. Pure otherwise: the time is an argument.
  */
 import type { FlowUsage } from './flow-usage.js';
 
-/** What the order looks at. Times are on the monotonic clock, milliseconds. */
+/** What the order depends on. Times are on the monotonic clock, milliseconds. */
 export interface Waiting {
-  /** 0 is the most urgent. */
+  /** 0 is the most urgent; counts upwards. */
   readonly priority: number;
-  /** Who is charged for the use: a tenant, or a caller. */
+  /** Charged for the use of replicas: a tenant, or a caller. */
   readonly flow: string;
-  /** Whether it is work in the background, which waits for others but is given a part of the places. */
+  /** Whether it yields to interactive work of its priority, except for its share of the slots. */
   readonly isBackground: boolean;
-  /** When it came, or came first if it was refused before. */
+  /** When it arrived at this node. */
   readonly sinceMs: number;
-  /** When its caller wants the answer. */
+  /** Latency target of the answer. */
   readonly targetAtMs: number;
-  /** When its caller gives up. */
+  /** When the answer is of no more use. */
   readonly deadlineMs: number;
-  /** Usual time of such a request once it runs. */
+  /** Expected service time. */
   readonly serviceTimeMs: number;
   readonly bytes: number;
 }
 
-/** How much may wait. */
+/** Queue limits: requests, and bytes of their bodies. */
 export interface WaitingBounds {
   readonly count: number;
   readonly bytes: number;
 }
 
 /**
- * Every so many-th place goes to the longest waiting of a less urgent rank. A more urgent rank is to get at least 95 of 100
- * places that it can use.
+ * Every 25th slot goes to the longest waiting request of another priority than the first in order: that one
+ * keeps 96 of 100 slots, above the aim of 95.
  */
 const OTHER_PRIORITY_TURN = 25;
-/** Every so many-th place goes to the longest waiting work in the background, if there is any. */
+/** Every 4th slot goes to the longest waiting background work of the priority. Chosen, not measured. */
 const BACKGROUND_TURN = 4;
 
-/** Requests that wait, of one service. */
 export class WaitingList<W extends Waiting> {
   private readonly waiting = new Set<W>();
   private bytes = 0;
   private turns = 0;
 
   constructor(
-    private readonly use: FlowUsage,
+    private readonly usage: FlowUsage,
     private readonly bounds: WaitingBounds,
   ) {}
 
@@ -60,11 +60,10 @@
     return this.waiting.values();
   }
 
-  has(one: W): boolean {
-    return this.waiting.has(one);
-  }
-
-  /** Adds a request. Returns who has to go for it since no more may wait: the last in the order, which may be itself. */
+  /**
+   * Adds a request. Returns the one that was dropped where a limit is exceeded: the last in order, perhaps
+   * itself.
+   */
   add(one: W, nowMs: number): W | undefined {
     this.waiting.add(one);
     this.bytes += one.bytes;
@@ -74,34 +73,35 @@
     return last;
   }
 
-  /** Takes a request out; false when it does not wait. */
+  /** Removes a request; false when it is not queued. */
   remove(one: W): boolean {
     if (!this.waiting.delete(one)) return false;
     this.bytes -= one.bytes;
     return true;
   }
 
-  /** Who is to have the next place. Looking does not take it: `noteServed` moves the turns on. */
-  next(nowMs: number, isFit: (one: W) => boolean = () => true): W | undefined {
-    const first = this.best(nowMs, isFit);
+  /** The request for the next slot; it stays queued, and `noteServed` advances the turns. */
+  next(nowMs: number, isEligible: (one: W) => boolean = () => true): W | undefined {
+    const first = this.best(nowMs, isEligible);
     if (!first) return undefined;
     const turn = this.turns + 1;
     if (turn % OTHER_PRIORITY_TURN === 0)
-      return this.longestWaiting((one) => one.priority !== first.priority && isFit(one)) ?? first;
+      return this.longestWaiting((one) => one.priority !== first.priority && isEligible(one)) ?? first;
     if (turn % BACKGROUND_TURN === 0)
       return (
-        this.longestWaiting((one) => one.isBackground && one.priority === first.priority && isFit(one)) ??
-        first
+        this.longestWaiting(
+          (one) => one.isBackground && one.priority === first.priority && isEligible(one),
+        ) ?? first
       );
     return first;
   }
 
-  /** A place was given to one of the waiting. */
+  /** A slot was assigned to a queued request. */
   noteServed(): void {
     this.turns += 1;
   }
 
-  /** Usual time of all that would go before a request that came now, milliseconds. */
+  /** Work of the requests that are served before `one`, milliseconds. */
   queuedAheadMs(one: W, nowMs: number): number {
     let workMs = 0;
     for (const other of this.waiting)
@@ -109,17 +109,17 @@
     return workMs;
   }
 
-  /** Usual time of all that wait, milliseconds. */
+  /** Work of all queued requests, milliseconds. */
   get queuedMs(): number {
     let workMs = 0;
     for (const one of this.waiting) workMs += one.serviceTimeMs;
     return workMs;
   }
 
-  private best(nowMs: number, isFit: (one: W) => boolean): W | undefined {
+  private best(nowMs: number, isEligible: (one: W) => boolean): W | undefined {
     let best: W | undefined;
     for (const one of this.waiting)
-      if (isFit(one) && (!best || this.compare(one, best, nowMs) < 0)) best = one;
+      if (isEligible(one) && (!best || this.compare(one, best, nowMs) < 0)) best = one;
     return best;
   }
 
@@ -129,10 +129,10 @@
     return last;
   }
 
-  private longestWaiting(isFit: (one: W) => boolean): W | undefined {
+  private longestWaiting(isEligible: (one: W) => boolean): W | undefined {
     let longest: W | undefined;
     for (const one of this.waiting)
-      if (isFit(one) && (!longest || one.sinceMs < longest.sinceMs)) longest = one;
+      if (isEligible(one) && (!longest || one.sinceMs < longest.sinceMs)) longest = one;
     return longest;
   }
 
@@ -141,13 +141,13 @@
       left.priority - right.priority ||
       Number(isLate(left, nowMs)) - Number(isLate(right, nowMs)) ||
       Number(left.isBackground) - Number(right.isBackground) ||
-      this.use.of(left.flow, nowMs) - this.use.of(right.flow, nowMs) ||
+      this.usage.of(left.flow, nowMs) - this.usage.of(right.flow, nowMs) ||
       left.deadlineMs - right.deadlineMs
     );
   }
 }
 
-/** Whether a request can no longer be answered when its caller wants it, even if it ran now. */
+/** Whether a request would miss its latency target even if it ran now. */
 function isLate({ targetAtMs, serviceTimeMs }: Waiting, nowMs: number): boolean {
   return nowMs + serviceTimeMs > targetAtMs;
 }
--- a/test/coordination/service/dispatch/service-queue.test.ts
+++ b/test/coordination/service/dispatch/service-queue.test.ts
@@ -1,4 +1,4 @@
-/** The queue of a service at the node that deals out its places, one failure a test, without a network. */
+/** The queue of a service at its dispatcher, one failure a test, without a network. */
 import { setImmediate as turn } from 'node:timers/promises';
 import { expect } from 'chai';
 import { monotonicMs } from '../../../../src/common/clock.js';
@@ -98,7 +98,7 @@
     };
   }
 
-  /** Fills both places. */
+  /** Fills both slots. */
   async function fill(): Promise<Promise<DispatchResult>[]> {
     const filling = [queue.dispatch(call()), queue.dispatch(call())];
     await turn();
@@ -106,7 +106,7 @@
     return filling;
   }
 
-  it('sends at once while there are places, and lets wait what comes then', async () => {
+  it('sends at once while a slot is free, and queues afterwards', async () => {
     await fill();
     const waiting = queue.dispatch(call({ id: 'third' }));
     await turn();
@@ -119,7 +119,7 @@
     expect((await waiting).replica?.id).to.equal('r1');
   });
 
-  it('gives a place to the most urgent of those that wait', async () => {
+  it('assigns a free slot to the most urgent queued request', async () => {
     await fill();
     void queue.dispatch(call({ id: 'low', priority: 4 }));
     void queue.dispatch(call({ id: 'high', priority: 0 }));
@@ -128,7 +128,7 @@
     expect(open.at(-1)?.id).to.equal('high');
   });
 
-  it('refuses at once what cannot be served in its time, says when to come back, and has not sent it', async () => {
+  it('rejects on arrival what cannot meet its deadline, with Retry-After, and has not sent it', async () => {
     await fill();
     const startedAt = monotonicMs();
     const refused = await queue.dispatch(call({ id: 'short', leftMs: 10 }));
@@ -140,7 +140,7 @@
     expect(line).to.include({ event: 'request-refused', requestId: 'short', free: 0, slots: SLOTS });
   });
 
-  it('refuses what has waited until its time was over, and never sends it', async () => {
+  it('rejects what was queued until its deadline, and never sends it', async () => {
     await fill();
     const refused = await queue.dispatch(call({ id: 'waited', leftMs: 120 }));
     expect(refused.outcome.kind).to.equal('declined');
@@ -149,7 +149,7 @@
     expect(open.some(({ id }) => id === 'waited')).to.equal(false);
   });
 
-  it('rejects what waits before its deadline, so that the node which has the caller hears of it in time', async () => {
+  it('rejects a queued request before its deadline, in time for the node of the caller', async () => {
     await fill();
     const deadlineMs = monotonicMs() + 300;
     const handedOver: boolean[] = [];
@@ -161,7 +161,7 @@
     expect(handedOver).to.deep.equal([]);
   });
 
-  it('rejects on arrival what has less time than every replica has kept its requests', async () => {
+  it('rejects on arrival what has less time than every replica has spent on its requests', async () => {
     await fill();
     const filledAtMs = monotonicMs();
     await until('they have run for long', () => monotonicMs() - filledAtMs > 150);
@@ -172,7 +172,7 @@
     expect(refused.retryAfterMs).to.be.greaterThan(0);
   });
 
-  it('tells when a request is handed to a replica, and when one that was declined waits again', async () => {
+  it('reports when a request is handed to a replica, and when a declined one is queued again', async () => {
     const handedOver: boolean[] = [];
     void queue.dispatch(call({ onHandOver: (mayRun) => handedOver.push(mayRun) }));
     await turn();
@@ -182,7 +182,7 @@
     expect(handedOver).to.deep.equal([true, false, true]);
   });
 
-  it('takes a caller that has left out of the queue at once', async () => {
+  it('removes a cancelled request from the queue at once', async () => {
     await fill();
     const leaving = new AbortController();
     const gone = queue.dispatch(call({ id: 'gone', signal: leaving.signal }));
@@ -194,7 +194,7 @@
     expect(open.some(({ id }) => id === 'gone')).to.equal(false);
   });
 
-  it('judges what has waited again: without a route it is refused, not sent', async () => {
+  it('checks a queued request again: without a route it is rejected, not sent', async () => {
     await fill();
     const waiting = queue.dispatch(call({ id: 'dropped' }));
     isAllowed = false;
@@ -203,7 +203,7 @@
     expect(open.some(({ id }) => id === 'dropped')).to.equal(false);
   });
 
-  it('lets no more wait than it may: the last in the order is refused', async () => {
+  it('drops the last in order when the queue is full', async () => {
     await fill();
     const waiting = [4, 3, 2, 2, 0].map((priority) => queue.dispatch(call({ priority })));
     const refused = await (waiting[0] as Promise<DispatchResult>);
@@ -211,7 +211,7 @@
     expect(queue.waitingCount).to.equal(4);
   });
 
-  it('keeps the place of one that a replica has declined, and tries another', async () => {
+  it('queues a declined request again and sends it to another replica', async () => {
     directory.set(replicaWith({ id: 'r2', slots: SLOTS }));
     const served = queue.dispatch(call());
     await turn();
@@ -223,16 +223,16 @@
     expect((await served).outcome.kind).to.equal('answered');
   });
 
-  it('waits for a replica that was full, rather than refuse while its caller has time', async () => {
+  it('waits for a replica that was full rather than reject before the deadline', async () => {
     const served = queue.dispatch(call());
     await turn();
     open[0]?.end(FULL);
-    await until('it is sent again once the pause is over', () => open.length === 2);
+    await until('it is sent again after the back-off', () => open.length === 2);
     open[1]?.end();
     expect((await served).outcome.kind).to.equal('answered');
   });
 
-  it('gives a second attempt a free place at another replica, or none', async () => {
+  it('sends a hedge only to a free slot at another replica', async () => {
     directory.set(replicaWith({ id: 'r2', slots: SLOTS }));
     void queue.dispatch(call({ id: 'twice' }));
     await turn();
@@ -245,7 +245,7 @@
     expect(third.outcome.kind).to.equal('declined');
   });
 
-  it('spends no second attempts beyond the budget', async () => {
+  it('sends no hedges beyond the retry budget', async () => {
     directory.set(replicaWith({ id: 'r2', slots: 100 }));
     let declined = 0;
     for (let count = 0; count < 40; count += 1) {
@@ -255,16 +255,16 @@
     expect(declined).to.be.at.least(28);
   });
 
-  it('refuses what waits when its node leaves, and goes on with what runs', async () => {
+  it('rejects queued requests when its node leaves, and finishes what runs', async () => {
     const [running] = await fill();
     const waiting = queue.dispatch(call());
-    queue.close('this node is leaving');
+    queue.close();
     expect((await waiting).outcome.kind).to.equal('declined');
     open[0]?.end();
     expect((await running)?.outcome.kind).to.equal('answered');
   });
 
-  it('gives a cold replica no more in a second than it bears, and the rest waits', async () => {
+  it('limits a replica in slow start to its requests per second, and queues the rest', async () => {
     directory.set(replicaWith({ slots: 100, slowStartMs: 60_000 }));
     for (let count = 0; count < 4; count += 1) void queue.dispatch(call());
     await turn();
@@ -273,12 +273,12 @@
     await until('the next second has begun', () => open.length === 4);
   });
 
-  it('refuses at once where no replica is known', async () => {
+  it('rejects on arrival where no replica is known', async () => {
     directory.remove('r1');
     expect((await queue.dispatch(call())).outcome.kind).to.equal('declined');
   });
 
-  it('tells that a replica has ended under a request, but not one that left by plan', async () => {
+  it('reports a crash of the replica that ran a request, but not a planned end', async () => {
     const first = queue.dispatch(call());
     const second = queue.dispatch(call());
     await turn();
--- a/test/state/service/admission/admission.test.ts
+++ b/test/state/service/admission/admission.test.ts
@@ -1,11 +1,12 @@
-/** Whether a request may wait, when a refused one should come back, and the budget of second attempts. */
+/** Admission of requests, Retry-After of rejected ones, and the retry budget. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { type AdmissionTerms, admit } from '../../../../src/state/service/admission/admission.js';
+import { type AdmissionInput, admit } from '../../../../src/state/service/admission/admission.js';
 import { RetryBudget } from '../../../../src/state/service/admission/retry-budget.js';
 
 const options = { numRuns: 500, seed: 20_261_205 };
-const terms = (fields: Partial<AdmissionTerms> = {}): AdmissionTerms => ({
+const input = (fields: Partial<AdmissionInput> = {}): AdmissionInput => ({
+  hasReplica: true,
   queuedAheadMs: 0,
   queuedMs: 0,
   drainPerMs: 8,
@@ -17,20 +18,23 @@
 });
 
 describe('admission', () => {
-  it('lets wait what can be served in its time, and nothing else', () => {
-    expect(admit(terms({ queuedAheadMs: 4_000, queuedMs: 4_000 }), 0).kind).to.equal('admitted');
-    expect(admit(terms({ queuedAheadMs: 6_400, queuedMs: 6_400 }), 0).kind).to.equal('refused');
+  it('admits what can meet its deadline, and nothing else', () => {
+    expect(admit(input({ queuedAheadMs: 4_000, queuedMs: 4_000 }), 0).kind).to.equal('admit');
+    expect(admit(input({ queuedAheadMs: 6_400, queuedMs: 6_400 }), 0).kind).to.equal('reject');
     expect(
-      admit(terms({ queuedAheadMs: 6_400, serviceTimeMs: 9_000, hasFreeSlot: true }), 0).kind,
-      'a place is free',
-    ).to.equal('admitted');
-    expect(admit(terms({ remainingMs: 30 }), 0).kind).to.equal('refused');
-    expect(admit(terms({ slotWaitMs: 770 }), 0).kind, 'no slot in time').to.equal('refused');
-    expect(admit(terms({ slotWaitMs: 750 }), 0).kind).to.equal('admitted');
+      admit(input({ queuedAheadMs: 6_400, serviceTimeMs: 9_000, hasFreeSlot: true }), 0).kind,
+      'a slot is free',
+    ).to.equal('admit');
+    expect(admit(input({ remainingMs: 30 }), 0).kind).to.equal('reject');
+    expect(admit(input({ slotWaitMs: 770 }), 0).kind, 'no slot in time').to.equal('reject');
+    expect(admit(input({ slotWaitMs: 750 }), 0).kind).to.equal('admit');
+    const unserved = admit(input({ hasReplica: false, hasFreeSlot: true }), 0);
+    expect(unserved.kind === 'reject' && unserved.reason).to.equal('no-replica');
   });
 
-  it('names a time to come back when there is room, spread, and within what callers heed', () => {
+  it('gives a Retry-After that is jittered and within a third of the remaining time', () => {
     const drawn = fc.record({
+      hasReplica: fc.boolean(),
       queuedAheadMs: fc.nat(200_000),
       queuedMs: fc.nat(200_000),
       drainPerMs: fc.double({ min: 0, max: 50, noNaN: true }),
@@ -40,22 +44,22 @@
       remainingMs: fc.double({ min: 0, max: 10_000, noNaN: true }),
     });
     fc.assert(
-      fc.property(drawn, fc.double({ min: 0, max: 1, noNaN: true }), (drawnTerms, chance) => {
-        const admission = admit(drawnTerms, chance);
-        if (admission.kind === 'admitted') return;
-        expect(admission.retryAfterMs).to.be.at.least(50);
-        expect(admission.retryAfterMs).to.be.at.most(Math.max(100, drawnTerms.remainingMs / 3));
+      fc.property(drawn, fc.double({ min: 0, max: 1, noNaN: true }), (drawnInput, random) => {
+        const decision = admit(drawnInput, random);
+        if (decision.kind === 'admit') return;
+        expect(decision.retryAfterMs).to.be.at.least(50);
+        expect(decision.retryAfterMs).to.be.at.most(Math.max(100, drawnInput.remainingMs / 3));
       }),
       options,
     );
-    const crowd = terms({ queuedAheadMs: 12_000, queuedMs: 12_000, remainingMs: 500 });
-    const times = [0, 0.25, 0.5, 0.75].map((chance) => admit(crowd, chance));
-    expect(times.every(({ kind }) => kind === 'refused')).to.equal(true);
+    const crowd = input({ queuedAheadMs: 12_000, queuedMs: 12_000, remainingMs: 500 });
+    const decisions = [0, 0.25, 0.5, 0.75].map((random) => admit(crowd, random));
+    expect(decisions.every(({ kind }) => kind === 'reject')).to.equal(true);
   });
 });
 
-describe('the budget of second attempts', () => {
-  it('is a part of the first attempts', () => {
+describe('the retry budget', () => {
+  it('is a share of the first attempts', () => {
     const budget = new RetryBudget();
     while (budget.take());
     let taken = 0;
@@ -66,7 +70,7 @@
     expect(taken).to.be.within(190, 200);
   });
 
-  it('saves up no more than a few replicas that fall silent together need', () => {
+  it('saves up no more than its maximum', () => {
     const budget = new RetryBudget();
     for (let count = 0; count < 1_000; count += 1) budget.noteFirst();
     expect(budget.left).to.equal(20);
--- a/test/state/service/admission/slot-wait.test.ts
+++ b/test/state/service/admission/slot-wait.test.ts
@@ -1,4 +1,4 @@
-/** How long no slot becomes free, from the requests that run. */
+/** Expected wait for a slot, from the requests that run. */
 import { expect } from 'chai';
 import { type RunningRequest, slotWaitMs } from '../../../../src/state/service/admission/slot-wait.js';
 
@@ -14,14 +14,14 @@
 }
 
 describe('the wait for a slot', () => {
-  it('is as long again as the shortest of the overlong requests has run', () => {
+  it('is as long again as the shortest overlong request has run', () => {
     expect(slotWaitMs([replica(1, request(900))], NOW_MS)).to.equal(900);
     expect(slotWaitMs([replica(2, request(900), request(400)), replica(1, request(700))], NOW_MS)).to.equal(
       400,
     );
   });
 
-  it('is unknown, and so none, while a slot is free, others may hold it, or a request runs as long as usual', () => {
+  it('is 0 while a slot is free, may be held by other nodes, or its request is within its expected time', () => {
     expect(slotWaitMs([], NOW_MS)).to.equal(0);
     expect(slotWaitMs([replica(2, request(900))], NOW_MS)).to.equal(0);
     expect(slotWaitMs([replica(1, request(900)), replica(1)], NOW_MS)).to.equal(0);
--- a/test/state/service/admission/waiting-list.test.ts
+++ b/test/state/service/admission/waiting-list.test.ts
@@ -1,4 +1,4 @@
-/** Who has the next place at a replica, under drawn loads. */
+/** Queue order of a service, under drawn loads. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { FlowUsage } from '../../../../src/state/service/admission/flow-usage.js';
@@ -28,7 +28,7 @@
 
 const at = (nowMs: number) => nowMs;
 
-describe('the order of those that wait', () => {
+describe('the queue order', () => {
   const listOf = (entries: readonly Named[], use = new FlowUsage()) => {
     const list = new WaitingList<Named>(use, BOUNDS);
     for (const entry of entries) list.add(entry, at(0));
@@ -42,14 +42,14 @@
     expect(listOf([waiting(), urgent, waiting()], use).next(at(0))).to.equal(urgent);
   });
 
-  it('puts those that can be answered in time before those that no longer can', () => {
+  it('puts those that can meet their target before those that no longer can', () => {
     const late = waiting({ targetAtMs: 100, deadlineMs: 400 });
     const inTime = waiting({ targetAtMs: 300, deadlineMs: 900 });
     expect(listOf([late, inTime]).next(at(80))).to.equal(inTime);
     expect(listOf([late, inTime]).next(at(0))).to.equal(late);
   });
 
-  it('puts whoever has used least first, then the one whose time is over soonest', () => {
+  it('puts the flow with the least use first, then the earliest deadline', () => {
     const use = new FlowUsage();
     use.add('greedy', 500, 0);
     const soonest = waiting({ flow: 'modest', deadlineMs: 500 });
@@ -60,7 +60,7 @@
     expect(list.next(at(0))).to.equal(soonest);
   });
 
-  it('gives a part of the places to work in the background, and to other ranks', () => {
+  it('gives a share of the slots to background work, and to other priorities', () => {
     const served = new Map<string, number>();
     const list = new WaitingList<Named>(new FlowUsage(), BOUNDS);
     const fill = (name: string, fields: Partial<Named>) => {
@@ -80,7 +80,7 @@
     expect(served.get('urgent')).to.equal(144);
   });
 
-  it('lets the last in the order go when too many wait, also when that is the newest', () => {
+  it('drops the last in order beyond the count limit, also when that is the newest', () => {
     const list = new WaitingList<Named>(new FlowUsage(), { count: 2, bytes: 1e9 });
     const low = waiting({ priority: 3 });
     expect(list.add(low, at(0))).to.equal(undefined);
@@ -91,13 +91,13 @@
     expect(list.size).to.equal(2);
   });
 
-  it('bounds the bytes that wait', () => {
+  it('bounds the queued bytes', () => {
     const list = new WaitingList<Named>(new FlowUsage(), { count: 100, bytes: 1_000 });
     for (let count = 0; count < 9; count += 1) list.add(waiting({ bytes: 300 }), at(0));
     expect(list.size).to.equal(3);
   });
 
-  it('never passes over one that is fit, and knows the work that goes before, under drawn loads', () => {
+  it('serves every queued request, and bounds the work queued ahead, under drawn loads', () => {
     const drawn = fc.array(
       fc.record({
         priority: fc.nat(3),
@@ -127,18 +127,18 @@
   });
 });
 
-/** Requests of some parties for a number of places, over some seconds. */
+/** Requests of one flow at a constant rate. */
 interface Demand {
   readonly flow: string;
   readonly priority: number;
   readonly perSecond: number;
 }
 
-/** Serves demands on `slots` places of `WORK_MS` each; returns what each demand asked and got in its aim, and in all. */
+/** Serves demands on `slots` slots of `WORK_MS` each; counts requests, those in target, and those served. */
 function serve(demands: readonly Demand[], slots: number, seconds: number) {
   const use = new FlowUsage();
   const list = new WaitingList<Named>(use, BOUNDS);
-  const got = demands.map(() => ({ asked: 0, inAim: 0, served: 0 }));
+  const got = demands.map(() => ({ asked: 0, inTarget: 0, served: 0 }));
   const freeAtMs = Array.from({ length: slots }, () => 0);
   for (let nowMs = 0; nowMs < seconds * 1_000; nowMs += 1) {
     for (const [index, { flow, priority, perSecond }] of demands.entries()) {
@@ -158,21 +158,21 @@
       list.noteServed();
       use.add(next.flow, WORK_MS, nowMs);
       freeAtMs[slot] = nowMs + WORK_MS;
-      const tally = got[Number(next.name)] as { inAim: number; served: number };
+      const tally = got[Number(next.name)] as { inTarget: number; served: number };
       tally.served += 1;
-      if (nowMs + WORK_MS <= next.targetAtMs) tally.inAim += 1;
+      if (nowMs + WORK_MS <= next.targetAtMs) tally.inTarget += 1;
     }
   }
   return got;
 }
 
-describe('places under overload', () => {
+describe('slots under overload', () => {
   const SLOTS = 8;
-  const ROOM_PER_SECOND = (SLOTS * 1_000) / WORK_MS;
+  const CAPACITY_PER_SECOND = (SLOTS * 1_000) / WORK_MS;
 
   for (const factor of [5, 20])
-    it(`${factor} times the room, nine tenths of low priority: the high priority is served in its aim, the low one still served`, () => {
-      const total = ROOM_PER_SECOND * factor;
+    it(`${factor} times the capacity, nine tenths of low priority: the high one meets its target, the low one is still served`, () => {
+      const total = CAPACITY_PER_SECOND * factor;
       const [high, low] = serve(
         [
           { flow: 'high', priority: 0, perSecond: total / 10 },
@@ -181,8 +181,8 @@
         SLOTS,
         10,
       );
-      const room = Math.min(high?.asked ?? 0, ROOM_PER_SECOND * 10);
-      expect((high?.inAim ?? 0) / room).to.be.at.least(0.95);
+      const capacity = Math.min(high?.asked ?? 0, CAPACITY_PER_SECOND * 10);
+      expect((high?.inTarget ?? 0) / capacity).to.be.at.least(0.95);
       expect(low?.served).to.be.greaterThan(0);
     });
 
@@ -193,14 +193,14 @@
       perSecond: 6,
     }));
     const greedy = { flow: 'greedy', priority: 1, perSecond: 600 };
-    const alone = serve(others, SLOTS, 10).reduce((sum, { inAim }) => sum + inAim, 0);
+    const alone = serve(others, SLOTS, 10).reduce((sum, { inTarget }) => sum + inTarget, 0);
     const beside = serve([...others, greedy], SLOTS, 10);
-    const left = beside.slice(0, -1).reduce((sum, { inAim }) => sum + inAim, 0);
+    const left = beside.slice(0, -1).reduce((sum, { inTarget }) => sum + inTarget, 0);
     expect(left / alone).to.be.at.least(0.95);
-    expect(beside.at(-1)?.served, 'what is left is lent').to.be.greaterThan(ROOM_PER_SECOND);
+    expect(beside.at(-1)?.served, 'idle slots are lent').to.be.greaterThan(CAPACITY_PER_SECOND);
   });
 
-  it('equal parties beyond the room get equal parts of it (Jain 0.95 or more)', () => {
+  it('equal flows beyond the capacity get equal shares (Jain 0.95 or more)', () => {
     const equals = Array.from({ length: 30 }, (_, index) => ({
       flow: `p${index}`,
       priority: 1,
@@ -212,15 +212,16 @@
     expect(sum ** 2 / (served.length * squares)).to.be.at.least(0.95);
   });
 
-  it('does not collapse: ten times the room serves as many as one', () => {
+  it('does not collapse: ten times the capacity serves as many as one', () => {
     const total = (factor: number) =>
-      serve([{ flow: 'p', priority: 1, perSecond: ROOM_PER_SECOND * factor }], SLOTS, 10)[0]?.inAim ?? 0;
+      serve([{ flow: 'p', priority: 1, perSecond: CAPACITY_PER_SECOND * factor }], SLOTS, 10)[0]?.inTarget ??
+      0;
     expect(total(10) / total(1)).to.be.at.least(0.95);
   });
 });
 
-describe('the use of parties', () => {
-  it('is forgotten by half in a second, and wholly once it is idle', () => {
+describe('the usage of flows', () => {
+  it('halves in a second, and is removed once negligible', () => {
     const use = new FlowUsage();
     use.add('a', 800, 0);
     expect(use.of('a', 1_000)).to.equal(400);
@@ -231,7 +232,7 @@
     expect(use.size).to.equal(2);
   });
 
-  it('is kept for a bounded number of parties', () => {
+  it('is kept for a bounded number of flows', () => {
     const use = new FlowUsage();
     for (let index = 0; index < 100_500; index += 1) use.add(`flow-${index}`, 1_000, 0);
     expect(use.size).to.be.at.most(100_001);
