--- a/src/coordination/service/dispatch/crash-check.ts
+++ b/src/coordination/service/dispatch/crash-check.ts
@@ -1,7 +1,7 @@
 /**
- * Tells a replica that has ended from a connection that was cut. Both look the same to the request that was under way; but
- * where a process has ended nothing listens any more, until its successor has started seconds later. One that starts again at
- * the same address is known by its announcement.
+ * Tells a replica that has ended from a connection that was cut. Both look the same to the request that was
+ * under way; but where a process has ended nothing listens any more, until its successor has started seconds
+ * later. One that starts again at the same address is known by its announcement.
  */
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
--- a/src/coordination/service/dispatch/dispatcher-health.ts
+++ b/src/coordination/service/dispatch/dispatcher-health.ts
@@ -1,21 +1,26 @@
 /**
- * Which homes take calls, as one node finds out by calling them. A home acknowledges a call before its replica has answered; one
- * that does not is passed over for a while, and the next in line takes its place.
+ * Ejection of dispatchers, as one node learns it from its own calls. A dispatcher acknowledges a call before
+ * the replica answers; one that does not in time, or whose call fails, is ejected for a while, longer each
+ * time, until it acknowledges a call again.
+ *
+ * Owns the state of each dispatcher, in memory. No probes are sent: the first call after the ejection is the
+ * probe.
  */
+import { exponentialMs } from '../../../common/backoff.js';
 import { monotonicMs } from '../../../common/clock.js';
 
 /**
- * A home that has not acknowledged a call for this long is passed over, milliseconds: less than a caller's usual aim leaves for a
- * second attempt, more than a small machine whose processor share is used up stands still.
+ * Time without an acknowledgement after which a dispatcher is ejected, milliseconds. Chosen, not measured:
+ * leaves time for another attempt within a usual latency target, and exceeds the pause of a small machine
+ * that has used up its processor share.
  */
 export const ACKNOWLEDGE_TIMEOUT_MS = 100;
-/** How long it is passed over, milliseconds; doubles each time. */
+/** First and longest ejection, milliseconds; doubles each time. Chosen, not measured. */
 const MIN_EJECTION_MS = 500;
 const MAX_EJECTION_MS = 8_000;
 
-/** What is known of one home. */
 class DispatcherState {
-  /** When calls were made that are not acknowledged, by their number. */
+  /** Times of the calls that are not acknowledged, by call number, the oldest first. */
   private readonly unacknowledged = new Map<number, number>();
   private ejectedUntilMs = 0;
   private ejections = 0;
@@ -27,17 +32,18 @@
     return this.calls;
   }
 
-  /** The call was acknowledged, answered or ended. */
-  acknowledge(call: number, isAcknowledged: boolean): void {
+  end(call: number): void {
     this.unacknowledged.delete(call);
-    if (!isAcknowledged) return;
+  }
+
+  acknowledge(call: number): void {
+    this.end(call);
     this.ejections = 0;
     this.ejectedUntilMs = 0;
   }
 
   eject(): void {
-    if (this.isEjected) return;
-    this.ejectedUntilMs = monotonicMs() + Math.min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2 ** this.ejections);
+    this.ejectedUntilMs = monotonicMs() + exponentialMs(MIN_EJECTION_MS, this.ejections, MAX_EJECTION_MS);
     this.ejections += 1;
   }
 
@@ -45,37 +51,42 @@
     return monotonicMs() < this.ejectedUntilMs;
   }
 
-  get isSilent(): boolean {
-    const [oldest] = this.unacknowledged.values();
-    return oldest !== undefined && monotonicMs() - oldest > ACKNOWLEDGE_TIMEOUT_MS;
+  /** Whether its oldest unacknowledged call is overdue. */
+  get isOverdue(): boolean {
+    const [oldestMs] = this.unacknowledged.values();
+    return oldestMs !== undefined && monotonicMs() - oldestMs > ACKNOWLEDGE_TIMEOUT_MS;
   }
 }
 
-/** All homes, by name. */
 export class DispatcherHealth {
   private readonly dispatchers = new Map<string, DispatcherState>();
 
-  /** `onPassed` is told when a home is passed over. */
+  /** `onEjected` is called with the name of a dispatcher and the reason when it is ejected. */
   constructor(private readonly onEjected: (name: string, reason: string) => void) {}
 
-  /** Whether a home is to be called. */
+  /** Whether a dispatcher may be called; ejects it if a call to it is overdue. */
   takesCalls(name: string): boolean {
     const dispatcher = this.dispatchers.get(name);
-    if (dispatcher?.isSilent) this.eject(name, 'a call was not acknowledged');
+    if (dispatcher?.isOverdue) this.eject(name, 'a call was not acknowledged');
     return !dispatcher?.isEjected;
   }
 
-  /** A call is made; returns its number. */
+  /** Notes that a call begins; returns its number. */
   begin(name: string): number {
     return this.stateOf(name).begin();
   }
 
-  /** A call has ended or was acknowledged. */
-  acknowledge(name: string, call: number, isAcknowledged: boolean): void {
-    this.stateOf(name).acknowledge(call, isAcknowledged);
+  /** Notes that a call was acknowledged: an ejection ends. */
+  acknowledge(name: string, call: number): void {
+    this.stateOf(name).acknowledge(call);
+  }
+
+  /** Notes that a call has ended, acknowledged or not. */
+  end(name: string, call: number): void {
+    this.stateOf(name).end(call);
   }
 
-  /** Passes a home over for a while. */
+  /** Ejects a dispatcher unless it is ejected already. */
   eject(name: string, reason: string): void {
     const dispatcher = this.stateOf(name);
     if (dispatcher.isEjected) return;
@@ -83,7 +94,7 @@
     this.onEjected(name, reason);
   }
 
-  /** Forgets homes that are no members any more. */
+  /** Removes the state of nodes that are no longer members. */
   keepOnly(names: ReadonlySet<string>): void {
     for (const name of this.dispatchers.keys()) if (!names.has(name)) this.dispatchers.delete(name);
   }
--- a/src/coordination/service/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -1,4 +1,7 @@
-/** One attempt at one replica, and what its outcome allows: whether the request ran, and whether the answer counts. */
+/**
+ * One attempt at one replica, and what its outcome allows: whether the request ran, and whether the answer
+ * counts.
+ */
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
@@ -86,7 +89,10 @@
     return outcome;
   }
 
-  /** A replica that has started again runs nothing of before: what was sent to it may have run, and is not waited for. */
+  /**
+   * A replica that has started again runs nothing of before: what was sent to it may have run, and is not
+   * waited for.
+   */
   private async exchangeWhileAlive(state: ReplicaState, request: ReplicaRequest): Promise<AttemptOutcome> {
     const controller = new AbortController();
     const abort = () => controller.abort();
--- a/src/coordination/service/dispatch/request-digest.ts
+++ b/src/coordination/service/dispatch/request-digest.ts
@@ -1,4 +1,6 @@
-/** What makes two tries the same request, whatever identifiers they bear: who asks, for what, with which body. */
+/**
+ * What makes two tries the same request, whatever identifiers they bear: who asks, for what, with which body.
+ */
 import { createHash } from 'node:crypto';
 
 /** The parts of a request that a caller repeats unchanged. */
@@ -16,7 +18,9 @@
 /** Digests of requests that are still held: a large body is read once at most. */
 const known = new WeakMap<IdentifiedRequest, string>();
 
-/** Digest of a request, in hexadecimal digits. Worked out when first asked for: most requests never need one. */
+/**
+ * Digest of a request, in hexadecimal digits. Worked out when first asked for: most requests never need one.
+ */
 export function digestOf(request: IdentifiedRequest): string {
   const before = known.get(request);
   if (before !== undefined) return before;
--- a/src/node/service/dispatch-parts.ts
+++ b/src/node/service/dispatch-parts.ts
@@ -3,6 +3,7 @@
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import {
   type DispatchCall,
+  type PeerCall,
   RemoteDispatch,
   type ReplicaExchange,
   ServiceQueues,
@@ -15,8 +16,6 @@
   DispatchMessage,
   DispatchOutcomeMessage,
   Framed,
-  PeerDispatch,
-  PeerDispatchOptions,
 } from '../../protocol/service/dispatch-peer.js';
 import type { ServiceSettings } from '../../protocol/service/service-settings.js';
 import type { RoutingTable } from '../../state/service/configuration/index.js';
@@ -28,13 +27,6 @@
 /** What a replica in another zone counts, as a part of its places: it is taken once those in the own zone are half full. */
 const OTHER_ZONE = 0.5;
 
-/** Gives a call to another node. */
-export type PeerCall = (
-  address: string,
-  framed: Framed<DispatchMessage>,
-  options: PeerDispatchOptions,
-) => Promise<PeerDispatch>;
-
 /** What the dispatch is made of. */
 export interface DispatchServices {
   readonly store: RecordStore;
--- a/src/node/service/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -8,7 +8,7 @@
 import { uniqueId } from '../../common/identifier.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import { FEED_WAIT_MS, type FeedObserver, RecordFeed, SharedTable } from '../../coordination/feeds/index.js';
-import { CrashCheck, ReplicaExchange } from '../../coordination/service/dispatch/index.js';
+import { CrashCheck, type PeerCall, ReplicaExchange } from '../../coordination/service/dispatch/index.js';
 import { Placement, SampleLengths, SampleScorer } from '../../coordination/service/generation/index.js';
 import type { SubmissionParser } from '../../coordination/service/jobs/index.js';
 import { JobCalls, JobForwarding, JobOwnership } from '../../coordination/service/jobs/index.js';
@@ -44,7 +44,7 @@
 import type { OwnerReference } from '../../state/service/jobs/index.js';
 import { JobRepository, ResultCache } from '../../state/service/jobs/index.js';
 import { CRASH_PARTITION, ReplicaDirectory, WeightVersions } from '../../state/service/replicas/index.js';
-import { DispatchParts, type PeerCall } from './dispatch-parts.js';
+import { DispatchParts } from './dispatch-parts.js';
 
 /** Duty of giving orders to model replicas. */
 const LOAD_COMMANDS_TASK = 'weight-orders';
--- a/src/state/service/replicas/dispatcher-selection.ts
+++ b/src/state/service/replicas/dispatcher-selection.ts
@@ -1,14 +1,16 @@
 /**
- * Which nodes deal out the places of a service's replicas: its homes. It answers fleets in which each node sees so little of a
- * replica's load that its own requests in flight tell nothing. All nodes find the same homes by rendezvous over the nodes at
- * work, without a message; when nodes come or go few replicas move, and where nodes disagree for a while a replica has two homes
- * that each see a part of its load, as without homes.
+ * Dispatcher selection: which nodes schedule the requests for a service. In a large fleet a node's own
+ * requests in flight say little of a replica's load, so all requests for a service go through few nodes, its
+ * dispatchers.
  *
- * Pure decisions.
+ * Pure: weighted rendezvous hashing over the fleet members, so that all nodes find the same dispatchers
+ * without a message, and few change when nodes come or go. While nodes disagree a service has more
+ * dispatchers than intended, each of which sees a part of the load; replicas decline what exceeds their
+ * slots.
  */
 import { xxHash32 } from 'js-xxhash';
 
-/** A node as the choice of homes sees it. */
+/** A node as dispatcher selection sees it. */
 export interface FleetMember {
   readonly name: string;
   /** Where it answers other nodes, `IP:PORT`. */
@@ -18,40 +20,66 @@
   readonly capacity: number;
 }
 
-/** Replicas that one home deals out: some hundreds of requests a second, of which a home is to bear the most. */
+/**
+ * Replicas for each dispatcher of a service. Chosen, not measured: some hundreds of requests a second, about
+ * as many as one node can schedule.
+ */
 const REPLICAS_PER_DISPATCHER = 32;
-/** Homes have at least this part of the processor of the strongest node: a home does work for many. */
+/**
+ * Least processor share of a dispatcher, relative to the strongest node: it works for many. Chosen, not
+ * measured.
+ */
 const MIN_RELATIVE_CAPACITY = 0.5;
 const HASH_RANGE = 2 ** 32;
 
-/** How many homes a service with so many replicas has. */
+/** Inputs of dispatcher selection. */
+export interface DispatcherQuery {
+  readonly service: string;
+  /** Slots of each available replica of the service. */
+  readonly slots: readonly number[];
+  readonly members: readonly FleetMember[];
+  /** Zone of the node that asks. */
+  readonly zone: string;
+}
+
+/** The dispatchers of a service; none where each node dispatches for itself. */
+export interface DispatcherSelection {
+  readonly dispatchers: readonly FleetMember[];
+  /** Next in rank order in the zone of the node that asks, for when all dispatchers are ejected. */
+  readonly fallback: FleetMember | undefined;
+}
+
+export function selectDispatchers({ service, slots, members, zone }: DispatcherQuery): DispatcherSelection {
+  if (!needsDispatchers(members.length, slots)) return { dispatchers: [], fallback: undefined };
+  const ranked = rankDispatchers(service, members);
+  const dispatchers = ranked.slice(0, dispatcherCount(slots.length));
+  const fallback = ranked.find((member) => member.zone === zone && !dispatchers.includes(member));
+  return { dispatchers, fallback };
+}
+
+/**
+ * Whether a service needs dispatchers: where nodes outnumber the slots of a replica, a node has less than one
+ * request in flight at a full replica, and learns nothing from its own.
+ */
+export function needsDispatchers(nodeCount: number, slots: readonly number[]): boolean {
+  return slots.length > 0 && nodeCount > Math.min(...slots);
+}
+
+/** Dispatchers of a service with so many replicas. */
 export function dispatcherCount(replicaCount: number): number {
   return Math.max(1, Math.ceil(replicaCount / REPLICAS_PER_DISPATCHER));
 }
 
-/** The members that can be homes, the first in line for `service` first; more capacity counts for more. */
+/** The members that are strong enough, in rank order for `service`; the weight is the processor share. */
 export function rankDispatchers(service: string, members: readonly FleetMember[]): FleetMember[] {
-  const most = Math.max(0, ...members.map(({ capacity }) => capacity));
-  const able = members.filter(({ capacity }) => capacity >= most * MIN_RELATIVE_CAPACITY);
-  const weighted = able.map((member) => ({ member, weight: weightOf(service, member) }));
-  weighted.sort((one, other) => other.weight - one.weight || (one.member.name < other.member.name ? -1 : 1));
-  return weighted.map(({ member }) => member);
-}
-
-/** The home among `homes` that deals out a replica. */
-export function homeOf(replicaId: string, homes: readonly FleetMember[]): FleetMember | undefined {
-  let best: FleetMember | undefined;
-  let bestWeight = -1;
-  for (const home of homes) {
-    const weight = xxHash32(`${replicaId}|${home.name}`);
-    if (weight <= bestWeight) continue;
-    best = home;
-    bestWeight = weight;
-  }
-  return best;
-}
-
-function weightOf(service: string, { name, capacity }: FleetMember): number {
+  const strongest = Math.max(0, ...members.map(({ capacity }) => capacity));
+  const able = members.filter(({ capacity }) => capacity >= strongest * MIN_RELATIVE_CAPACITY);
+  const scored = able.map((member) => ({ member, score: scoreOf(service, member) }));
+  scored.sort((one, other) => other.score - one.score || (one.member.name < other.member.name ? -1 : 1));
+  return scored.map(({ member }) => member);
+}
+
+function scoreOf(service: string, { name, capacity }: FleetMember): number {
   const drawn = (xxHash32(`${service}|${name}`) + 1) / (HASH_RANGE + 1);
   return -Math.max(capacity, Number.EPSILON) / Math.log(drawn);
 }
--- a/src/state/service/replicas/index.ts
+++ b/src/state/service/replicas/index.ts
@@ -7,7 +7,7 @@
   toCrashRecord,
   toServedRecord,
 } from './crash-record.js';
-export { dispatcherCount, type FleetMember, homeOf, rankDispatchers } from './dispatcher-selection.js';
+export { type DispatcherSelection, type FleetMember, selectDispatchers } from './dispatcher-selection.js';
 export { type Choice, type ChoiceTerms, capacityOf, chooseReplica, drainRate } from './replica-choice.js';
 export { ReplicaDirectory } from './replica-directory.js';
 export {
