--- a/src/coordination/service/dispatch/service-replicas.ts
+++ b/src/coordination/service/dispatch/service-replicas.ts
@@ -20,7 +20,7 @@
   /** Requests that a replica in slow start may get from this node in a second; `undefined` for no limit. */
   readonly slowStartPerSecond: (state: ReplicaState) => number | undefined;
   /** Added to the load of a replica in another zone, as a share of its slots. */
-  readonly distance: (state: ReplicaState) => number;
+  readonly zonePenalty: (state: ReplicaState) => number;
 }
 
 export class ServiceReplicas {
@@ -49,8 +49,8 @@
 
   /** The replica for a request of `serviceTimeMs` behind work of `queuedAheadMs`. */
   choose(excluded: ReadonlySet<string>, serviceTimeMs: number, queuedAheadMs: number): Choice {
-    const { slotsOf, distance, slowStartPerSecond } = this.policy;
-    const input = { slotsOf, distance, slowStartPerSecond, serviceTimeMs, queuedAheadMs };
+    const { slotsOf, zonePenalty, slowStartPerSecond } = this.policy;
+    const input = { slotsOf, zonePenalty, slowStartPerSecond, serviceTimeMs, queuedAheadMs };
     return chooseReplica(this.eligible(excluded), input);
   }
 
--- a/src/coordination/service/generation/placement.ts
+++ b/src/coordination/service/generation/placement.ts
@@ -157,7 +157,6 @@
       service,
       zone: this.zone,
       preferred: request.preferred(),
-      allowsUnhealthy: false,
       accepts: (state) =>
         state.admitsMore &&
         state.inFlight < request.slots(state) &&
--- a/src/node/service/dispatch-parts.ts
+++ b/src/node/service/dispatch-parts.ts
@@ -53,7 +53,7 @@
       exchange,
       slotsOf: (state) => this.slotsOf(state),
       slowStartPerSecond: ({ replica }) => this.slowStartPerSecond(replica.service),
-      distance: (state) => this.distance(state),
+      zonePenalty: (state) => this.zonePenalty(state),
       isAllowed: (call) => this.isAllowed(call),
       bounds: { count: MAX_WAITING, bytes: settings.memoryBytes * WAITING_FRACTION },
       metrics,
@@ -104,7 +104,7 @@
   }
 
   /** A home serves callers of all zones, so its own is no nearer to them. */
-  private distance({ replica }: ReplicaState): number {
+  private zonePenalty({ replica }: ReplicaState): number {
     const { settings } = this.services;
     const isNear = replica.zone === settings.zone || this.remote.hasDispatchers(replica.service);
     return isNear ? 0 : OTHER_ZONE;
--- a/src/state/service/replicas/crash-history.ts
+++ b/src/state/service/replicas/crash-history.ts
@@ -1,8 +1,8 @@
 /**
- * What is known of requests under which replicas have ended, and what follows from it. A replica may end for reasons of its
- * own while it runs any request; so one end accuses every request that ran there, and it takes further ends to tell the one
- * that causes them from the others. An answer acquits: a request that many callers repeat is under way at many ends that it
- * has no part in, but is served all the while.
+ * What is known of requests under which replicas have ended, and what follows from it. A replica may end for
+ * reasons of its own while it runs any request; so one end accuses every request that ran there, and it takes
+ * further ends to tell the one that causes them from the others. An answer acquits: a request that many
+ * callers repeat is under way at many ends that it has no part in, but is served all the while.
  */
 
 /** A replica ended while it ran a request. */
@@ -36,13 +36,17 @@
 /** Ends after which it is held for a short time if no other request was there each time. */
 const SOLE_SUSPECT_ENDS = 2;
 /**
- * How long a request is held, milliseconds. The short time lets replicas come back before another one is risked, and costs a
- * request that was accused wrongly one step at most; the long one bounds what a request can end to one replica in ten minutes
- * once it is known, and lets a request run again whose cause was mended.
+ * How long a request is held, milliseconds. The short time lets replicas come back before another one is
+ * risked, and costs a request that was accused wrongly one step at most; the long one bounds what a request
+ * can end to one replica in ten minutes once it is known, and lets a request run again whose cause was
+ * mended.
  */
 const SHORT_HOLD_MS = 4_000;
 const LONG_HOLD_MS = 600_000;
-/** Reports of ends at one address that are this close are of one end: a successor takes longer to start, milliseconds. */
+/**
+ * Reports of ends at one address that are this close are of one end: a successor takes longer to start,
+ * milliseconds.
+ */
 const SAME_END_MS = 1_000;
 /** Requests that are remembered; some 800 bytes each with one end (heap of 5,000). */
 const MAX_REMEMBERED = 5_000;
--- a/src/state/service/replicas/crash-record.ts
+++ b/src/state/service/replicas/crash-record.ts
@@ -1,6 +1,7 @@
 /**
- * Fatal runs in the store: one record for each request and replica, and one for the answer that acquits the request. They lie in the table of jobs, which nodes of the build
- * before follow too; these take what is no JSON for no job.
+ * Fatal runs in the store: one record for each request and replica, and one for the answer that acquits the
+ * request. They lie in the table of jobs, which nodes of the build before follow too; these take what is no
+ * JSON for no job.
  */
 import type { ChangedRecord, RecordWrite } from '../../../protocol/record-store.js';
 import { FOLLOWED_TABLE } from '../store/index.js';
--- /dev/null
+++ b/src/state/service/replicas/latency-estimate.ts
@@ -0,0 +1,44 @@
+/**
+ * How many times the usual time requests take at one replica: a moving average of the logarithm, so that a
+ * few long requests count little, which fades towards 1 while nothing is measured. Times are on the monotonic
+ * clock.
+ */
+
+/**
+ * Half-life of a measurement, milliseconds. Chosen, not measured: a replica that was slow is tried again some
+ * seconds later, with one request at a time.
+ */
+const HALF_LIFE_MS = 3_000;
+/** Weight of the newest request. Chosen, not measured: some ten requests make a figure. */
+const WEIGHT = 0.15;
+/**
+ * Least ratio of one request: bounds what an answer far below the usual time counts. Chosen, not measured.
+ */
+const MIN_RATIO = 0.05;
+/** Ratio beyond which a replica is slow, as in the choice of a replica. */
+export const SLOW_RATIO = 2;
+const SLOW_LOG_RATIO = Math.log(SLOW_RATIO);
+
+export class LatencyEstimate {
+  private logRatio = 0;
+  private measuredAtMs = 0;
+
+  /** Notes that a request took `ratio` times its usual time. */
+  note(ratio: number, nowMs: number): void {
+    this.logRatio += (Math.log(Math.max(ratio, MIN_RATIO)) - this.logRatio) * WEIGHT;
+    this.measuredAtMs = nowMs;
+  }
+
+  ratio(nowMs: number): number {
+    const faded = 1 - 2 ** (-(nowMs - this.measuredAtMs) / HALF_LIFE_MS);
+    return Math.exp(this.logRatio * (1 - faded));
+  }
+
+  /**
+   * Whether the replica was slow and nothing was measured for a half-life: one request at a time finds it
+   * out.
+   */
+  isStale(nowMs: number): boolean {
+    return this.logRatio > SLOW_LOG_RATIO && nowMs - this.measuredAtMs > HALF_LIFE_MS;
+  }
+}
--- /dev/null
+++ b/src/state/service/replicas/replica-health.ts
@@ -0,0 +1,108 @@
+/**
+ * Health of one replica, as this node learns it from its own attempts. The states, of which several may hold:
+ * - ejected: the last attempts failed; for a while, longer with each failure, until a request is finished
+ * - backing off: it declined a request since it is full; for a while, longer with each decline, until one is
+ *   taken
+ * - probed: it declined its last request; one request at a time is sent until one is taken (generation
+ *   requests)
+ * - awaiting answers: some requests are neither taken nor declined; no more are sent until one is, or until
+ *   it is silent (generation requests)
+ *
+ * "Unhealthy" is ejected or backing off. A replica that reports itself as slow or full is not unhealthy.
+ * Times are on the monotonic clock.
+ */
+import { exponentialMs } from '../../../common/backoff.js';
+
+/** First and longest ejection, milliseconds; doubles with each failure. Chosen, not measured. */
+const MIN_EJECTION_MS = 250;
+const MAX_EJECTION_MS = 4_000;
+/**
+ * Longest back-off, milliseconds. Chosen, not measured: slots free up sooner than a failed replica recovers.
+ */
+const MAX_BACKOFF_MS = 250;
+/** Requests that may await an answer. Chosen, not measured: what one decline may cost in delayed requests. */
+const MAX_UNANSWERED = 3;
+/**
+ * Time without an answer after which a replica is silent, milliseconds: it is no longer waited for. Chosen.
+ */
+const SILENCE_MS = 100;
+
+export class ReplicaHealth {
+  private failures = 0;
+  private declines = 0;
+  private ejectedUntilMs = 0;
+  private backoffUntilMs = 0;
+  private isProbed = false;
+  /** Requests that were sent and neither taken nor declined yet. */
+  private unanswered = 0;
+  /** Time of the last answer, or of the first request that awaits one. */
+  private answeredAtMs = 0;
+
+  isEjected(nowMs: number): boolean {
+    return nowMs < this.ejectedUntilMs;
+  }
+
+  isBackingOff(nowMs: number): boolean {
+    return nowMs < this.backoffUntilMs;
+  }
+
+  /** Whether one more generation request may be sent. */
+  admitsMore(nowMs: number): boolean {
+    if (this.declines > 0) return !this.isProbed;
+    return this.unanswered < MAX_UNANSWERED || !this.isSilent(nowMs);
+  }
+
+  isAwaitingAnswers(nowMs: number): boolean {
+    return this.unanswered >= MAX_UNANSWERED && !this.isSilent(nowMs);
+  }
+
+  /** Whether it declined the last request that it answered. */
+  get hasDeclined(): boolean {
+    return this.declines > 0;
+  }
+
+  noteSent(nowMs: number): void {
+    if (this.unanswered === 0) this.answeredAtMs = nowMs;
+    this.unanswered += 1;
+    this.isProbed = this.declines > 0;
+  }
+
+  noteAnswered(nowMs: number): void {
+    this.unanswered -= 1;
+    this.answeredAtMs = nowMs;
+    this.isProbed = false;
+  }
+
+  /** It takes requests: a back-off ends. */
+  noteTaken(): void {
+    this.declines = 0;
+    this.backoffUntilMs = 0;
+    this.isProbed = false;
+  }
+
+  /** It finished a request: an ejection ends as well. */
+  noteFinished(): void {
+    this.failures = 0;
+    this.ejectedUntilMs = 0;
+    this.noteTaken();
+  }
+
+  noteFailure(nowMs: number): void {
+    this.ejectedUntilMs = nowMs + exponentialMs(MIN_EJECTION_MS, this.failures, MAX_EJECTION_MS);
+    this.failures += 1;
+  }
+
+  /**
+   * It declined a request since it is full; declines of requests sent before it became unhealthy count once.
+   */
+  backOff(durationMs: number, nowMs: number): void {
+    this.isProbed = false;
+    if (this.isEjected(nowMs) || this.isBackingOff(nowMs)) return;
+    this.backoffUntilMs = nowMs + exponentialMs(durationMs, this.declines, MAX_BACKOFF_MS);
+    this.declines += 1;
+  }
+
+  private isSilent(nowMs: number): boolean {
+    return this.unanswered > 0 && nowMs - this.answeredAtMs > SILENCE_MS;
+  }
+}
--- a/src/state/service/replicas/replica-incarnation.ts
+++ b/src/state/service/replicas/replica-incarnation.ts
@@ -1,32 +1,36 @@
 /**
- * Lives of a replica. A replica may start again under the id that it had; it then holds and knows nothing of before, so what is
- * believed of one life says nothing of another. A life is told by the id and the moment of its start.
+ * Incarnations of a replica. A replica may restart under its id; it then holds nothing of before, so what is
+ * known of one incarnation says nothing of another. An incarnation is identified by the id and the time of
+ * its start.
  */
 
-/** What tells the lives of replicas apart. */
 export interface ReplicaIncarnation {
   readonly id: string;
-  /** When this life began, by the replica's own time of day, milliseconds since 1970; `undefined` where it doesn't say. */
+  /**
+   * Start by the replica's own time of day, milliseconds since 1970; `undefined` where it is not announced.
+   */
   readonly startedAtMs: number | undefined;
 }
 
-/** How a life that was heard of stands to the one that is known. */
+/** How an announced incarnation compares with the known one. */
 export type IncarnationOrder =
   | 'same'
-  /** The known life has ended. */
+  /** It follows the known one, which has ended. */
   | 'next'
   /**
-   * It says that it began before the known one. Either its word is late, or the time of day was set back between the two
-   * starts; which of them it is shows only later (`replica-announcements.ts`).
+   * It names an earlier start. Either the announcement is late, or the time of day was set back between the
+   * two starts; which of them shows later (`replica-announcements.ts`).
    */
   | 'earlier'
-  /** It does not say when it began, though the known one did. */
+  /** It names no start, though the known one did. */
   | 'untold';
 
-/** Compares two lives of one replica. */
-export function compareIncarnations(known: ReplicaIncarnation, heard: ReplicaIncarnation): IncarnationOrder {
-  if (known.startedAtMs === heard.startedAtMs) return 'same';
-  if (heard.startedAtMs === undefined) return 'untold';
+export function compareIncarnations(
+  known: ReplicaIncarnation,
+  announced: ReplicaIncarnation,
+): IncarnationOrder {
+  if (known.startedAtMs === announced.startedAtMs) return 'same';
+  if (announced.startedAtMs === undefined) return 'untold';
   if (known.startedAtMs === undefined) return 'next';
-  return heard.startedAtMs > known.startedAtMs ? 'next' : 'earlier';
+  return announced.startedAtMs > known.startedAtMs ? 'next' : 'earlier';
 }
--- /dev/null
+++ b/src/state/service/replicas/reported-load.ts
@@ -0,0 +1,41 @@
+/**
+ * Load and pace that a replica last reported with an answer, where it does. The requests of other nodes fade,
+ * since they end without a word to this node; the pace counts until it is too old. Times are on the monotonic
+ * clock.
+ */
+import type { ReplicaLoad } from '../../../protocol/service/replica.js';
+
+/**
+ * Half-life of reported requests, and age up to which a pace counts, milliseconds. Chosen, not measured:
+ * several times a usual service time of some tens of milliseconds.
+ */
+const MAX_AGE_MS = 250;
+/** The pace of a replica whose work takes its usual time. */
+const USUAL_PACE_PERCENT = 100;
+
+export class ReportedLoad {
+  private load: ReplicaLoad | undefined;
+  private reportedAtMs = 0;
+  /** Requests of other nodes at the time of the report. */
+  private ofOthers = 0;
+
+  /** `inFlight` are this node's own requests, which the report contains. */
+  note(load: ReplicaLoad, inFlight: number, nowMs: number): void {
+    this.load = load;
+    this.reportedAtMs = nowMs;
+    this.ofOthers = Math.max(0, load.running + load.waiting - inFlight);
+  }
+
+  /** Estimated requests of other nodes. */
+  others(nowMs: number): number {
+    if (!this.load) return 0;
+    return Math.round(this.ofOthers * 2 ** (-(nowMs - this.reportedAtMs) / MAX_AGE_MS));
+  }
+
+  /** How many times the usual its work takes; 1 where that is not reported. */
+  pace(nowMs: number): number {
+    const percent = this.load?.pacePercent;
+    const isOld = nowMs - this.reportedAtMs > MAX_AGE_MS;
+    return percent === undefined || isOld ? 1 : percent / USUAL_PACE_PERCENT;
+  }
+}
--- /dev/null
+++ b/src/state/service/replicas/response-silence.ts
@@ -0,0 +1,39 @@
+/**
+ * A replica that has requests and has answered none for long, compared with the longest expected time among
+ * them. Shows a slow or paused replica before a request ends. Times are on the monotonic clock.
+ */
+
+/**
+ * Ratio up to which silence is no sign. Chosen, not measured: single requests take a few times their usual
+ * time without the replica being slow.
+ */
+const MIN_RATIO = 4;
+
+export class ResponseSilence {
+  /** Longest expected service time since the replica was last idle, milliseconds; 0 where it is not known. */
+  private longestExpectedMs = 0;
+  /** Time of the last answer, or of the first request after idleness. */
+  private sinceMs = 0;
+
+  /** Notes that a request is sent; `isFirst` when the replica had none of this node. */
+  noteAssigned(expectedMs: number, isFirst: boolean, nowMs: number): void {
+    if (isFirst) {
+      this.sinceMs = nowMs;
+      this.longestExpectedMs = 0;
+    }
+    this.longestExpectedMs = Math.max(this.longestExpectedMs, expectedMs);
+  }
+
+  noteAnswered(nowMs: number): void {
+    this.sinceMs = nowMs;
+  }
+
+  /**
+   * Silence over the longest expected time; 0 where that is no sign. Only for a replica that has requests.
+   */
+  ratio(nowMs: number): number {
+    if (this.longestExpectedMs === 0) return 0;
+    const ratio = (nowMs - this.sinceMs) / this.longestExpectedMs;
+    return ratio > MIN_RATIO ? ratio : 0;
+  }
+}
--- a/src/state/service/replicas/service-times.ts
+++ b/src/state/service/replicas/service-times.ts
@@ -1,26 +1,34 @@
 /**
- * How long requests of each kind usually take at the replicas of a service. Replicas serve kinds of very different length, so how slow a
- * replica is shows only against the usual time of what it was given.
+ * Usual service time of each kind of request at the replicas of a service, as one node measures it. Kinds
+ * differ much in length, so a replica's speed shows only against the usual time of what it was sent.
  *
- * The usual time is that of all replicas as they were used, slow ones too. Divided by each one's slowness it would feed on itself:
- * a longer usual time makes replicas look faster, and that the usual time longer.
+ * The usual time is that of all replicas as they are used, slow ones too. If it were divided by each one's
+ * latency ratio it would feed on itself: a longer usual time makes replicas look faster, and that the usual
+ * time longer.
  */
 
-/** Weight of the newest request: some ten of them make a figure. Means are of the logarithm: a few long ones say little. */
+/**
+ * Weight of the newest request; means are of the logarithm. Chosen, not measured: some ten requests make a
+ * figure.
+ */
 const WEIGHT = 0.1;
-/** Kinds that are remembered. */
+/**
+ * Kinds that are kept; beyond, all are dropped and measured anew. Chosen, not measured: routes are far fewer.
+ */
 const MAX_KINDS = 1_000;
-/** Usual time of a kind before it was measured, milliseconds; counts like one request. */
+/**
+ * Usual time of a kind before it was measured, milliseconds; counts like one request. Chosen, not measured.
+ */
 const UNMEASURED_MS = 50;
-const LEAST_MS = 0.1;
+/** Shortest time that is noted, milliseconds: bounds the logarithm. */
+const MIN_MS = 0.1;
 
-/** What is known of one kind. */
 interface KindTime {
+  /** Mean of the logarithm of the times, and number of requests. */
   log: number;
   count: number;
 }
 
-/** The usual times at one node. */
 export class ServiceTimes {
   private readonly kinds = new Map<string, KindTime>();
 
@@ -30,14 +38,14 @@
     return known ? Math.exp(known.log) : UNMEASURED_MS;
   }
 
-  /** Takes the time of a request. Returns how many times the usual it took; 1 for the first of its kind. */
+  /** Notes the time of a request. Returns its ratio to the usual time; 1 for the first of its kind. */
   note(kind: string, tookMs: number): number {
-    const log = Math.log(Math.max(tookMs, LEAST_MS));
+    const log = Math.log(Math.max(tookMs, MIN_MS));
     const known = this.kindOf(kind);
-    const times = known.count === 1 ? 1 : Math.exp(log - known.log);
+    const ratio = known.count === 1 ? 1 : Math.exp(log - known.log);
     known.count += 1;
     known.log += (log - known.log) * Math.max(WEIGHT, 1 / known.count);
-    return times;
+    return ratio;
   }
 
   private kindOf(kind: string): KindTime {
--- /dev/null
+++ b/src/state/service/replicas/slow-start.ts
@@ -0,0 +1,29 @@
+/**
+ * Limits the requests a second that this node sends to a replica in slow start. Times are on the monotonic
+ * clock.
+ */
+
+const MS_PER_SECOND = 1_000;
+
+export class SlowStart {
+  private untilMs = 0;
+  /** Times of the requests that were sent in slow start, the oldest first. */
+  private readonly sentAtMs: number[] = [];
+
+  /** The replica is in slow start for `forMs` milliseconds from now. */
+  begin(forMs: number, nowMs: number): void {
+    this.untilMs = nowMs + forMs;
+  }
+
+  noteSent(nowMs: number): void {
+    if (nowMs < this.untilMs) this.sentAtMs.push(nowMs);
+  }
+
+  /** Whether one more request keeps the limit; below one a second, one in the time that each may take. */
+  allows(maxPerSecond: number, nowMs: number): boolean {
+    if (nowMs >= this.untilMs) return true;
+    const sinceMs = nowMs - MS_PER_SECOND * Math.max(1, 1 / maxPerSecond);
+    while (this.sentAtMs.length > 0 && (this.sentAtMs[0] ?? 0) <= sinceMs) this.sentAtMs.shift();
+    return this.sentAtMs.length < Math.max(1, Math.floor(maxPerSecond));
+  }
+}
--- a/test/coordination/service/dispatch/service-queue.test.ts
+++ b/test/coordination/service/dispatch/service-queue.test.ts
@@ -67,7 +67,7 @@
       exchange: exchange as unknown as ReplicaExchange,
       slotsOf: ({ replica }) => replica.slots,
       slowStartPerSecond: () => 2,
-      distance: () => 0,
+      zonePenalty: () => 0,
       isAllowed: () => isAllowed,
       bounds: { count: 4, bytes: 1_000_000 },
       metrics: new ServiceMetrics(),
--- a/test/state/service/replicas/replica-choice.test.ts
+++ b/test/state/service/replicas/replica-choice.test.ts
@@ -1,9 +1,9 @@
-/** The choice of a replica under drawn loads: nobody idles while a fit request waits, equal ones are used alike, slow ones less. */
+/** Replica choice under drawn loads: none idles while a request waits, equal ones are used alike, slow ones less. */
 import { expect } from 'chai';
 import { sleep } from '../../../../src/common/clock.js';
 import { Random } from '../../../../src/common/random.js';
 import {
-  type ChoiceTerms,
+  type ChoiceInput,
   capacityOf,
   chooseReplica,
   drainRate,
@@ -15,9 +15,9 @@
 const USUAL_MS = 40;
 const SEEDS = 200;
 
-const terms: ChoiceTerms = {
+const input: ChoiceInput = {
   slotsOf: ({ replica }) => replica.slots,
-  distance: () => 0,
+  zonePenalty: () => 0,
   serviceTimeMs: USUAL_MS,
   queuedAheadMs: 0,
 };
@@ -36,18 +36,18 @@
   it('fills equal ones evenly', () => {
     const states = replicas([USUAL_MS, USUAL_MS, USUAL_MS, USUAL_MS]);
     for (let count = 0; count < 12; count += 1) {
-      const choice = chooseReplica(states, terms);
+      const choice = chooseReplica(states, input);
       if (choice.kind === 'send') choice.state.noteAssigned();
     }
     expect(counts(states)).to.deep.equal([3, 3, 3, 3]);
   });
 
-  it('gives equal ones turns also where little is asked: the busiest has 1.2 times the mean at most', () => {
+  it('alternates between equal ones under low load: the busiest has 1.2 times the mean at most', () => {
     const states = replicas([USUAL_MS, USUAL_MS, USUAL_MS]);
     const given = new Map<string, number>();
     for (let count = 0; count < 300; count += 1) {
-      const choice = chooseReplica(states, terms);
-      if (choice.kind !== 'send') throw new Error('there is room');
+      const choice = chooseReplica(states, input);
+      if (choice.kind !== 'send') throw new Error('a slot is free');
       choice.state.noteAssigned();
       choice.state.noteReturned(true);
       given.set(choice.state.id, (given.get(choice.state.id) ?? 0) + 1);
@@ -55,7 +55,7 @@
     expect(Math.max(...given.values())).to.be.at.most(120);
   });
 
-  it('never lets a fit replica idle while a request waits, under drawn speeds and loads', () => {
+  it('leaves no free slot idle while a request waits, under drawn speeds and loads', () => {
     for (let seed = 0; seed < SEEDS; seed += 1) {
       const random = new Random(seed);
       const times = Array.from(
@@ -65,32 +65,32 @@
       const states = replicas(times);
       for (const state of states)
         for (let count = random.integer(SLOTS + 1); count > 0; count -= 1) state.noteAssigned();
-      const { free } = capacityOf(states, terms);
-      const choice = chooseReplica(states, terms);
+      const { free } = capacityOf(states, input);
+      const choice = chooseReplica(states, input);
       expect(choice.kind, `seed ${seed}`).to.equal(free > 0 ? 'send' : 'wait');
       if (choice.kind === 'send') expect(choice.state.inFlight).to.be.lessThan(SLOTS);
     }
   });
 
-  it('waits for a fast one rather than take one at which it ends later', () => {
+  it('waits for a fast one rather than use one at which the request ends later', () => {
     const states = replicas([USUAL_MS, USUAL_MS * 8]);
     const [fast] = states as [ReplicaState];
     for (let count = 0; count < SLOTS; count += 1) fast.noteAssigned();
-    expect(chooseReplica(states, terms).kind).to.equal('wait');
+    expect(chooseReplica(states, input).kind).to.equal('wait');
     expect(
-      chooseReplica(states, { ...terms, queuedAheadMs: 60 * USUAL_MS }).kind,
-      'many wait before it',
+      chooseReplica(states, { ...input, queuedAheadMs: 60 * USUAL_MS }).kind,
+      'many are queued ahead',
     ).to.equal('send');
   });
 
-  it('gives three slow ones of four the part that their speed earns', () => {
+  it('uses the fast one before three slow ones, and counts each by its speed', () => {
     const states = replicas([USUAL_MS, USUAL_MS * 5, USUAL_MS * 5, USUAL_MS * 5]);
-    const choice = chooseReplica(states, terms);
+    const choice = chooseReplica(states, input);
     expect(choice.kind === 'send' && choice.state.id).to.equal('r0');
-    expect(drainRate(states, terms)).to.be.closeTo(SLOTS * 1.6, 0.3);
+    expect(drainRate(states, input)).to.be.closeTo(SLOTS * 1.6, 0.3);
   });
 
-  it('takes silence over what it was given for slowness, but not over what takes long anyway', async () => {
+  it('takes silence for slowness, but not where the request is expected to take long', async () => {
     const states = replicas([USUAL_MS, USUAL_MS]);
     const [silent, patient] = states as [ReplicaState, ReplicaState];
     silent.noteAssigned(5);
@@ -102,22 +102,22 @@
     expect(silent.latencyRatio).to.be.lessThan(1.5);
   });
 
-  it('leaves out one that says it is full, and one that fails unless there is no other', () => {
+  it('does not use one that backs off, nor an ejected one unless there is no other', () => {
     const states = replicas([USUAL_MS, USUAL_MS]);
     const [full, failing] = states as [ReplicaState, ReplicaState];
     full.backOff(10_000);
     failing.noteFailure();
-    expect(chooseReplica(states, terms).kind, 'a full one is waited for').to.equal('wait');
-    expect(chooseReplica([failing], terms).kind).to.equal('send');
-    expect(chooseReplica([], terms).kind).to.equal('none');
+    expect(chooseReplica(states, input).kind, 'one that backs off is waited for').to.equal('wait');
+    expect(chooseReplica([failing], input).kind).to.equal('send');
+    expect(chooseReplica([], input).kind).to.equal('none');
   });
 
-  it('believes what a replica says of its load and its pace, for a short time', () => {
+  it('counts the load and the pace that a replica reports', () => {
     const states = replicas([USUAL_MS, USUAL_MS]);
     const [loaded, paced] = states as [ReplicaState, ReplicaState];
     loaded.noteLoad({ running: SLOTS, waiting: 2, slots: SLOTS, pacePercent: undefined });
     expect(loaded.occupied).to.equal(SLOTS + 2);
-    const choice = chooseReplica(states, terms);
+    const choice = chooseReplica(states, input);
     expect(choice.kind === 'send' && choice.state).to.equal(paced);
     paced.noteLoad({ running: 0, waiting: 0, slots: SLOTS, pacePercent: 300 });
     expect(paced.latencyRatio).to.be.closeTo(3, 0.3);
--- a/test/state/service/replicas/service-times.test.ts
+++ b/test/state/service/replicas/service-times.test.ts
@@ -1,12 +1,12 @@
-/** Usual times of kinds of requests, and what one request says of its replica. */
+/** Usual service times by kind, and the ratio of one request to them. */
 import { expect } from 'chai';
 import { Random } from '../../../../src/common/random.js';
 import { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
 import { ServiceTimes } from '../../../../src/state/service/replicas/service-times.js';
 import { replicaWith } from '../../../support/replicas.js';
 
-describe('usual times of work', () => {
-  it('are told apart by kind, so that a replica that is given long requests is not taken for slow', () => {
+describe('usual service times', () => {
+  it('are kept by kind, so that a replica with long requests is not taken for slow', () => {
     const times = new ServiceTimes();
     for (let count = 0; count < 100; count += 1) {
       times.note('short', 20);
@@ -17,7 +17,7 @@
     expect(times.note('short', 200)).to.be.closeTo(10, 0.1);
   });
 
-  it('do not run away, however the replicas differ: they stay between the fastest and the slowest', () => {
+  it('stay between the fastest and the slowest replica, however they differ', () => {
     const times = new ServiceTimes();
     const random = new Random(11);
     const speeds = [0.5, 1, 5, 5].map((slow, index) => ({
@@ -33,7 +33,7 @@
     expect((slowest ?? 0) / (fast ?? 1)).to.be.within(6, 16);
   });
 
-  it('are not those of one long request that came first', () => {
+  it('are not dominated by a long first request', () => {
     const times = new ServiceTimes();
     times.note('short', 3_000);
     for (let count = 0; count < 8; count += 1) times.note('short', 20);
