--- a/src/coordination/service/dispatch/crash-check.ts
+++ b/src/coordination/service/dispatch/crash-check.ts
@@ -1,18 +1,17 @@
 /**
- * Tells a replica that has ended from a connection that was cut. Both look the same to the request that was
- * under way; but where a process has ended nothing listens any more, until its successor has started seconds
- * later. One that starts again at the same address is known by its announcement.
+ * Distinguishes a crashed replica from a lost connection, which look the same to the request: after a crash
+ * nothing listens at the address until the next incarnation starts. A crash is missed where that starts
+ * before the probe, or packets are lost; in doubt there was none.
  */
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
 import { type ListenerState, probeListener } from '../../../transport/listener-probe.js';
 
-/** Longest wait for the machine's word, milliseconds: a caller may be waiting for the next attempt. */
+/** Time-out of a probe, milliseconds. Chosen, not measured: a caller may wait for the next attempt. */
 const PROBE_TIMEOUT_MS = 300;
 
-/** Looks at the addresses of replicas whose connections broke. */
 export class CrashCheck {
-  /** Looks under way, by address: requests that broke together share one. */
+  /** Probes in progress, by address: requests that fail together share one. */
   private readonly probes = new Map<string, Promise<ListenerState>>();
 
   constructor(
@@ -20,7 +19,7 @@
     private readonly probe: typeof probeListener = probeListener,
   ) {}
 
-  /** Whether the replica under a broken request has certainly ended. In doubt it has not. */
+  /** Whether a replica has certainly crashed, after a connection to it was lost. Never rejects. */
   async hasCrashed(replica: ReplicaState): Promise<boolean> {
     const { service, address } = replica.replica;
     const listener = await this.probeOnce(address);
@@ -29,8 +28,8 @@
   }
 
   private probeOnce(address: string): Promise<ListenerState> {
-    const underWay = this.probes.get(address);
-    if (underWay) return underWay;
+    const inProgress = this.probes.get(address);
+    if (inProgress) return inProgress;
     const probing = this.probe(address, PROBE_TIMEOUT_MS).finally(() => this.probes.delete(address));
     this.probes.set(address, probing);
     return probing;
--- a/src/coordination/service/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -1,6 +1,7 @@
 /**
- * One attempt at one replica, and what its outcome allows: whether the request ran, and whether the answer
- * counts.
+ * One attempt at one replica: whether the request ran, and whether the answer can be passed on. Keeps the
+ * replica's statistics, and logs each attempt. An outcome that is in doubt is `unknown`: the request may have
+ * run.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -12,51 +13,50 @@
 import type { CrashCheck } from './crash-check.js';
 import { digestOf } from './request-digest.js';
 
-/** An answer is held in memory up to this size, bytes. */
+/** Largest body of an answer, bytes; a larger one is a failed attempt. Chosen, not measured. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-/** How long a replica that said that it is full is avoided, milliseconds. */
+/** First back-off from a replica that is full, milliseconds. Chosen, not measured: about one service time. */
 const FULL_BACKOFF_MS = 60;
+/** The replica at the address is not the one that was addressed (misdirected request). */
+const MISDIRECTED_STATUS = 421;
 
-/** An answer read whole. */
+/** An answer that was read to its end. */
 export interface BufferedAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
   readonly signature: string | undefined;
-  /** False when the answer ended with its connection, so that it may have been cut. */
+  /** False when the answer ended with its connection, so that it may be incomplete. */
   readonly isFramed: boolean;
 }
 
-/** The outcome of one attempt. */
 export type AttemptOutcome =
-  /** The replica's whole answer. */
   | { readonly kind: 'answered'; readonly answer: BufferedAnswer }
-  /** Certainly not run. */
+  /** It has certainly not run. */
   | { readonly kind: 'declined'; readonly reason: string; readonly isFull: boolean }
-  /** May have run; there is no answer to pass on. */
+  /** It may have run; there is no answer to pass on. */
   | {
       readonly kind: 'unknown';
       readonly reason: string;
-      /** Told when the connection broke under the request: whether its replica has certainly ended. */
+      /** Only after a lost connection: whether the replica has certainly crashed. */
       readonly replicaCrashed?: boolean;
     }
-  /** Given up because the caller left or the time was over. */
+  /** Its caller cancelled it, or its deadline passed. */
   | { readonly kind: 'cancelled' };
 
-/** What identifies a request in the logs. */
+/** Fields of the log line. */
 export interface AttemptContext {
   readonly configVersion: number;
   readonly jobId?: string;
   readonly group?: string;
 }
 
-/** What is known of an attempt besides. */
 export interface AttemptTerms extends AttemptContext {
-  /** Usual time of such a request, milliseconds; 0 where it is not known. */
+  /** Expected service time, milliseconds; 0 where it is not known. */
   readonly expectedMs: number;
 }
 
-/** Why the head of an answer does not count, `undefined` when it does. */
+/** Why an answer cannot be passed on, by its head; `undefined` when it can. */
 export function defectOf(answer: ReplicaAnswer): string | undefined {
   if (!answer.isForRequest) return 'the answer belongs to another request';
   if (answer.isEncoded) return 'the body is encoded';
@@ -64,16 +64,27 @@
   return undefined;
 }
 
-/** Sends requests to replicas and keeps their statistics. */
+/**
+ * The decline of an answer that says that the request was not run; `undefined` where it says nothing of the
+ * kind.
+ */
+function declineOf({ isNotExecuted, isForRequest, status }: ReplicaAnswer): AttemptOutcome | undefined {
+  if (!isNotExecuted) return undefined;
+  const isMisdirected = status === MISDIRECTED_STATUS;
+  if (isForRequest) return { kind: 'declined', reason: `status ${status}`, isFull: !isMisdirected };
+  if (!isMisdirected) return undefined;
+  return { kind: 'declined', reason: 'another replica has the address', isFull: false };
+}
+
 export class ReplicaExchange {
   constructor(
     readonly client: ReplicaClient,
-    private readonly endCheck: CrashCheck,
+    private readonly crashCheck: CrashCheck,
     private readonly metrics: ServiceMetrics,
     private readonly logger: DecisionLogger,
   ) {}
 
-  /** Sends a request and reads the answer whole. Never rejects. */
+  /** Sends a request and reads the answer to its end. Never rejects, never repeats. */
   async attempt(
     state: ReplicaState,
     request: ReplicaRequest,
@@ -81,7 +92,7 @@
   ): Promise<AttemptOutcome> {
     const startedAt = monotonicMs();
     state.noteAssigned(expectedMs);
-    const outcome = await this.exchangeWhileAlive(state, request);
+    const outcome = await this.exchangeUntilRestart(state, request);
     state.noteReturned(outcome.kind === 'answered' || outcome.kind === 'declined');
     const tookMs = monotonicMs() - startedAt;
     this.noteOutcome(state, outcome, tookMs);
@@ -89,22 +100,19 @@
     return outcome;
   }
 
-  /**
-   * A replica that has started again runs nothing of before: what was sent to it may have run, and is not
-   * waited for.
-   */
-  private async exchangeWhileAlive(state: ReplicaState, request: ReplicaRequest): Promise<AttemptOutcome> {
+  /** Ends an attempt when its replica restarts: the request may have run, and no answer will come. */
+  private async exchangeUntilRestart(state: ReplicaState, request: ReplicaRequest): Promise<AttemptOutcome> {
     const controller = new AbortController();
     const abort = () => controller.abort();
-    const forget = state.onRestart(abort);
+    const removeListener = state.onRestart(abort);
     request.signal.addEventListener('abort', abort, { once: true });
     if (request.signal.aborted) abort();
     try {
       const outcome = await this.exchange(state, { ...request, signal: controller.signal });
       if (outcome.kind !== 'cancelled' || request.signal.aborted) return outcome;
-      return { kind: 'unknown', reason: 'the replica has started again', replicaCrashed: true };
+      return { kind: 'unknown', reason: 'the replica has restarted', replicaCrashed: true };
     } finally {
-      forget();
+      removeListener();
       request.signal.removeEventListener('abort', abort);
     }
   }
@@ -113,11 +121,18 @@
     const sent = await this.client.dispatch(state.replica, request);
     if (sent.isErr()) {
       const { failure, requestSent, message } = sent.error;
-      if (request.signal.aborted) return { kind: 'cancelled' };
-      if (!requestSent) return { kind: 'declined', reason: `${failure}: ${message}`, isFull: false };
-      return this.broken(state, sent.error, `${failure}: ${message}`);
+      const reason = `${failure}: ${message}`;
+      if (!request.signal.aborted && !requestSent) return { kind: 'declined', reason, isFull: false };
+      return this.outcomeOfFailure(state, request, sent.error, reason);
     }
-    const answer = sent.value;
+    return this.receive(state, request, sent.value);
+  }
+
+  private async receive(
+    state: ReplicaState,
+    request: ReplicaRequest,
+    answer: ReplicaAnswer,
+  ): Promise<AttemptOutcome> {
     if (answer.load && answer.isForRequest) state.noteLoad(answer.load);
     const defect = defectOf(answer);
     if (defect && !answer.isNotExecuted) {
@@ -125,26 +140,24 @@
       return { kind: 'unknown', reason: defect };
     }
     const body = await readFully(answer.body, MAX_ANSWER_BYTES);
-    if (answer.isNotExecuted && answer.isForRequest)
-      return { kind: 'declined', reason: `status ${answer.status}`, isFull: answer.status !== 421 };
-    if (answer.isNotExecuted && answer.status === 421)
-      return { kind: 'declined', reason: 'another replica has the address', isFull: false };
+    const declined = declineOf(answer);
+    if (declined) return declined;
     if (defect) return { kind: 'unknown', reason: defect };
-    if (body.isErr()) {
-      if (request.signal.aborted) return { kind: 'cancelled' };
-      return this.broken(state, body.error, `body: ${body.error.message}`);
-    }
+    if (body.isErr()) return this.outcomeOfFailure(state, request, body.error, `body: ${body.error.message}`);
     const { status, headers, signature, isFramed } = answer;
     return { kind: 'answered', answer: { status, headers, signature, isFramed, body: body.value } };
   }
 
-  private async broken(
+  /** Outcome of a request that may have reached the replica. */
+  private async outcomeOfFailure(
     state: ReplicaState,
+    { signal }: ReplicaRequest,
     { failure }: TransportError,
     reason: string,
   ): Promise<AttemptOutcome> {
+    if (signal.aborted) return { kind: 'cancelled' };
     if (failure !== 'connection-lost') return { kind: 'unknown', reason };
-    return { kind: 'unknown', reason, replicaCrashed: await this.endCheck.hasCrashed(state) };
+    return { kind: 'unknown', reason, replicaCrashed: await this.crashCheck.hasCrashed(state) };
   }
 
   private noteOutcome(state: ReplicaState, outcome: AttemptOutcome, tookMs: number): void {
@@ -161,7 +174,7 @@
     context: AttemptContext,
   ): void {
     const { service, id } = state.replica;
-    const replicaEnded = outcome.kind === 'unknown' ? outcome.replicaCrashed : undefined;
+    const hasCrashed = outcome.kind === 'unknown' ? outcome.replicaCrashed : undefined;
     this.metrics.attempts.inc({ service, outcome: outcome.kind });
     this.logger.record({
       event: 'attempt-ended',
@@ -171,9 +184,9 @@
       replica: id,
       outcome: outcome.kind === 'answered' ? String(outcome.answer.status) : outcome.kind,
       detail: 'reason' in outcome ? outcome.reason : undefined,
-      ...(replicaEnded === undefined
+      ...(hasCrashed === undefined
         ? {}
-        : { digest: digestOf(request), replicaEnded: replicaEnded ? 'yes' : 'no' }),
+        : { digest: digestOf(request), replicaEnded: hasCrashed ? 'yes' : 'no' }),
       tookMs: Math.round(tookMs),
       inFlight: state.inFlight,
     });
--- a/src/coordination/service/dispatch/request-digest.ts
+++ b/src/coordination/service/dispatch/request-digest.ts
@@ -1,6 +1,4 @@
-/**
- * What makes two tries the same request, whatever identifiers they bear: who asks, for what, with which body.
- */
+/** Identity of a request across retries, whatever its id: tenant, method, host, path and body. */
 import { createHash } from 'node:crypto';
 
 /** The parts of a request that a caller repeats unchanged. */
@@ -15,12 +13,10 @@
 
 const DIGEST_LENGTH = 32;
 const SEPARATOR = '\0';
-/** Digests of requests that are still held: a large body is read once at most. */
+/** Digests by request, so that a body is hashed once at most. */
 const known = new WeakMap<IdentifiedRequest, string>();
 
-/**
- * Digest of a request, in hexadecimal digits. Worked out when first asked for: most requests never need one.
- */
+/** Digest of a request, 32 hexadecimal digits. Computed at the first use: most requests never need one. */
 export function digestOf(request: IdentifiedRequest): string {
   const before = known.get(request);
   if (before !== undefined) return before;
--- a/src/node/service/dispatch-parts.ts
+++ b/src/node/service/dispatch-parts.ts
@@ -1,4 +1,7 @@
-/** Puts together how requests of callers and scoring calls reach replicas: queues here, homes elsewhere, the fleet they are found in. */
+/**
+ * Composition of dispatch at one node: its queues, remote dispatch, and the fleet that dispatchers are
+ * selected from.
+ */
 import type { DecisionLogger } from '../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import {
@@ -21,13 +24,15 @@
 import type { RoutingTable } from '../../state/service/configuration/index.js';
 import type { ReplicaDirectory, ReplicaState } from '../../state/service/replicas/index.js';
 
-/** Requests that may wait at one node, and the part of its memory that their bodies may take. */
-const MAX_WAITING = 2_000;
-const WAITING_FRACTION = 0.05;
-/** What a replica in another zone counts, as a part of its places: it is taken once those in the own zone are half full. */
-const OTHER_ZONE = 0.5;
+/** Limits of a queue: requests, and bodies as a share of the node's memory. Chosen, not measured. */
+const MAX_QUEUED = 2_000;
+const QUEUED_MEMORY_FRACTION = 0.05;
+/**
+ * Load added to a replica in another zone, as a share of its slots: it is used once its own zone is half
+ * full. Chosen.
+ */
+const OTHER_ZONE_PENALTY = 0.5;
 
-/** What the dispatch is made of. */
 export interface DispatchServices {
   readonly store: RecordStore;
   readonly settings: ServiceSettings;
@@ -39,7 +44,6 @@
   readonly logger: DecisionLogger;
 }
 
-/** The dispatch of one node. */
 export class DispatchParts {
   readonly fleet: FleetDirectory;
   readonly remote: RemoteDispatch;
@@ -55,7 +59,7 @@
       slowStartPerSecond: ({ replica }) => this.slowStartPerSecond(replica.service),
       zonePenalty: (state) => this.zonePenalty(state),
       isAllowed: (call) => this.isAllowed(call),
-      bounds: { count: MAX_WAITING, bytes: settings.memoryBytes * WAITING_FRACTION },
+      bounds: { count: MAX_QUEUED, bytes: settings.memoryBytes * QUEUED_MEMORY_FRACTION },
       metrics,
       logger,
     });
@@ -74,22 +78,25 @@
     directory.onChange(() => this.remote.noteChange());
   }
 
-  /** A call of another node, whose outcome it is told; `undefined` when this node takes none, or knows less than the other. */
+  /**
+   * Queues a call of another node; `undefined` when this node is leaving, or only the other one has the
+   * store.
+   */
   forPeer(
     framed: Framed<DispatchMessage>,
     signal: AbortSignal,
   ): Promise<Framed<DispatchOutcomeMessage>> | undefined {
-    const knowsLess = framed.message.isServed && !this.services.store.isAnswering();
-    if (this.queues.areClosed || knowsLess) return undefined;
+    const isStale = framed.message.isServed && !this.services.store.isAnswering();
+    if (this.queues.areClosed || isStale) return undefined;
     return this.queues.dispatch(toCall(framed, signal)).then(toOutcomeMessage);
   }
 
-  /** Deals out no places any more: what waits is refused, and goes to other nodes. */
+  /** Stops dispatching: queued requests are rejected, and sent to other nodes. */
   close(): void {
     this.queues.close();
   }
 
-  /** Brings the gauges up to date. */
+  /** Updates the gauges. */
   measure(): void {
     const { metrics } = this.services;
     for (const [service, queue] of this.queues.all) {
@@ -103,21 +110,21 @@
     return this.services.routing.current?.slotsOf(state.replica) ?? state.replica.slots;
   }
 
-  /** A home serves callers of all zones, so its own is no nearer to them. */
+  /** A dispatcher serves callers of all zones, so that its own is not nearer to them. */
   private zonePenalty({ replica }: ReplicaState): number {
     const { settings } = this.services;
     const isNear = replica.zone === settings.zone || this.remote.hasDispatchers(replica.service);
-    return isNear ? 0 : OTHER_ZONE;
+    return isNear ? 0 : OTHER_ZONE_PENALTY;
   }
 
-  /** A home sends nearly all that a replica gets; without one each node sends its part. */
+  /** A dispatcher sends nearly all that a replica gets; without dispatchers each node sends its share. */
   private slowStartPerSecond(service: string): number | undefined {
     const perSecond = this.services.routing.current?.slowStartPerSecondOf(service);
     if (perSecond === undefined || this.remote.isDispatcher(service)) return perSecond;
     return perSecond / Math.max(1, this.fleet.members.length);
   }
 
-  /** A request that has waited must still have a route that leads to its service, if a newer configuration is in force here. */
+  /** Whether a queued request still has a route to its service, if a newer configuration is in force here. */
   private isAllowed({ service, request, configVersion }: DispatchCall): boolean {
     const snapshot = this.services.routing.current;
     if (!snapshot || snapshot.version <= configVersion) return true;
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -1,7 +1,11 @@
 /**
- * Requests that one node gives to another, which deals out the places of a service's replicas: TypeBox with JSON, over the port that
- * only nodes reach. A message is one line of JSON and then the bytes of the body. The head of the answer comes as soon as the
- * other node has taken the request, long before the outcome, so that a node that says nothing is told from a slow replica.
+ * Wire format and client of remote dispatch: a node sends a request to a dispatcher of its service, over the
+ * port for other nodes. A message is one line of JSON, checked by schema, and then the bytes of the body. The
+ * head of the answer acknowledges the call, long before the outcome, so that a paused node is not mistaken
+ * for a slow replica.
+ *
+ * The names of the fields are translated in `coordination/service/dispatch/dispatch-messages.ts`, where those
+ * that mislead are explained. A message that does not hold its schema is none.
  */
 import type { Readable } from 'node:stream';
 import { err, ok, type Result } from 'neverthrow';
@@ -12,9 +16,12 @@
 
 /** Path of the exchange. */
 export const DISPATCH_PATH = '/dispatch';
-/** Requests with larger bodies go to replicas without a detour, bytes. */
+/**
+ * Larger bodies are not sent to a dispatcher, bytes. Chosen, not measured: the hop would cost more than it
+ * saves.
+ */
 export const MAX_DISPATCHED_BODY_BYTES = 256 * 1024;
-/** A message with its line at most, bytes. */
+/** Largest message with its body, bytes: above the largest body of a replica's answer. */
 export const MAX_DISPATCH_BYTES = 17 * 1024 * 1024;
 
 const MAX_NAME = 512;
@@ -38,12 +45,12 @@
   isPatient: Type.Boolean(),
   isExtra: Type.Boolean(),
   isRetry: Type.Boolean(),
-  /** Time until the answer is wanted, and until it is of no use, milliseconds. */
+  /** Time until the latency target, and until the deadline, milliseconds. */
   aimMs: Type.Number(),
   leftMs: Type.Number({ minimum: 0 }),
   excluded: Type.Array(Type.String({ maxLength: MAX_NAME }), { maxItems: MAX_EXCLUDED }),
   configVersion: Type.Number(),
-  /** Whether the store serves the node that asks, so that what it knows is new. */
+  /** Whether the store answers the calling node, so that its configuration is current. */
   isServed: Type.Boolean(),
 });
 export type DispatchMessage = Static<typeof CallSchema>;
@@ -91,11 +98,12 @@
   try {
     return { line: JSON.parse(bytes.toString('utf8', 0, end)), body: bytes.subarray(end + 1) };
   } catch {
+    // The callers treat it like any other invalid message: as a rejected call, or as a lost outcome.
     return undefined;
   }
 }
 
-/** The call in the bytes of a request; `undefined` when they hold none. */
+/** The call in the bytes of a request; `undefined` when they are no valid message. */
 export function parseDispatch(bytes: Buffer): Framed<DispatchMessage> | undefined {
   const parts = unframe(bytes);
   const message = parts && call.check(parts.line).unwrapOr(undefined as never);
@@ -107,24 +115,23 @@
   return frame(message, body);
 }
 
-/** What became of a call to another node. */
+/** Result of a call to another node. */
 export type PeerDispatch =
   | { readonly kind: 'outcome'; readonly outcome: Framed<DispatchOutcomeMessage> }
-  /** It has certainly not been taken there. */
+  /** It was certainly not taken. */
   | { readonly kind: 'not-taken'; readonly reason: string }
-  /** It may have been taken there. */
+  /** It may have been taken, and may run. */
   | { readonly kind: 'lost'; readonly reason: string };
 
-/** How a call to another node is made. */
 export interface PeerDispatchOptions {
-  /** Called when the other node has taken the call. */
+  /** Called when the other node acknowledges the call. */
   readonly onTaken: () => void;
-  /** Longest wait for the outcome, milliseconds. */
+  /** Time-out of the outcome, milliseconds. */
   readonly timeoutMs: number;
   readonly signal: AbortSignal;
 }
 
-/** Gives a call to the node at `address` (`IP:PORT`). Never repeated, never rejects. */
+/** Sends a call to the node at `address` (`IP:PORT`). Never repeats, never rejects. */
 export async function dispatchAtPeer(
   http: HttpClient,
   address: string,
--- a/src/protocol/service/replica.ts
+++ b/src/protocol/service/replica.ts
@@ -1,21 +1,26 @@
-/** Replicas of a service, and what can be asked of them. An adapter implements `ReplicaClient` for a wire format. */
+/**
+ * Replicas of a service and the client to call them. An adapter implements `ReplicaClient` for a wire format.
+ */
 import type { Readable } from 'node:stream';
 import type { Result } from 'neverthrow';
 import type { TransportError } from '../../transport/transport-error.js';
 
-/** A replica as it announces itself. One that starts again may keep its `id`; `startedAtMs` tells its incarnations apart. */
+/**
+ * A replica as it announces itself. A restarted one may keep its `id`; `startedAtMs` identifies the
+ * incarnation.
+ */
 export interface Replica {
   readonly id: string;
-  /** When it started, by its own time of day, milliseconds since 1970; `undefined` where replicas don't say. */
+  /** Start by its own time of day, milliseconds since 1970; `undefined` where it is not announced. */
   readonly startedAtMs: number | undefined;
   readonly service: string;
   /** `IP:PORT`. */
   readonly address: string;
   readonly zone: string;
-  /** Requests it works on at once. */
+  /** Requests that it runs at once. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** Time for which it is still slow after its start, as of the announcement, milliseconds. */
+  /** Remaining slow start as of the announcement, milliseconds. */
   readonly slowStartMs: number;
   /** Weight version by model; empty for application services. */
   readonly modelVersions: ReadonlyMap<string, number>;
@@ -27,89 +32,88 @@
   readonly method: string;
   readonly path: string;
   readonly host: string;
-  /** Headers of the caller that are passed on as they are. */
+  /** Headers of the caller that are forwarded unchanged. */
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
-  /** Time that the replica may work on it, milliseconds. */
+  /** Time until the deadline, milliseconds. */
   readonly remainingMs: number;
-  /** Tenant on whose behalf it runs; none where callers are not told apart. */
+  /** Tenant on whose behalf it runs; none where there are no tenants. */
   readonly tenant?: string;
-  /** Number of the last event that the caller has; the replica goes on after it. */
+  /** Number of the last event that the caller has; the replica continues after it. */
   readonly lastEventId?: string;
   /** Weight version that the replica must have. */
   readonly requiredVersion?: number;
   /** 0 to 9; 0 is the most urgent. */
   readonly priority?: number;
-  /** Cancels the exchange, also while the body is read. */
+  /** Cancels the request, also while the answer's body is read. */
   readonly signal: AbortSignal;
 }
 
-/** What a replica says of its load with an answer. */
+/** Load that a replica reports with an answer. */
 export interface ReplicaLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How long work takes there now, in percent of the usual; `undefined` where it doesn't say. */
+  /** Service time in percent of the usual one; `undefined` where it is not reported. */
   readonly pacePercent: number | undefined;
 }
 
 /** The head of a replica's answer; `body` must be read or destroyed. */
 export interface ReplicaAnswer {
   readonly status: number;
-  /** Headers to pass on to the caller. */
+  /** Headers to forward to the caller. */
   readonly headers: Readonly<Record<string, string | string[]>>;
-  /** True when the replica says that it did not run the request. */
+  /** Whether the replica states that it did not run the request. */
   readonly isNotExecuted: boolean;
-  /** True when the answer names the request that it answers, and that one is ours. */
+  /** Whether the answer names the request that was sent. */
   readonly isForRequest: boolean;
-  /** True when the body is encoded, so that it cannot be the replica's own body. */
+  /** Whether the body is encoded, so that it cannot be the replica's own. */
   readonly isEncoded: boolean;
   /** The replica's signature of the answer. */
   readonly signature: string | undefined;
   readonly weightVersion: number | undefined;
   readonly retryAfterMs: number | undefined;
-  /** What the replica says of its load, where it does. */
+  /** Reported load, where there is any. */
   readonly load: ReplicaLoad | undefined;
-  /** False when the answer ends with its connection: whether it is whole cannot be told then. */
+  /** False when the answer ends with its connection, so that it may be incomplete. */
   readonly isFramed: boolean;
   readonly body: Readable;
 }
 
-/** What a model replica tells of itself. */
+/** Report of a model replica. */
 export interface ReplicaReport {
-  /** Start of the life that reports, as in `Replica`. */
+  /** Start of the incarnation, as in `Replica`. */
   readonly startedAtMs: number | undefined;
   readonly modelVersions: ReadonlyMap<string, number>;
-  /** Whether an order is under way. */
+  /** Whether a load command is being executed. */
   readonly isBusy: boolean;
-  /** Orders taken since its start. */
+  /** Load commands accepted since its start. */
   readonly commandCount: number;
   readonly waiting: number;
   readonly running: number;
 }
 
-/** What happens to requests that run while a version is loaded. */
+/** What happens to running requests when a version is loaded. */
 export type LoadMode = 'wait' | 'truncate' | 'retain';
 
-/** An order to load a version. */
+/** A command to load a weight version. */
 export interface LoadCommand {
   readonly model: string;
   readonly version: number;
   readonly mode: LoadMode;
-  /** Name of the machine that gives the order. */
+  /** Name of the node that sends it, the leader. */
   readonly holder: string;
-  /** Rises with each change of the holder. */
+  /** Rises with each change of the leader. */
   readonly fencingToken: number;
-  /** The order is void unless the replica has taken this number of orders. */
+  /** Rejected as `conflict` unless the replica's `commandCount` is this. */
   readonly expectedCommandCount: number;
 }
 
-/** What became of an order. */
 export type CommandOutcome = 'accepted' | 'already-loaded' | 'conflict' | 'fenced-off' | 'rejected';
 
-/** Client of replicas. No call is ever repeated by it. */
+/** Client of replicas. Never repeats a call. */
 export interface ReplicaClient {
-  /** Name of the line of an event that tells a change of the weight version. */
+  /** Name of the event field that announces a change of the weight version. */
   readonly eventVersionField: string;
   dispatch(replica: Replica, request: ReplicaRequest): Promise<Result<ReplicaAnswer, TransportError>>;
   report(replica: Replica, timeoutMs: number): Promise<Result<ReplicaReport, TransportError>>;
--- a/src/state/service/replicas/crash-record.ts
+++ b/src/state/service/replicas/crash-record.ts
@@ -1,22 +1,22 @@
 /**
- * Fatal runs in the store: one record for each request and replica, and one for the answer that acquits the
- * request. They lie in the table of jobs, which nodes of the build before follow too; these take what is no
- * JSON for no job.
+ * Crash reports in the store: one record for each request and replica, and one for the answer that clears the
+ * request. They lie in the table of jobs, which every node follows; nodes of older builds ignore them there,
+ * since they are not JSON. Stored names that mislead: the partition `fatal-runs`, and `served` in place of a
+ * replica id.
  */
 import type { ChangedRecord, RecordWrite } from '../../../protocol/record-store.js';
 import { FOLLOWED_TABLE } from '../store/index.js';
 import type { Crash, ServedRun } from './crash-history.js';
 
-/** Partition of these records. */
 export const CRASH_PARTITION = 'fatal-runs';
 
 const KEY_SEPARATOR = '/';
 const LINE = '\n';
 
-/** Stands in the place of a replica and its address in the record of an answer. */
+/** In place of the replica's id and address in the record of an answer. */
 const SERVED = 'served';
 
-/** What a record tells. */
+/** Content of a record. */
 export type CrashReport =
   | { readonly kind: 'ended'; readonly run: Crash }
   | { readonly kind: 'served'; readonly run: ServedRun };
@@ -30,17 +30,17 @@
   };
 }
 
-/** The record of a run at one replica; another report of the same run takes its place. */
+/** The record of a crash; another report of the same request and replica replaces it. */
 export function toCrashRecord({ digest, address, endedAtMs }: Crash, replicaId: string): RecordWrite {
   return record(digest, replicaId, address, endedAtMs);
 }
 
-/** The record of an answer; that of a later answer takes its place. */
+/** The record of an answer; that of a later answer replaces it. */
 export function toServedRecord({ digest, servedAtMs }: ServedRun): RecordWrite {
   return record(digest, SERVED, SERVED, servedAtMs);
 }
 
-/** What a record tells; `undefined` when it tells nothing. */
+/** Content of a record; `undefined` when it is no crash report. */
 export function parseCrashReport({
   key,
   value,
@@ -53,7 +53,7 @@
   return { kind: 'ended', run: { digest, address: text, endedAtMs: timeMs } };
 }
 
-/** Time that a report tells of, on the store's clock, milliseconds. */
+/** Time of the crash or the answer, on the store's clock, milliseconds. */
 export function timeOf(report: CrashReport): number {
   return report.kind === 'served' ? report.run.servedAtMs : report.run.endedAtMs;
 }
--- a/src/state/service/replicas/weight-versions.ts
+++ b/src/state/service/replicas/weight-versions.ts
@@ -1,6 +1,7 @@
-/** The newest weight version that a trainer has named, by model. Versions only rise. */
+/**
+ * The newest weight version that a trainer has named, by model. Versions only rise; lost with the process.
+ */
 
-/** Keeps the versions. */
 export class WeightVersions {
   private readonly newest = new Map<string, number>();
   private readonly listeners = new Set<() => void>();
@@ -10,7 +11,7 @@
     this.listeners.add(listener);
   }
 
-  /** Takes a named version; returns whether it is newer than what was known. */
+  /** Notes a named version; returns whether it is newer than the known one. */
   note(model: string, version: number): boolean {
     if (version <= (this.newest.get(model) ?? 0)) return false;
     this.newest.set(model, version);
@@ -18,7 +19,7 @@
     return true;
   }
 
-  /** The newest named version, 0 while none is. */
+  /** The newest named version, 0 where there is none. */
   newestOf(model: string): number {
     return this.newest.get(model) ?? 0;
   }
--- a/test/coordination/service/dispatch/crash-check.test.ts
+++ b/test/coordination/service/dispatch/crash-check.test.ts
@@ -1,4 +1,4 @@
-/** What a broken connection says of the replica, and what makes two tries the same request. */
+/** Whether a replica crashed after a lost connection, and the identity of a request across retries. */
 import { once } from 'node:events';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -20,8 +20,8 @@
   return { server, replica: replicaAt(`127.0.0.1:${(server.address() as AddressInfo).port}`) };
 }
 
-describe('the look at a replica whose connection broke', () => {
-  it('tells one that has ended from one that has cut a connection', async () => {
+describe('the crash check of a replica', () => {
+  it('distinguishes a crash from a lost connection', async () => {
     const check = new CrashCheck(new ServiceMetrics());
     const { server, replica } = await listen();
     expect(await check.hasCrashed(replica)).to.equal(false);
@@ -30,27 +30,27 @@
     expect(await check.hasCrashed(replica)).to.equal(true);
   });
 
-  it('takes a machine that says nothing for one that may be there', async () => {
+  it('assumes no crash where the machine does not answer', async () => {
     const check = new CrashCheck(new ServiceMetrics(), async () => 'unknown');
     expect(await check.hasCrashed(replicaAt('127.0.0.1:1'))).to.equal(false);
   });
 
-  it('takes one that has started again at its address for ended', async () => {
+  it('takes a restart at the same address for a crash', async () => {
     const check = new CrashCheck(new ServiceMetrics(), async () => 'listening');
     const replica = replicaAt('127.0.0.1:1');
     replica.noteEnd('restarted');
     expect(await check.hasCrashed(replica)).to.equal(true);
   });
 
-  it('is shared by requests that broke together', async () => {
-    let looks = 0;
+  it('is shared by requests that fail together', async () => {
+    let probes = 0;
     const check = new CrashCheck(new ServiceMetrics(), async () => {
-      looks += 1;
+      probes += 1;
       return 'refused';
     });
     const ended = await Promise.all([1, 2, 3].map(() => check.hasCrashed(replicaAt('127.0.0.1:1'))));
     expect(ended).to.deep.equal([true, true, true]);
-    expect(looks).to.equal(1);
+    expect(probes).to.equal(1);
   });
 });
 
@@ -63,7 +63,7 @@
     body: Buffer.from('question'),
   };
 
-  it('is the same for each try, and another one for one changed byte, path, host or tenant', () => {
+  it('is the same for each retry, and differs with a changed byte, path, host, tenant or method', () => {
     expect(digestOf({ ...request, body: Buffer.from('question') })).to.equal(digestOf(request));
     const others: Partial<IdentifiedRequest>[] = [
       { body: Buffer.from('questioN') },
