--- a/src/node/service/service-node-parts.ts
+++ b/src/node/service/service-node-parts.ts
@@ -2,6 +2,7 @@
 import type { DecisionLogger } from '../../common/decision-logger.js';
 import { uniqueId } from '../../common/identifier.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
+import type { PeerCall } from '../../coordination/service/dispatch/index.js';
 import type { SubmissionParser } from '../../coordination/service/jobs/index.js';
 import type { AnnouncementFormat } from '../../coordination/service/membership/index.js';
 import type { RecordStore } from '../../protocol/record-store.js';
@@ -14,7 +15,6 @@
 import { RoutingTable } from '../../state/service/configuration/index.js';
 import type { OwnerReference } from '../../state/service/jobs/index.js';
 import { ReplicaDirectory, WeightVersions } from '../../state/service/replicas/index.js';
-import type { PeerCall } from './dispatch-parts.js';
 
 /** What an adapter supplies. */
 export interface ServiceNodeParts {
