--- a/src/coordination/service/requests/index.ts
+++ b/src/coordination/service/requests/index.ts
@@ -1,3 +1,4 @@
 export { QuarantineExchange } from './quarantine-exchange.js';
+export type { RelayedRequest, RelayOutcome } from './relayed-request.js';
 export { RequestQuarantine } from './request-quarantine.js';
-export { type RelayedRequest, type RelayOutcome, ServiceRelay } from './service-relay.js';
+export { ServiceRelay } from './service-relay.js';
--- a/test/coordination/service/requests/service-relay.test.ts
+++ b/test/coordination/service/requests/service-relay.test.ts
@@ -6,11 +6,9 @@
   DispatchCall,
   DispatchResult,
 } from '../../../../src/coordination/service/dispatch/dispatch-call.js';
+import type { RelayedRequest } from '../../../../src/coordination/service/requests/relayed-request.js';
 import { RequestQuarantine } from '../../../../src/coordination/service/requests/request-quarantine.js';
-import {
-  type RelayedRequest,
-  ServiceRelay,
-} from '../../../../src/coordination/service/requests/service-relay.js';
+import { ServiceRelay } from '../../../../src/coordination/service/requests/service-relay.js';
 import type { Route } from '../../../../src/protocol/service/routing-configuration.js';
 
 const TIMEOUT_MS = 80;
