--- a/src/coordination/service/requests/crash-reports.ts
+++ b/src/coordination/service/requests/crash-reports.ts
@@ -1,6 +1,9 @@
 /**
- * Brings what one node learns of requests that end replicas to all others: writes it into the store until the store takes it,
- * keeps the newest reports for nodes that the store does not serve, and removes what has expired.
+ * Shares the crash reports of one node: writes them to the store until it accepts them, keeps the newest ones for peers that
+ * the store rejects, and removes expired records.
+ *
+ * Owns: reports not written yet, the newest reports of all nodes, the records that this node wrote. While the store does not
+ * accept writes it retries with backoff; reports over the limits below count at this node alone.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import { ConditionVariable } from '../../../common/condition-variable.js';
@@ -9,19 +12,22 @@
 import { type CrashReportMessage, MAX_REPORTS } from '../../../protocol/service/crash-report-peer.js';
 import { CRASH_EXPIRY_MS, parseCrashReport, timeOf } from '../../../state/service/replicas/index.js';
 
-/** Records in one transaction at most. */
+/** Most records in one transaction: the store's limit of entries. */
 const MAX_RECORDS = 100;
-/** Reports of one node in the long run, and at once: what is over that counts at this node alone. */
+/**
+ * Rate limit of a node's reports, and its burst. Chosen, not measured: bounds the writes that crashes add to the store, while
+ * a crash with 200 requests is still reported whole.
+ */
 const REPORTS_PER_SECOND = 20;
 const BURST_REPORTS = 200;
-/** Reports that wait for the store at most: what is over that counts at this node alone. */
+/** Most reports that wait for the store. Chosen, not measured: bounds the memory of a node during an outage. */
 const MAX_PENDING = 1_000;
-/** Pauses after a write that the store did not take, milliseconds. */
+/** Backoff after a failed write, milliseconds, randomized by half. Chosen, not measured. */
 const FIRST_PAUSE_MS = 50;
 const LONGEST_PAUSE_MS = 1_000;
-/** How often what has expired is removed, milliseconds. */
+/** Interval of removing expired records, milliseconds. Chosen, not measured: short against their expiry. */
 const SWEEP_MS = 60_000;
-/** A node that reads records of others removes those that have been due for this long, milliseconds. */
+/** Time after expiry at which any node removes a record whose writer has not, milliseconds. Chosen: once the expiry again. */
 const OVERDUE_MS = CRASH_EXPIRY_MS;
 
 function toMessage({ key, value }: RecordWrite): CrashReportMessage {
@@ -30,9 +36,9 @@
 
 /** The reports of one node. */
 export class CrashReports {
-  /** Records that the store has not taken yet, by key. */
+  /** Records not written yet, by key. */
   private readonly pending = new Map<string, RecordWrite>();
-  /** Records that this node has written, to be removed once they have expired. */
+  /** Records that this node wrote and removes after expiry. */
   private written: RecordWrite[] = [];
   /** The newest reports, of this node and of others, by key. */
   private readonly newestByKey = new Map<string, CrashReportMessage>();
@@ -44,22 +50,22 @@
     private readonly clock: Clock = SYSTEM_CLOCK,
   ) {}
 
-  /** What this node has learnt and the store has not taken yet. */
+  /** Reports that the store has not accepted yet, at most `MAX_REPORTS`. */
   get unreported(): readonly CrashReportMessage[] {
     return [...this.pending.values()].slice(0, MAX_REPORTS).map(toMessage);
   }
 
-  /** The newest reports that this node knows. */
+  /** The newest reports that this node knows, at most `MAX_REPORTS`. */
   get newest(): readonly CrashReportMessage[] {
     return [...this.newestByKey.values()];
   }
 
-  /** Whether a report is known as it is. */
+  /** Whether this very report is known. */
   knows({ key, value }: CrashReportMessage): boolean {
     return this.newestByKey.get(key)?.value === value;
   }
 
-  /** Keeps a report for nodes that ask. */
+  /** Keeps a report for peers that ask for the newest. */
   remember(message: CrashReportMessage): void {
     this.newestByKey.delete(message.key);
     this.newestByKey.set(message.key, message);
@@ -67,7 +73,7 @@
     if (this.newestByKey.size > MAX_REPORTS && oldest !== undefined) this.newestByKey.delete(oldest);
   }
 
-  /** Tells all other nodes. */
+  /** Queues a report for the store, from which all other nodes read it; drops it over the limits. */
   share(record: RecordWrite): void {
     this.remember(toMessage(record));
     if (this.pending.size >= MAX_PENDING || this.budget.take() > 0) return;
@@ -75,23 +81,23 @@
     this.hasPending.notifyAll();
   }
 
-  /** Resolves when there is something that the store must be told, after `ms` milliseconds at the latest. */
-  untilNews(ms: number, signal: AbortSignal): Promise<void> {
+  /** Resolves when a report waits for the store, after `ms` milliseconds at the latest. */
+  untilPending(ms: number, signal: AbortSignal): Promise<void> {
     return this.hasPending.waitAtMost(ms, signal, this.clock);
   }
 
-  /** Whether a record is none, or tells of a run that no longer counts. */
+  /** Whether a record cannot be parsed, or expired more than `sinceMs` milliseconds ago. */
   isExpired(record: Pick<RecordWrite, 'key' | 'value'>, sinceMs = 0): boolean {
     const report = parseCrashReport(record);
     return !report || timeOf(report) < this.store.nowMs() - CRASH_EXPIRY_MS - sinceMs;
   }
 
-  /** Writes and removes until `signal` is aborted. */
+  /** Writes reports and removes expired records until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this.writeAll(signal), this.sweepRegularly(signal)]);
   }
 
-  /** Nodes that are gone for good leave their records behind. */
+  /** Removes records whose writers are gone for good. */
   async removeOverdue(records: readonly StoredRecord[]): Promise<void> {
     const overdue = records.filter((record) => this.isExpired(record, OVERDUE_MS));
     await this.remove(overdue);
@@ -102,13 +108,13 @@
     while (!signal.aborted) {
       while (this.pending.size === 0 && !signal.aborted) await this.hasPending.wait(signal);
       if (signal.aborted) return;
-      const isTaken = await this.write();
-      if (!isTaken) await this.clock.sleep(pauseMs * (0.5 + this.clock.random()), signal);
-      pauseMs = isTaken ? FIRST_PAUSE_MS : Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+      const isWritten = await this.write();
+      if (!isWritten) await this.clock.sleep(pauseMs * (0.5 + this.clock.random()), signal);
+      pauseMs = isWritten ? FIRST_PAUSE_MS : Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
     }
   }
 
-  /** Writes a batch; a repeat of a write that was done after all changes nothing. */
+  /** Writes a batch; false when it must be retried. A retry after a lost answer writes the same bytes again. */
   private async write(): Promise<boolean> {
     const writes = [...this.pending.values()].slice(0, MAX_RECORDS);
     const outcome = await this.store.transact({ conditions: [], writes, removals: [] });
@@ -126,12 +132,12 @@
   }
 
   private async sweep(): Promise<void> {
-    const due = this.written.filter((record) => this.isExpired(record));
-    const removed = await this.remove(due);
+    const expired = this.written.filter((record) => this.isExpired(record));
+    const removed = await this.remove(expired);
     this.written = this.written.filter((record) => !removed.includes(record));
   }
 
-  /** Removes the first of `records`; resolves to what is gone. */
+  /** Removes the first `MAX_RECORDS`; resolves to those removed, none on failure: the next sweep retries. */
   private async remove(records: readonly RecordWrite[]): Promise<readonly RecordWrite[]> {
     const removals = records.slice(0, MAX_RECORDS);
     if (removals.length === 0) return [];
--- a/src/coordination/service/requests/quarantine-exchange.ts
+++ b/src/coordination/service/requests/quarantine-exchange.ts
@@ -1,45 +1,47 @@
 /**
- * What a node that the store does not serve learns from other nodes of requests that end replicas, and tells them: it would
- * put replicas at risk under requests that all others hold back, and keep to itself what ends here.
+ * Exchanges crash reports with peers while the store rejects this node, which would otherwise run requests that all others
+ * quarantine and keep its own reports to itself.
+ *
+ * Relies on the addresses of peers. If none answers, this node decides by what it knows and asks again after `EXCHANGE_MS`.
  */
 import type { CrashReportMessage, CrashReportsAnswer } from '../../../protocol/service/crash-report-peer.js';
 import type { RequestQuarantine } from './request-quarantine.js';
 
-/** How often a node that is not served asks when it has nothing to tell, milliseconds. */
+/** Interval of the exchange when this node has no new reports, milliseconds. Chosen, not measured. */
 const EXCHANGE_MS = 500;
-/** Nodes that are asked in one turn, one after the other, until one is served. */
-const ASKED = 4;
+/** Peers asked in one round, one after the other until the store serves one. Chosen, not measured: bounds a round's calls. */
+const MAX_PEERS = 4;
 
-/** What the task works with. */
+/** Dependencies of the exchange. */
 export interface QuarantineExchangeServices {
   readonly quarantine: RequestQuarantine;
   readonly isStoreAnswering: () => boolean;
-  /** Addresses of other nodes, the likeliest to be served first. */
+  /** Addresses (`IP:PORT`) of other nodes, those that the store most likely serves first. */
   readonly peers: (count: number) => readonly string[];
-  readonly ask: (
+  readonly exchange: (
     address: string,
     reports: readonly CrashReportMessage[],
   ) => Promise<CrashReportsAnswer | undefined>;
 }
 
-/** The task of one node. */
+/** The exchange of one node. */
 export class QuarantineExchange {
   constructor(private readonly services: QuarantineExchangeServices) {}
 
-  /** Asks while the store is out of reach, until `signal` is aborted. */
+  /** Exchanges while the store does not answer, until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (!this.services.isStoreAnswering()) await this.exchangeInTurn();
-      await this.services.quarantine.reports.untilNews(EXCHANGE_MS, signal);
+      if (!this.services.isStoreAnswering()) await this.exchangeWithPeers();
+      await this.services.quarantine.reports.untilPending(EXCHANGE_MS, signal);
     }
   }
 
-  private async exchangeInTurn(): Promise<void> {
-    const { quarantine, peers, ask } = this.services;
-    for (const address of peers(ASKED)) {
-      const answer = await ask(address, quarantine.reports.unreported);
+  private async exchangeWithPeers(): Promise<void> {
+    const { quarantine, peers, exchange } = this.services;
+    for (const address of peers(MAX_PEERS)) {
+      const answer = await exchange(address, quarantine.reports.unreported);
       if (!answer) continue;
-      quarantine.takeFromPeer(answer.reports);
+      quarantine.addFromPeer(answer.reports);
       if (answer.isServed) return;
     }
   }
--- a/src/node/service/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -254,7 +254,7 @@
       quarantine: this.quarantine,
       isStoreAnswering: () => store.isAnswering(),
       peers: (count) => this.peers.likeliestPeers(count),
-      ask: parts.exchangeCrashReports,
+      exchange: parts.exchangeCrashReports,
     });
     const replicas = new ReplicaAnnouncements({
       store,
@@ -347,7 +347,7 @@
   /** What another node is told that exchanges reports of requests that end replicas. */
   exchangeCrashReports(reports: readonly CrashReportMessage[]): CrashReportsAnswer {
     const known = this.quarantine.reports.newest;
-    this.quarantine.takeFromPeer(reports);
+    this.quarantine.addFromPeer(reports);
     return { isServed: this.parts.store.isAnswering(), reports: [...known] };
   }
 
