--- /dev/null
+++ b/src/coordination/service/generation/attempt-watch.ts
@@ -0,0 +1,92 @@
+/**
+ * Watches the events of one attempt and breaks it off when it stalls, when its replica restarts, or when the sample would be
+ * finished sooner elsewhere. Owns the abort signal of the attempt's exchange, and a timer until `stop` is called.
+ */
+import { monotonicMs } from '../../../common/clock.js';
+import type { ReplicaState } from '../../../state/service/replicas/index.js';
+import type { AttemptPace, GenerationOutcome, GenerationTerms } from './generation-terms.js';
+
+/** Interval of the checks, milliseconds. Chosen, not measured: short against the least stall time-out of a second. */
+const CHECK_MS = 100;
+/** Events over which the pace is measured. Chosen, not measured: fewer would take one late event for a slow replica. */
+const PACE_EVENTS = 6;
+
+/** Why and how a watch has broken its attempt off. */
+export type WatchBreak = Extract<GenerationOutcome, { kind: 'broken' | 'moved' }>;
+
+/** Pace of the last events, from their times on the monotonic clock, oldest first; `undefined` while they are too few. */
+export function paceOf(eventTimes: readonly number[], nowMs: number): AttemptPace | undefined {
+  const [first] = eventTimes;
+  if (first === undefined || eventTimes.length < PACE_EVENTS) return undefined;
+  return { eventMs: (nowMs - first) / eventTimes.length };
+}
+
+/** The watch of one attempt. */
+export class AttemptWatch {
+  private readonly controller = new AbortController();
+  private readonly timer: NodeJS.Timeout;
+  private readonly onAbort = () => this.controller.abort();
+  private readonly forgetRestart: () => void;
+  private lastDataAtMs = monotonicMs();
+  /** Times of the last events, oldest first. */
+  private readonly eventTimes: number[] = [];
+  private broken: WatchBreak | undefined;
+
+  constructor(
+    private readonly terms: Pick<GenerationTerms, 'stallMs' | 'reasonToMove' | 'signal'>,
+    private readonly state: ReplicaState,
+  ) {
+    this.timer = setInterval(() => this.check(), CHECK_MS);
+    terms.signal.addEventListener('abort', this.onAbort, { once: true });
+    if (terms.signal.aborted) this.controller.abort();
+    this.forgetRestart = state.onRestart(() =>
+      this.breakOff({ kind: 'broken', reason: 'the replica has restarted', isConnectionLost: true }),
+    );
+  }
+
+  /** Aborted when the attempt is broken off, here or by its job. */
+  get signal(): AbortSignal {
+    return this.controller.signal;
+  }
+
+  /** How the watch broke the attempt off, if it did. */
+  get outcome(): WatchBreak | undefined {
+    return this.broken;
+  }
+
+  /** Data was received. */
+  noteData(): void {
+    this.lastDataAtMs = monotonicMs();
+  }
+
+  /** An event was received whole. */
+  noteEvent(): void {
+    const before = this.eventTimes.at(-1);
+    const now = monotonicMs();
+    if (before !== undefined) this.state.noteEvent(now - before);
+    this.eventTimes.push(now);
+    if (this.eventTimes.length > PACE_EVENTS) this.eventTimes.shift();
+  }
+
+  stop(): void {
+    clearInterval(this.timer);
+    this.terms.signal.removeEventListener('abort', this.onAbort);
+    this.forgetRestart();
+  }
+
+  private check(): void {
+    const { stallMs } = this.terms;
+    if (monotonicMs() - this.lastDataAtMs >= stallMs) {
+      this.breakOff({ kind: 'broken', reason: `stalled: no data for ${Math.round(stallMs)} ms` });
+      return;
+    }
+    const pace = paceOf(this.eventTimes, monotonicMs());
+    const reason = pace && this.terms.reasonToMove(pace);
+    if (reason !== undefined) this.breakOff({ kind: 'moved', reason });
+  }
+
+  private breakOff(outcome: WatchBreak): void {
+    this.broken ??= outcome;
+    this.controller.abort();
+  }
+}
--- a/src/coordination/service/generation/index.ts
+++ b/src/coordination/service/generation/index.ts
@@ -1,9 +1,5 @@
-export {
-  type AttemptPace,
-  attemptGeneration,
-  type GenerationOutcome,
-  type GenerationTerms,
-} from './generation-attempt.js';
+export { attemptGeneration } from './generation-attempt.js';
+export type { AttemptPace, GenerationOutcome, GenerationTerms } from './generation-terms.js';
 export { Placement, type PlacementRequest } from './placement.js';
 export { SampleLengths } from './sample-lengths.js';
 export { SampleMoves } from './sample-moves.js';
--- a/src/coordination/service/generation/placement.ts
+++ b/src/coordination/service/generation/placement.ts
@@ -1,44 +1,43 @@
 /**
- * Places generation requests on model replicas: each replica gets as many at once as its engine runs. Requests that
- * find no room wait in order; interrupted ones go before new ones.
+ * Places generation requests on model replicas: each replica gets as many at once as its engine has slots, the cheapest by
+ * `placement-cost.ts` first. Requests without a slot wait, interrupted ones before new ones.
+ *
+ * Unlike single requests, whose dispatcher chooses by load and latency ratio (`replica-choice.ts`), samples run for seconds at
+ * a length that differs by sample, and the speed of a replica decides more than its load. Each owner of a job places for
+ * itself: replicas decline what exceeds their slots.
  */
 import type { ReplicaDirectory, ReplicaState } from '../../../state/service/replicas/index.js';
+import { placementCostMs } from './placement-cost.js';
 
-/** How often waiting requests are looked at again without a reason, milliseconds: suspicions end in silence. */
+/** Interval of rescheduling without an event, milliseconds: ejections end without one. Chosen, not measured. */
 const RECHECK_MS = 50;
+/** Breaks ties of cost at random; far below a millisecond. */
+const TIE_BREAK_MS = 1e-6;
 
-/** What a full replica, and one in another zone, cost, milliseconds. */
-const FULL_REPLICA_MS = 1_000;
-const OTHER_ZONE_MS = 50;
-/** Part by which a request takes longer at a full replica. */
-const FULL_REPLICA_SLOWDOWN = 0.1;
-/** What a replica costs that has declined the last request: it is asked again when the others are full. */
-const DECLINED_COST_MS = 3_000;
-
-/** What a request asks of a replica. */
+/** Requirements of a request. */
 export interface PlacementRequest {
-  /** Service at this moment; `undefined` while the route is unknown. */
+  /** Current service; `undefined` while the route is unknown. */
   readonly service: () => string | undefined;
-  /** Requests that one replica of the service runs at once. */
+  /** Requests that a replica runs at once. */
   readonly slots: (state: ReplicaState) => number;
   readonly accepts: (state: ReplicaState) => boolean;
-  /** Replica that is likely to have read the prompt. */
+  /** Replica that likely has the prompt in its cache. */
   readonly preferred: () => ReplicaState | undefined;
-  /** Events that the request will probably take. */
+  /** Events that the request is expected to take. */
   readonly expectedEvents: number;
-  /** Lower ranks are placed first. */
+  /** Lower ones are placed first. */
   readonly priority: number;
   readonly signal: AbortSignal;
 }
 
-/** A replica as a move sees it. */
+/** The replica that a running sample could move to. */
 export interface FastestReplica {
   /** Measured time of an event, milliseconds. */
   readonly eventMs: number;
   readonly hasFreeSlot: boolean;
 }
 
-/** What a request that runs already asks of other replicas. */
+/** Requirements of a running sample for a move. */
 export type SlotQuery = Pick<PlacementRequest, 'slots' | 'accepts'> & { readonly service: string };
 
 interface Waiter {
@@ -46,13 +45,13 @@
   readonly resolve: (state: ReplicaState | undefined) => void;
 }
 
-/** All waiting requests of a node. */
+/** The waiting requests of a node, and the slots that it uses. */
 export class Placement {
   private waiters: Waiter[] = [];
   private timer: NodeJS.Timeout | undefined;
   private isScheduled = false;
 
-  /** `coldPerSecond`: requests that a cold replica is to get in a second from this node; `undefined` where it bears all. */
+  /** `slowStartPerSecond`: requests a second that a replica may get from this node in slow start; `undefined` without limit. */
   constructor(
     private readonly directory: ReplicaDirectory,
     private readonly zone: string,
@@ -61,7 +60,7 @@
     directory.onChange(() => this.schedule());
   }
 
-  /** Requests that wait for room. */
+  /** Requests that wait for a slot. */
   get waitingCount(): number {
     return this.waiters.length;
   }
@@ -84,14 +83,14 @@
     });
   }
 
-  /** A replica has taken a request: looks at the waiting requests again. */
+  /** A replica has accepted a request, and may get more. */
   noteTaken(state: ReplicaState): void {
     state.noteAnswered();
     state.noteTaken();
     this.schedule();
   }
 
-  /** The fastest replica as measured; one with a free slot if there is any, and none waits for it. */
+  /** The fastest replica as measured: of those with a free slot if there are any and no request waits, else of all. */
   fastest({ service, slots, accepts }: SlotQuery): FastestReplica | undefined {
     const measured = this.directory
       .availableOf(service)
@@ -103,7 +102,7 @@
     return { eventMs, hasFreeSlot: free.length > 0 };
   }
 
-  /** Gives a slot back; `wasTaken` says whether the replica had taken the request. */
+  /** Releases a slot; `wasTaken` says whether the replica had accepted the request. */
   release(state: ReplicaState, wasTaken: boolean): void {
     state.inFlight -= 1;
     if (!wasTaken) state.noteAnswered();
@@ -123,7 +122,7 @@
     waiter.resolve(undefined);
   }
 
-  /** Looks at the waiting requests once in this turn of the event loop. */
+  /** Assigns slots to waiting requests, once in this turn of the event loop. */
   private schedule(): void {
     if (this.isScheduled || this.waiters.length === 0) return;
     this.isScheduled = true;
@@ -149,11 +148,11 @@
     this.armTimer();
   }
 
-  /** The fittest replica; none while it has still to answer others, and the request should wait for that. */
+  /** The cheapest replica; none while that one must first accept or decline those it was sent. */
   private choose(request: PlacementRequest): ReplicaState | undefined {
     const service = request.service();
     if (service === undefined) return undefined;
-    const fittest = this.directory.select({
+    const cheapest = this.directory.select({
       service,
       zone: this.zone,
       preferred: request.preferred(),
@@ -163,9 +162,17 @@
         state.inFlight < request.slots(state) &&
         this.allowsInSlowStart(state) &&
         request.accepts(state),
-      cost: (state, zone, fastestMs) => generationCost(state, zone, fastestMs, request.expectedEvents),
+      cost: (state, zone, fastestMs) => this.cost(state, zone, fastestMs, request.expectedEvents),
     });
-    return fittest?.isAwaitingAnswers ? undefined : fittest;
+    return cheapest?.isAwaitingAnswers ? undefined : cheapest;
+  }
+
+  private cost(state: ReplicaState, zone: string, fastestMs: number, expectedEvents: number): number {
+    const { averageMs, inFlight, hasDeclined, replica } = state;
+    const isOtherZone = replica.zone !== zone;
+    const { slots } = replica;
+    const input = { averageMs, fastestMs, expectedEvents, inFlight, slots, isOtherZone, hasDeclined };
+    return placementCostMs(input) + Math.random() * TIE_BREAK_MS;
   }
 
   private allowsInSlowStart(state: ReplicaState): boolean {
@@ -181,22 +188,3 @@
     }, RECHECK_MS);
   }
 }
-
-/**
- * Expected time of the request at a replica, milliseconds, and what it costs the others there: the longer a request, the
- * more the replica's speed counts; the shorter, the more its load.
- */
-function generationCost(
-  state: ReplicaState,
-  zone: string,
-  fastestMs: number,
-  expectedEvents: number,
-): number {
-  const usualMs = Number.isFinite(fastestMs) ? fastestMs : 0;
-  const runMs = (state.averageMs || usualMs) * expectedEvents;
-  const load = state.inFlight / Math.max(1, state.replica.slots);
-  const loadMs = load * (FULL_REPLICA_MS + runMs * FULL_REPLICA_SLOWDOWN);
-  const distanceMs = state.replica.zone === zone ? 0 : OTHER_ZONE_MS;
-  const declinedMs = state.hasDeclined ? DECLINED_COST_MS : 0;
-  return runMs + loadMs + distanceMs + declinedMs + Math.random() * 1e-6;
-}
--- a/src/coordination/service/generation/sample-scorer.ts
+++ b/src/coordination/service/generation/sample-scorer.ts
@@ -1,8 +1,13 @@
-/** Scores finished samples: a request to an application service whose answer's signature is the score. */
+/**
+ * Scores finished samples: relays the scoring call to an application service; the signature of the response is the score.
+ * The call is retried until it succeeds or error statuses have come as often as its route allows attempts. Rejections and
+ * lost responses do not count: only the end of the job, or of the route, stops these retries.
+ */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { ScoringCall } from '../../../protocol/service/batch-job.js';
-import type { RoutingTable } from '../../../state/service/configuration/index.js';
-import type { ServiceRelay } from '../requests/index.js';
+import type { Route } from '../../../protocol/service/routing-configuration.js';
+import type { RoutingSnapshot, RoutingTable } from '../../../state/service/configuration/index.js';
+import type { RelayOutcome, ServiceRelay } from '../requests/index.js';
 
 /** How scoring ended. */
 export type ScoringOutcome =
@@ -16,60 +21,96 @@
   readonly signal: AbortSignal;
 }
 
+/** Retries so far. */
+interface ScoringProgress {
+  failures: number;
+  /** When the route existed last, on the monotonic clock. */
+  routeSeenAtMs: number;
+}
+
+/** Backoff between attempts, milliseconds, randomized by half. Chosen, not measured. */
 const FIRST_PAUSE_MS = 20;
 const LONGEST_PAUSE_MS = 400;
-/** Who is charged for the use of replicas by scoring calls. */
+/** Flow that scoring calls are charged to. */
 const SCORING_FLOW = 'scoring';
+/** A route that is missing for longer does not return, milliseconds. Chosen: above the delay of a configuration change. */
 const ROUTE_GONE_MS = 3_000;
+/** Statuses from here on fail a scoring call: redirects have no score. */
+const FIRST_FAILURE_STATUS = 300;
 
-/** Scores samples. How many calls run at once is decided where the places of the service's replicas are dealt out. */
+/** What one attempt means: `retry` without a failure that counts, as after a rejection or a response without a score. */
+export function judgeScoring(outcome: RelayOutcome): { kind: 'scored'; score: string } | 'failed' | 'retry' {
+  if (outcome.kind !== 'answered') return 'retry';
+  const { status, isFramed, signature } = outcome.answer;
+  if (status >= FIRST_FAILURE_STATUS) return 'failed';
+  return isFramed && signature ? { kind: 'scored', score: signature } : 'retry';
+}
+
+/** Scores samples. The dispatcher of the scoring service limits how many calls run at once. */
 export class SampleScorer {
   constructor(
     private readonly routing: RoutingTable,
     private readonly relay: ServiceRelay,
   ) {}
 
-  /** Repeats the call until it succeeds, has failed too often, or the job is stopped. */
+  /** Retries the call until it succeeds, has failed too often, or the job is stopped. Never rejects. */
   async score(call: ScoringCall, job: ScoredJob): Promise<ScoringOutcome> {
-    let failures = 0;
+    const progress = { failures: 0, routeSeenAtMs: monotonicMs() };
     let pauseMs = FIRST_PAUSE_MS;
-    let routeSeenAtMs = monotonicMs();
     while (!job.signal.aborted) {
-      const snapshot = this.routing.current;
-      const route = snapshot?.match(call.host, call.path);
-      if (snapshot && route) {
-        routeSeenAtMs = monotonicMs();
-        const deadlineMs = monotonicMs() + route.timeoutMs;
-        const outcome = await this.relay.relay({
-          id: call.id,
-          method: 'POST',
-          path: call.path,
-          host: call.host,
-          headers: {},
-          body: call.body,
-          route: { ...route, maxAttempts: 1 },
-          snapshot,
-          deadlineMs,
-          signal: job.signal,
-          isHedged: false,
-          priority: route.priority,
-          flow: SCORING_FLOW,
-          isBackground: true,
-          targetAtMs: deadlineMs,
-        });
-        const answer = outcome.kind === 'answered' ? outcome.answer : undefined;
-        const isSuccess = answer !== undefined && answer.status < 300;
-        if (isSuccess && answer.isFramed && answer.signature)
-          return { kind: 'scored', score: answer.signature };
-        if (answer && !isSuccess) failures += 1;
-        if (failures >= route.maxAttempts)
-          return { kind: 'impossible', reason: `scoring failed ${failures} times` };
-      } else if (snapshot && monotonicMs() - routeSeenAtMs > ROUTE_GONE_MS) {
-        return { kind: 'impossible', reason: 'the route of the scoring call is gone' };
-      }
+      const outcome = await this.attempt(call, job.signal, progress);
+      if (outcome) return outcome;
       await sleep(pauseMs * (0.5 + Math.random()), job.signal);
       pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
     }
     return { kind: 'cancelled' };
   }
+
+  /** One attempt if there is a route; the final outcome, or `undefined` to retry. */
+  private async attempt(
+    call: ScoringCall,
+    signal: AbortSignal,
+    progress: ScoringProgress,
+  ): Promise<ScoringOutcome | undefined> {
+    const snapshot = this.routing.current;
+    if (!snapshot) return undefined;
+    const route = snapshot.match(call.host, call.path);
+    if (!route) {
+      const isGone = monotonicMs() - progress.routeSeenAtMs > ROUTE_GONE_MS;
+      return isGone ? { kind: 'impossible', reason: 'the route of the scoring call is gone' } : undefined;
+    }
+    progress.routeSeenAtMs = monotonicMs();
+    const verdict = judgeScoring(await this.send(call, signal, snapshot, route));
+    if (typeof verdict === 'object') return verdict;
+    if (verdict === 'failed') progress.failures += 1;
+    if (progress.failures < route.maxAttempts) return undefined;
+    return { kind: 'impossible', reason: `scoring failed ${progress.failures} times` };
+  }
+
+  private send(
+    call: ScoringCall,
+    signal: AbortSignal,
+    snapshot: RoutingSnapshot,
+    route: Route,
+  ): Promise<RelayOutcome> {
+    const { id, path, host, body } = call;
+    const deadlineMs = monotonicMs() + route.timeoutMs;
+    return this.relay.relay({
+      id,
+      method: 'POST',
+      path,
+      host,
+      headers: {},
+      body,
+      route: { ...route, maxAttempts: 1 },
+      snapshot,
+      deadlineMs,
+      signal,
+      isHedged: false,
+      priority: route.priority,
+      flow: SCORING_FLOW,
+      isBackground: true,
+      targetAtMs: deadlineMs,
+    });
+  }
 }
--- a/src/coordination/service/generation/sample-text.ts
+++ b/src/coordination/service/generation/sample-text.ts
@@ -1,16 +1,19 @@
-/** The text of a sample while it is made: its events in order and the weight versions that made them. */
+/**
+ * The text of a sample during generation: its events in order and the weight versions that generated them. Knows which part
+ * is stored, so that only new events are written for a later owner.
+ */
 import type { PartialText } from '../../../protocol/service/batch-job.js';
 
-/** Collects events; an attempt at another replica goes on after the last one. */
+/** Collects events; an attempt at another replica continues after the last one. */
 export class SampleText {
   private readonly events: string[] = [];
   private readonly versionSet = new Set<number>();
   private lastId: string | undefined;
   private savedEvents = 0;
-  /** Whether the last event has come. */
+  /** Whether the stream was read to its end. */
   isComplete = false;
 
-  /** Takes up what an earlier owner kept. */
+  /** Continues from the text that an earlier owner stored. */
   static from(partial: PartialText): SampleText {
     const text = new SampleText();
     text.events.push(...partial.events);
@@ -34,7 +37,7 @@
     return [...this.versionSet].sort((left, right) => left - right);
   }
 
-  /** Whether an event with this identifier comes next. */
+  /** Whether an event with this ID directly follows the last one; any integer does at the start. */
   isNext(id: string): boolean {
     if (id === '' || !Number.isInteger(Number(id))) return false;
     return this.lastId === undefined || Number(id) === Number(this.lastId) + 1;
@@ -46,7 +49,7 @@
     this.versionSet.add(version);
   }
 
-  /** Starts over. */
+  /** Discards all events. */
   clear(): void {
     this.events.length = 0;
     this.versionSet.clear();
@@ -60,17 +63,17 @@
     return this.events.join('\n');
   }
 
-  /** Whether there is something that is not kept yet. */
+  /** Whether there are events that are not stored yet. */
   get hasUnsaved(): boolean {
     return this.events.length > this.savedEvents;
   }
 
-  /** Notes that the first `count` events are kept. */
+  /** Notes that the first `count` events are stored. */
   noteSaved(count: number): void {
     this.savedEvents = Math.max(this.savedEvents, Math.min(count, this.events.length));
   }
 
-  /** What another owner needs to go on. */
+  /** What another owner needs to continue. */
   toPartial(): PartialText {
     return {
       lastEventId: this.lastId ?? '',
--- a/src/coordination/service/jobs/item-run.ts
+++ b/src/coordination/service/jobs/item-run.ts
@@ -251,7 +251,7 @@
 
   /** Why the sample should go on at another replica that has a version which fits, if it should. */
   private reasonToMove(route: Route, state: ReplicaState, { eventMs }: AttemptPace): string | undefined {
-    if (!this.moves.areLeft) return undefined;
+    if (!this.moves.mayMove) return undefined;
     const [version] = route.isSingleVersion ? this.text.versions : [];
     const elsewhere = this.services.placement.fastest({
       service: state.replica.service,
