--- a/src/coordination/service/requests/index.ts
+++ b/src/coordination/service/requests/index.ts
@@ -1,3 +1,5 @@
 export { QuarantineExchange } from './quarantine-exchange.js';
+export type { SendAttempt } from './relay-run.js';
+export type { RelayedRequest, RelayOutcome } from './relayed-request.js';
 export { RequestQuarantine } from './request-quarantine.js';
-export { type RelayedRequest, type RelayOutcome, type SendAttempt, ServiceRelay } from './service-relay.js';
+export { ServiceRelay } from './service-relay.js';
--- a/src/node/service/peer-exchange.ts
+++ b/src/node/service/peer-exchange.ts
@@ -49,7 +49,7 @@
       quarantine,
       isStoreAnswering,
       peers: likeliestPeers,
-      ask: exchangeCrashReports,
+      exchange: exchangeCrashReports,
     });
   }
 
@@ -76,7 +76,7 @@
   exchangeCrashReports(reports: readonly CrashReportMessage[]): CrashReportsAnswer {
     const { quarantine } = this.services;
     const known = quarantine.reports.newest;
-    quarantine.takeFromPeer(reports);
+    quarantine.addFromPeer(reports);
     return { isServed: this.context.store.isAnswering(), reports: [...known] };
   }
 
