--- a/bench/soak/index.ts
+++ b/bench/soak/index.ts
@@ -1,7 +1,6 @@
 /** The randomized soak. */
 export { breaches, type Evidence, usageErrors } from './checks.js';
-export { configurationBreaches, type ProbeEvidence } from './configuration-probes.js';
+export { configurationBreaches } from './configuration-probes.js';
 export type { WrittenConfiguration } from './configuration-series.js';
-export { FAULTS } from './faults.js';
 export { type FaultSpan, type History, jobHistory, notePage, type ProbeHistory } from './records.js';
-export { runSoak, type SoakOptions, type Summary, soak } from './soak.js';
+export { runSoak, soak } from './soak.js';
--- a/emulator/application/application-server.ts
+++ b/emulator/application/application-server.ts
@@ -11,7 +11,7 @@
 import { type HttpServer, sendJson } from '../../src/transport/http-server.js';
 import { createStandInServer, readControlJson } from '../faults.js';
 
-export const ApplicationFaultsSchema = Type.Object(
+const ApplicationFaultsSchema = Type.Object(
   {
     /** Time that a request takes, milliseconds. */
     workMs: Type.Optional(Type.Integer({ minimum: 0 })),
--- a/emulator/declarations.ts
+++ b/emulator/declarations.ts
@@ -7,7 +7,7 @@
 export const EMULATOR_APPLICATION = 'demo-app';
 
 /** A declared resource. */
-export function manifest(kind: string, name: string, spec: object): object {
+function manifest(kind: string, name: string, spec: object): object {
   return { apiVersion: API_VERSION, kind, metadata: { name }, spec };
 }
 
--- a/emulator/engine/engine-server.ts
+++ b/emulator/engine/engine-server.ts
@@ -21,7 +21,6 @@
   readonly engine: Engine;
   private readonly server: HttpServer = createStandInServer();
   private readonly client = new HttpClient();
-  private questions = 0;
 
   /** `weightStore`: base URL of the weight store. */
   constructor(options: Partial<EngineOptions>, weightStore: string) {
@@ -29,14 +28,9 @@
       this.readWeights(weightStore, object),
     );
     this.server.route('POST', '/v1/completions', (request, response) => this.generate(request, response));
-    this.server.route('DELETE', '/v1/completions/:id', async (request, response) => {
-      this.engine.cancel(decodeURIComponent((request as unknown as { params: { id: string } }).params.id));
-      sendJson(response, 200, {});
-    });
-    this.server.route('GET', '/state', async (_request, response) => {
-      this.questions += 1;
-      sendJson(response, 200, this.engine.state());
-    });
+    this.server.route('GET', '/state', async (_request, response) =>
+      sendJson(response, 200, this.engine.state()),
+    );
     this.server.route('POST', '/orders', (request, response) => this.order(request, response));
     this.addControl();
   }
@@ -46,16 +40,6 @@
     return `http://${host}:${await this.server.listen(host, port)}`;
   }
 
-  /** Questions for the state so far. */
-  get stateQuestions(): number {
-    return this.questions;
-  }
-
-  /** Bytes exchanged so far. */
-  trafficBytes(): number {
-    return this.server.trafficBytes();
-  }
-
   /** Stops at once. */
   stop(): void {
     this.engine.stop();
--- a/emulator/platform/platform-server.ts
+++ b/emulator/platform/platform-server.ts
@@ -32,7 +32,6 @@
   private readonly server: HttpServer = createStandInServer();
   private readonly faults: Record<Part, FaultInjector>;
   private weightReads = 0;
-  private calls = 0;
 
   constructor(private readonly options: PlatformOptions = {}) {
     this.faults = Object.fromEntries(PARTS.map((part) => [part, new FaultInjector()])) as Record<
@@ -45,11 +44,6 @@
     this.addMachineRoutes();
   }
 
-  /** Calls of the store so far. */
-  get callCount(): number {
-    return this.calls;
-  }
-
   /** Starts; resolves to the base URL. */
   async start(host: string, port: number): Promise<string> {
     return `http://${host}:${await this.server.listen(host, port)}`;
@@ -64,10 +58,7 @@
   private addStoreRoutes(): void {
     const { table, store } = this.faults;
     const { transaction, rows, feed, putObject, getObject, dropObject, listObjects } = STORE_PATH;
-    const serve: Handler = (request, response) => {
-      this.calls += 1;
-      return this.store.serve(request, response);
-    };
+    const serve: Handler = (request, response) => this.store.serve(request, response);
     this.server.route('ALL', transaction, table.around(serve));
     for (const path of [rows, feed]) this.server.route('ALL', path, table.aroundReads(serve));
     for (const path of [putObject, getObject, dropObject])
--- a/scripts/layer-rules.ts
+++ b/scripts/layer-rules.ts
@@ -70,7 +70,7 @@
 const IMPORT = /from\s+'(\.[^']+)'|import\s+'(\.[^']+)'/g;
 
 /** The layer that a path stands in, for example `src/state`. */
-export function layerOf(path: string): string {
+function layerOf(path: string): string {
   const parts = path.split('/');
   return parts[0] === ADAPTER ? ADAPTER : parts.slice(0, 2).join('/');
 }
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -55,7 +55,7 @@
 }
 
 /** Fields in which two values differ, by dotted path. */
-export function differencesBetween(inForce: unknown, declared: unknown, path = ''): FieldDifference[] {
+function differencesBetween(inForce: unknown, declared: unknown, path = ''): FieldDifference[] {
   if (isTree(inForce) && isTree(declared)) {
     const names = [...new Set([...Object.keys(inForce), ...Object.keys(declared)])].sort();
     return names.flatMap((name) =>
--- a/src/common/token-bucket.ts
+++ b/src/common/token-bucket.ts
@@ -9,18 +9,12 @@
   private updatedAtMs = monotonicMs();
 
   constructor(
-    private ratePerSecond: number,
+    private readonly ratePerSecond: number,
     private readonly burst: number,
   ) {
     this.tokens = burst;
   }
 
-  /** Changes the rate from now on. */
-  setRate(ratePerSecond: number): void {
-    this.refill();
-    this.ratePerSecond = ratePerSecond;
-  }
-
   /** Takes a token when there is one; otherwise returns the wait until the next one, milliseconds. */
   take(): number {
     this.refill();
--- a/src/coordination/resource/rollouts/event-transcript.ts
+++ b/src/coordination/resource/rollouts/event-transcript.ts
@@ -39,11 +39,6 @@
     return this.parts.every((part) => part.chunks.length === 0);
   }
 
-  /** Engines that took part. */
-  engines(): string[] {
-    return this.parts.map((part) => part.engine);
-  }
-
   /** Begins the part of another engine; an unfinished event of the one before is dropped. */
   beginPart(engine: string): void {
     this.carry = Buffer.alloc(0);
--- a/src/coordination/service/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -61,6 +61,3 @@
   /** Node that dealt with it, for the logs. */
   readonly via?: string;
 }
-
-/** Sends calls. Never rejects. */
-export type Dispatch = (call: DispatchCall) => Promise<DispatchResult>;
--- a/src/node/resource/node.ts
+++ b/src/node/resource/node.ts
@@ -78,11 +78,6 @@
     return this.coordinationParts;
   }
 
-  /** Bytes that peers, callers and operators have exchanged with this node's server. */
-  trafficBytes(): number {
-    return this.server.http.trafficBytes();
-  }
-
   /** Listens and starts all tasks. Resolves to the base URL on which it listens. */
   async start(): Promise<string> {
     const { listen, node } = this.settings;
@@ -119,14 +114,6 @@
     this.lifecycle.send('drained');
   }
 
-  /** Drops everything at once, as a crash would. For nodes that share a process. */
-  async kill(): Promise<void> {
-    this.background.abort();
-    this.tasksStop.abort();
-    this.server.http.destroy();
-    await this.client.close();
-  }
-
   private startTasks(): void {
     const { nodes, follower, monitor, singletonTasks } = this.coordination;
     const { signal } = this.background;
--- a/src/protocol/resource/configuration-entry.ts
+++ b/src/protocol/resource/configuration-entry.ts
@@ -1,7 +1,7 @@
 /** One accepted revision of the configuration, as the store keeps it and as watchers see it. */
 import Type, { type Static } from 'typebox';
 
-export const ConfigChangeSchema = Type.Object({
+const ConfigChangeSchema = Type.Object({
   kind: Type.String(),
   name: Type.String(),
   /** The new resource, or null when it was deleted. */
--- a/src/protocol/resource/engine.ts
+++ b/src/protocol/resource/engine.ts
@@ -139,12 +139,6 @@
     return err(new ProtocolError('refused', effect, `generate: status ${sent.value.status} ${text}`, wait));
   }
 
-  /** Cancels a generation. */
-  async cancel(address: string, requestId: string): Promise<void> {
-    const url = `${address}/v1/completions/${encodeURIComponent(requestId)}`;
-    await this.client.exchange({ method: 'DELETE', url, headTimeoutMs: STATE_TIMEOUT_MS });
-  }
-
   /** Asks for the state. */
   state(address: string): Promise<Result<EngineState, ProtocolError>> {
     const call = { method: 'GET', url: `${address}/state`, headTimeoutMs: STATE_TIMEOUT_MS };
--- a/src/protocol/resource/peer.ts
+++ b/src/protocol/resource/peer.ts
@@ -26,7 +26,7 @@
 
 /** Asks for decision records of a request or subject. */
 export const DecisionQuerySchema = Type.Object({ subject: Type.String() });
-export const DecisionAnswerSchema = Type.Object({ decisions: Type.Array(Type.Unknown()) });
+const DecisionAnswerSchema = Type.Object({ decisions: Type.Array(Type.Unknown()) });
 
 const revisionAnswer = new Validator(RevisionAnswerSchema);
 const decisionAnswer = new Validator(DecisionAnswerSchema);
--- a/src/protocol/resource/resource.ts
+++ b/src/protocol/resource/resource.ts
@@ -11,7 +11,7 @@
 const Name = (description: string) => Type.String({ pattern: NAME_PATTERN, description });
 const Zones = (description: string) => Type.Array(Name('Zone.'), { description });
 
-export const ServiceSpec = Type.Object(
+const ServiceSpec = Type.Object(
   {
     type: Type.Union([Type.Literal('model'), Type.Literal('application')], {
       description: 'Whether the back ends are model engines or application services.',
@@ -64,7 +64,7 @@
   CLOSED,
 );
 
-export const BackendSpec = Type.Object(
+const BackendSpec = Type.Object(
   {
     service: Name('Service that it belongs to.'),
     address: Type.String({
@@ -91,7 +91,7 @@
   CLOSED,
 );
 
-export const ModelSpec = Type.Object(
+const ModelSpec = Type.Object(
   {
     service: Name('Service whose engines serve the model.'),
     requireApproval: Type.Optional(
@@ -128,7 +128,7 @@
   CLOSED,
 );
 
-export const ModelVersionSpec = Type.Object(
+const ModelVersionSpec = Type.Object(
   {
     model: Name('Model that it is a version of.'),
     version: Type.Integer({ minimum: 0, description: 'Version number; a larger one is newer.' }),
@@ -144,7 +144,7 @@
   CLOSED,
 );
 
-export const TrainerSpec = Type.Object(
+const TrainerSpec = Type.Object(
   {
     models: Type.Array(Name('Model.'), { minItems: 1, description: 'Models that it may draw samples of.' }),
     stalenessBound: Type.Integer({
@@ -191,12 +191,12 @@
 );
 export type TokenGrant = Static<typeof TokenGrant>;
 
-export const AccessPolicySpec = Type.Object(
+const AccessPolicySpec = Type.Object(
   { tokens: Type.Array(TokenGrant, { description: 'Bearer tokens, as hashes, and what each may do.' }) },
   CLOSED,
 );
 
-export const MachineSpec = Type.Object(
+const MachineSpec = Type.Object(
   {
     zone: Name('Zone that it stands in.'),
     state: Type.Union([Type.Literal('live'), Type.Literal('leaving'), Type.Literal('gone')], {
--- a/src/protocol/resource/trainer.ts
+++ b/src/protocol/resource/trainer.ts
@@ -87,7 +87,6 @@
   },
   CLOSED,
 );
-export type Acknowledgement = Static<typeof AcknowledgementSchema>;
 
 /** Progress of a rollout. */
 export const RolloutProgressSchema = Type.Object({
--- a/src/state/resource/configuration/config-view.ts
+++ b/src/state/resource/configuration/config-view.ts
@@ -71,11 +71,6 @@
     return this.history.slice(revision + 1 - first);
   }
 
-  /** The newest entries that are kept, oldest first. */
-  newestEntries(count: number): readonly ConfigEntry[] {
-    return this.history.slice(-count);
-  }
-
   /** One resource. */
   get<K extends Kind>(kind: K, name: string): ResourceOf<K> | undefined {
     return this.resources.get(resourceKey(kind, name)) as ResourceOf<K> | undefined;
--- a/src/state/resource/decision-log.ts
+++ b/src/state/resource/decision-log.ts
@@ -85,7 +85,6 @@
   private ring: TimedRecord[] = [];
   private pending: TimedRecord[] = [];
   private sequence = 0;
-  private dropped = 0;
   private recorded = 0;
   private readonly startedAtMs = Date.now();
 
@@ -109,10 +108,8 @@
     this.ring.push(timed);
     this.pending.push(timed);
     if (this.ring.length > RING_LIMIT) this.ring = this.ring.slice(RING_LIMIT / 2);
-    if (this.pending.length > PENDING_LIMIT) {
-      this.pending.shift();
-      this.dropped += 1;
-    }
+    // While the object store is unavailable the oldest are lost, so that memory stays bounded.
+    if (this.pending.length > PENDING_LIMIT) this.pending.shift();
     return record;
   }
 
@@ -121,11 +118,6 @@
     return this.ring.filter((one) => one.record.subjects.includes(subject)).map((one) => one.record);
   }
 
-  /** Records that could not be kept because the object store was away too long. */
-  get droppedCount(): number {
-    return this.dropped;
-  }
-
   /** Flushes until stopped. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
--- a/src/state/resource/tables/row-table.ts
+++ b/src/state/resource/tables/row-table.ts
@@ -52,7 +52,7 @@
 const AFTER_KEYS = '\u{10ffff}';
 
 /** Where the row of a key lies. */
-export function rowAddress(key: string): RecordAddress {
+function rowAddress(key: string): RecordAddress {
   const table = key.startsWith(CONFIGURATION_PREFIX) ? CONFIGURATION_TABLE : OTHER_TABLE;
   return { table, partition: '', key };
 }
--- a/src/state/service/admission/index.ts
+++ b/src/state/service/admission/index.ts
@@ -1,5 +1,5 @@
-export { type Admission, type AdmissionTerms, admit, retryAfterMs } from './admission.js';
+export { type AdmissionTerms, admit, retryAfterMs } from './admission.js';
 export { FlowUsage } from './flow-usage.js';
 export { RetryBudget } from './retry-budget.js';
-export { type ReplicaUse, type RunningRequest, slotWaitMs } from './slot-wait.js';
+export { type RunningRequest, slotWaitMs } from './slot-wait.js';
 export { type Waiting, type WaitingBounds, WaitingList } from './waiting-list.js';
--- a/src/state/service/configuration/index.ts
+++ b/src/state/service/configuration/index.ts
@@ -1,2 +1,2 @@
-export { type Access, RoutingSnapshot, RoutingTable, TargetSplitter } from './routing-table.js';
+export { RoutingSnapshot, RoutingTable, TargetSplitter } from './routing-table.js';
 export { fingerprintOf } from './tenant-directory.js';
--- a/src/state/service/replicas/index.ts
+++ b/src/state/service/replicas/index.ts
@@ -1,20 +1,15 @@
 export { CRASH_EXPIRY_MS, type Crash, CrashHistory, type Verdict } from './crash-history.js';
 export {
   CRASH_PARTITION,
-  type CrashReport,
   parseCrashReport,
   timeOf,
   toCrashRecord,
   toServedRecord,
 } from './crash-record.js';
-export { dispatcherCount, type FleetMember, homeOf, rankDispatchers } from './dispatcher-selection.js';
-export { type Choice, type ChoiceTerms, capacityOf, chooseReplica, drainRate } from './replica-choice.js';
+export { dispatcherCount, type FleetMember, rankDispatchers } from './dispatcher-selection.js';
+export { type ChoiceTerms, capacityOf, chooseReplica, drainRate } from './replica-choice.js';
 export { ReplicaDirectory } from './replica-directory.js';
-export {
-  compareIncarnations,
-  type IncarnationOrder,
-  type ReplicaIncarnation,
-} from './replica-incarnation.js';
+export type { IncarnationOrder } from './replica-incarnation.js';
 export { ReplicaState } from './replica-state.js';
 export { ServiceTimes } from './service-times.js';
 export { WeightVersions } from './weight-versions.js';
--- a/src/state/state-error.ts
+++ b/src/state/state-error.ts
@@ -1,6 +1,4 @@
 /** Failures of the state layer: what became of a change or look-up of shared state. */
-import type { ProtocolError } from '../protocol/protocol-error.js';
-
 /** How an operation on shared state failed. */
 export type StateFailure =
   /** The platform could not be reached, was too slow, or answered with an error. */
@@ -36,9 +34,3 @@
     super(message);
   }
 }
-
-/** Turns a protocol failure into one of this layer. */
-export function fromProtocol(error: ProtocolError): StateError {
-  const failure = error.failure === 'rate-limited' ? 'rate-limited' : 'unavailable';
-  return new StateError(failure, error.effect, error.message, error.retryAfterMs);
-}
--- a/src/state/store/index.ts
+++ b/src/state/store/index.ts
@@ -1,1 +1,1 @@
-export { type CurrentRecords, readCurrent } from './current-records.js';
+export { readCurrent } from './current-records.js';
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,4 +1,4 @@
-/** HTTP server (polka) with bounded heads, header time-outs against slow senders, and traffic counts. */
+/** HTTP server (polka) with bounded heads and header timeouts against slow senders. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import polka from 'polka';
@@ -36,7 +36,6 @@
   private readonly app;
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
-  private closedSocketBytes = 0;
 
   constructor(
     private readonly fallbacks: ServerFallbacks,
@@ -86,11 +85,6 @@
     this.server.headersTimeout = headersTimeoutMs;
   }
 
-  /** Closes connections on which no request is under way. */
-  closeIdle(): void {
-    this.server.closeIdleConnections();
-  }
-
   /** Stops accepting connections and resolves when the open exchanges have ended. */
   async closeGracefully(): Promise<void> {
     const closed = new Promise<void>((resolve) => this.server.close(() => resolve()));
@@ -104,19 +98,9 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  /** Bytes received and sent on all connections that this server accepted. */
-  trafficBytes(): number {
-    let bytes = this.closedSocketBytes;
-    for (const socket of this.sockets) bytes += socket.bytesRead + socket.bytesWritten;
-    return bytes;
-  }
-
   private track(socket: Socket): void {
     this.sockets.add(socket);
-    socket.on('close', () => {
-      this.sockets.delete(socket);
-      this.closedSocketBytes += socket.bytesRead + socket.bytesWritten;
-    });
+    socket.on('close', () => this.sockets.delete(socket));
   }
 
   private async run(handler: Handler, request: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/test/support/jobs.ts
+++ b/test/support/jobs.ts
@@ -5,7 +5,7 @@
 import { HOST, JOB_PATH, MODEL, SCORING_PATH } from './service-system.js';
 
 /** Events of a stream unless an engine is set up otherwise. */
-export const USUAL_EVENTS = 5;
+const USUAL_EVENTS = 5;
 
 /** A job of three groups of two scored items. */
 export function job(id: string, fields: Partial<TrainerJob> = {}): TrainerJob {
--- a/test/support/service-system.ts
+++ b/test/support/service-system.ts
@@ -25,7 +25,7 @@
 export const SCORING_PATH = '/score/';
 export const JOB_PATH = '/jobs/';
 export const MODEL = 'model-a';
-export const ENGINE_SERVICE = 'engine';
+const ENGINE_SERVICE = 'engine';
 export const APPLICATION_SERVICE = 'application';
 
 /** A log line of a node, as its fields. */
