--- a/src/protocol/resource/trainer-client.ts
+++ b/emulator/clients/trainer-client.ts
@@ -1,11 +1,9 @@
-/** Client of trainers. A trainer may send each call to any node. */
+/** Client of the trainers' interface. Each call may go to any node. */
 import type { Result } from 'neverthrow';
 import Type, { type TSchema } from 'typebox';
-import type { HttpClient } from '../../transport/http-client.js';
-import type { ProtocolError } from '../protocol-error.js';
-import { Validator } from '../validation.js';
-import { exchangeJson } from './json-exchange.js';
-import { API_VERSION } from './resource.js';
+import type { ProtocolError } from '../../src/protocol/protocol-error.js';
+import { exchangeJson } from '../../src/protocol/resource/json-exchange.js';
+import { API_VERSION } from '../../src/protocol/resource/resource.js';
 import {
   type Batch,
   BatchSchema,
@@ -13,14 +11,16 @@
   type RolloutProgress,
   RolloutProgressSchema,
   type RolloutSubmission,
-} from './trainer.js';
+} from '../../src/protocol/resource/trainer.js';
+import { Validator } from '../../src/protocol/validation.js';
+import type { HttpClient } from '../../src/transport/http-client.js';
 
 const batch = new Validator(BatchSchema);
 const progress = new Validator(RolloutProgressSchema);
 const anything = new Validator(Type.Unknown());
 const submitted = new Validator(Type.Object({ rolloutId: Type.String(), slots: Type.Integer() }));
 
-/** Time beyond a draw's wait after which the node is given up, milliseconds. */
+/** Time beyond a draw's wait after which the call is cancelled, milliseconds. Chosen, not measured. */
 const ANSWER_MARGIN_MS = 10_000;
 
 /** Client of one trainer at one node. */
--- a/emulator/clients/trainer-loop.ts
+++ b/emulator/clients/trainer-loop.ts
@@ -5,8 +5,8 @@
 import { monotonicMs, sleep } from '../../src/common/clock.js';
 import { Random } from '../../src/common/random.js';
 import type { Batch, Sample } from '../../src/protocol/resource/trainer.js';
-import { TrainerClient } from '../../src/protocol/resource/trainer-client.js';
 import { HttpClient } from '../../src/transport/http-client.js';
+import { TrainerClient } from './trainer-client.js';
 
 /** What a trainer does. */
 export interface TrainerOptions {
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -30,7 +30,7 @@
   });
 }
 
-/** Time and chance as a task sees them; tests bring their own, so that a run takes no time and repeats exactly. */
+/** Time and randomness of a task; tests bring their own, so that a run takes no time and is repeatable. */
 export interface Clock {
   /** Monotonic time, milliseconds. */
   now(): number;
--- a/src/common/collections.ts
+++ b/src/common/collections.ts
@@ -1,6 +1,6 @@
 /** Helpers for collections that the runtime lacks. */
 
-/** The entries of a list by key, keys and entries in their order. */
+/** The entries of a list by key; keys and entries keep their order. */
 export function groupBy<Entry, Key>(
   entries: readonly Entry[],
   keyOf: (entry: Entry) => Key,
--- a/src/common/condition-variable.ts
+++ b/src/common/condition-variable.ts
@@ -1,6 +1,7 @@
+/** Waiting of one asynchronous task for another within a process. */
 import { type Clock, SYSTEM_CLOCK } from './clock.js';
 
-/** A condition variable: tasks wait until another one says that what they wait for may hold now. */
+/** A condition variable: tasks wait until another one notifies them that their condition may hold now. */
 export class ConditionVariable {
   private readonly waiting = new Set<() => void>();
 
@@ -29,7 +30,7 @@
     controller.abort();
   }
 
-  /** Wakes all tasks that wait. */
+  /** Wakes all waiting tasks. */
   notifyAll(): void {
     for (const wake of [...this.waiting]) wake();
   }
--- a/src/common/decision-logger.ts
+++ b/src/common/decision-logger.ts
@@ -1,18 +1,22 @@
 /**
- * Writes decision records as roarr JSON lines to standard output, within a budget for each kind. What is over the
- * budget is left out and counted; the counts are written once a second.
+ * Writes decision records as roarr JSON lines to standard output, rate-limited by event. Lines beyond the
+ * limit are counted, and the counts are written once a second. A slow reader never delays the node: its lines
+ * are dropped and counted.
  */
 import './roarr-environment.js';
 import { ROARR, Roarr } from 'roarr';
-import { monotonicMs } from './clock.js';
 import type { DecisionRecord } from './decision-records.js';
 import { LineWriter } from './line-writer.js';
+import { TokenBucket } from './token-bucket.js';
 
-/** Lines of one kind per second in the long run, and at once. */
+/**
+ * Lines of one event per second in the long run, and in a burst. The busiest second measured had 148 lines of
+ * all events (docs/design/logging.md), so that only an overload exceeds the burst.
+ */
 const LINES_PER_SECOND = 100;
 const BURST_LINES = 400;
 const MILLISECONDS_PER_SECOND = 1000;
-/** Longest wait for the reader before the process ends, milliseconds. */
+/** Longest wait for the reader at the end, milliseconds. Chosen, not measured: below the grace of a stop. */
 const FLUSH_LIMIT_MS = 200;
 
 /** Takes decision records. */
@@ -20,18 +24,18 @@
   record(record: DecisionRecord): void;
 }
 
-/** A logger that drops everything: for tests. */
+/** A logger that drops everything: for tests and the demo. */
 export const silentDecisionLogger: DecisionLogger = { record: () => {} };
 
-interface Budget {
-  tokens: number;
-  refilledAtMs: number;
+interface RateLimit {
+  readonly bucket: TokenBucket;
+  /** Lines not written since the last summary. */
   leftOut: number;
 }
 
 /** The logger of a process. */
 export class StandardOutputLogger implements DecisionLogger {
-  private readonly budgets = new Map<string, Budget>();
+  private readonly limits = new Map<string, RateLimit>();
   private readonly log;
   private readonly summaryTimer: NodeJS.Timeout;
 
@@ -53,7 +57,13 @@
   }
 
   record(record: DecisionRecord): void {
-    if (this.takeToken(record.event)) this.emit(record);
+    let limit = this.limits.get(record.event);
+    if (!limit) {
+      limit = { bucket: new TokenBucket(LINES_PER_SECOND, BURST_LINES), leftOut: 0 };
+      this.limits.set(record.event, limit);
+    }
+    if (limit.bucket.take() === 0) this.emit(record);
+    else limit.leftOut += 1;
   }
 
   /** Writes what is left before the process ends. */
@@ -68,26 +78,11 @@
     this.log.info(fields, event);
   }
 
-  private takeToken(kind: string): boolean {
-    const now = monotonicMs();
-    const budget = this.budgets.get(kind) ?? { tokens: BURST_LINES, refilledAtMs: now, leftOut: 0 };
-    this.budgets.set(kind, budget);
-    const gained = ((now - budget.refilledAtMs) / MILLISECONDS_PER_SECOND) * LINES_PER_SECOND;
-    budget.tokens = Math.min(BURST_LINES, budget.tokens + gained);
-    budget.refilledAtMs = now;
-    if (budget.tokens < 1) {
-      budget.leftOut += 1;
-      return false;
-    }
-    budget.tokens -= 1;
-    return true;
-  }
-
   private summarize(): void {
-    for (const [kind, budget] of this.budgets) {
-      if (budget.leftOut === 0) continue;
-      this.emit({ event: 'lines-left-out', kind, count: budget.leftOut });
-      budget.leftOut = 0;
+    for (const [kind, limit] of this.limits) {
+      if (limit.leftOut === 0) continue;
+      this.emit({ event: 'lines-left-out', kind, count: limit.leftOut });
+      limit.leftOut = 0;
     }
   }
 }
--- a/src/common/decision-records.ts
+++ b/src/common/decision-records.ts
@@ -1,29 +1,32 @@
 /**
- * Structured log records: one line for each decision that touches a request or changes what the process believes.
- * Every record names the inputs of the decision, their version or age, and the outcome. Fields that end in `Ms` are
- * milliseconds.
+ * Structured log records: one line for each decision about a request, and for each change of what the node
+ * takes for true. Every record names the inputs of the decision, their version or age, and the outcome.
+ * Fields that end in `Ms` are milliseconds. Events and keys are read by operators' tools and stay; where a
+ * key is named otherwise than what it holds is named in the code, its comment says which term it stands for.
  */
 
-/** A request was answered. */
+/** A caller's request was answered. */
 export interface RequestAnswered {
   readonly event: 'request-answered';
   readonly requestId: string;
   readonly route: string;
   readonly status: number;
+  /** `answered`, `cancelled`, or the reason of a rejection or failure. */
   readonly outcome: string;
+  /** Attempts at replicas, and the ids of these, joined by commas. */
   readonly attempts: number;
   readonly replicas: string;
   readonly tookMs: number;
+  /** Time until the caller's deadline, negative after it. */
   readonly leftMs: number;
   readonly configVersion: number;
-  /** Tenant on whose behalf it was sent. */
   readonly tenant?: string;
-  /** The same for all tries of one request; told of those that a replica left without an answer, and of refusals. */
+  /** Identifies the request over all its repeats; logged of rejected and failed ones. */
   readonly digest?: string;
   readonly detail?: string;
 }
 
-/** A request was sent to a replica and came back. */
+/** An attempt at a replica ended: of a request, or of a job's item. */
 export interface AttemptEnded {
   readonly event: 'attempt-ended';
   readonly requestId: string;
@@ -31,15 +34,17 @@
   readonly group?: string;
   readonly service: string;
   readonly replica: string;
+  /** Status of the answer, or the kind of outcome. */
   readonly outcome: string;
   readonly detail?: string;
-  /** The same for all tries of one request; told when the connection broke under it. */
+  /** Identifies the request over all its repeats; logged when the connection broke. */
   readonly digest?: string;
-  /** Whether the replica was found to have ended; told when the connection broke. */
+  /** Whether the replica crashed; logged when the connection broke. */
   readonly replicaEnded?: 'yes' | 'no';
   readonly tookMs: number;
-  /** Time that the request waited for a slot at a replica before. */
+  /** Time in the queue for a slot before the attempt. */
   readonly waitedMs?: number;
+  /** Requests of this node at the replica. */
   readonly inFlight: number;
   readonly configVersion: number;
 }
@@ -51,32 +56,36 @@
   readonly jobId: string;
   readonly outcome: string;
   readonly tookMs: number;
+  /** Position after which results were read. */
   readonly position?: number;
 }
 
-/** A call about a batch job was passed on to another node, because the store does not serve this one. */
+/** A call about a batch job was forwarded to another node, because the store does not answer this one. */
 export interface JobCallPassedOn {
   readonly event: 'job-call-passed-on';
   readonly call: 'submit' | 'read' | 'item' | 'end';
   readonly jobId: string;
   /** `IP:PORT` of the other node. */
   readonly peer: string;
+  /** `not served`: the other node has no answer of the store either. */
   readonly outcome: 'answered' | 'not served';
   readonly tookMs: number;
 }
 
-/** A job changed its owner or state in the eyes of this node. */
+/** The owner or state of a job changed, as this node read it from the store. */
 export interface JobChanged {
   readonly event: 'job-changed';
   readonly jobId: string;
   readonly change: string;
+  /** `NODE/INCARNATION`, or `none`. */
   readonly owner: string;
+  /** Rises with each owner; the fence of its writes. */
   readonly epoch: number;
   readonly recordVersion: number;
   readonly detail?: string;
 }
 
-/** An owner begins to run a job: what is asked, and what there is to run it on. */
+/** An owner starts a job: its size, and the slots available to it. */
 export interface JobPlanned {
   readonly event: 'job-planned';
   readonly jobId: string;
@@ -85,33 +94,35 @@
   readonly items: number;
   /** Items of the largest group. */
   readonly groupSize: number;
-  /** Whole groups that the submitter waits for. */
+  /** Whole groups after which the submitter stops reading. */
   readonly wantedGroups: number;
-  /** Items that an earlier owner has listed, and texts that were kept. */
+  /** Items that an earlier owner has listed, and items with a saved partial text. */
   readonly listed: number;
   readonly keptTexts: number;
-  /** Requests that all available replicas run at once. */
+  /** Slots of all available replicas, and of those whose weight version is admissible. */
   readonly slots: number;
-  /** Slots of the replicas whose version fits. */
   readonly fittingSlots: number;
+  /** Time since the submission. */
   readonly ageMs: number;
 }
 
-/** An item of a job reached its outcome, or lost time. */
+/** An item of a job reached its outcome, or an event delayed it. */
 export interface ItemChanged {
   readonly event: 'item-changed';
   readonly requestId: string;
   readonly jobId: string;
   readonly group: string;
   readonly change: string;
+  /** Events of its text so far, and the weight versions that produced them, joined by commas. */
   readonly events: number;
   readonly versions: string;
   readonly attempts: number;
+  /** Time since the submission of the job. */
   readonly ageMs: number;
   readonly detail?: string;
 }
 
-/** Results were listed. */
+/** An owner wrote results to the list that readers page through. */
 export interface ResultsListed {
   readonly event: 'results-listed';
   readonly jobId: string;
@@ -122,9 +133,10 @@
   readonly tookMs: number;
 }
 
-/** The node's belief about configuration or replicas changed. */
+/** What the node takes for true of its fleet, its replicas or the configuration changed. */
 export interface BeliefChanged {
   readonly event: 'belief-changed';
+  /** `home` is a dispatcher, `session` the liveness of a node. */
   readonly subject:
     | 'configuration'
     | 'replica'
@@ -136,55 +148,62 @@
     | 'peers';
   readonly name: string;
   readonly change: string;
+  /** Version of the record or configuration that it rests on; 0 where there is none. */
   readonly version: number;
 }
 
-/** A replica has ended under a request; what follows for the request. */
+/** A replica crashed while it ran a request: the quarantine decision for this request. */
 export interface RequestSuspected {
   readonly event: 'request-suspected';
   readonly digest: string;
-  /** The replica, or the name of the record that told of it. */
+  /** The replica, or the name of the crash record. */
   readonly replica: string;
   /** `IP:PORT`. */
   readonly address: string;
   readonly source: 'here' | 'another node';
+  /** `held`: quarantined. */
   readonly verdict: 'clear' | 'suspected' | 'held';
-  /** Replicas that have ended under it, as far as this node knows. */
+  /** Crashes of replicas under it that this node knows. */
   readonly ends: number;
-  /** How long it is held from now on. */
+  /** Time for which it is quarantined from now on. */
   readonly holdMs: number;
-  /** Time since the end of the replica. */
+  /** Time since the crash. */
   readonly ageMs: number;
 }
 
-/** A request was refused by the node that deals out the places of its service's replicas, before it ran. */
+/** Admission control rejected a request at the dispatcher of its service. It has not run. */
 export interface RequestRefused {
   readonly event: 'request-refused';
   readonly requestId: string;
   readonly service: string;
-  /** Who is charged for its use. */
+  /** Its flow: the tenant, else the caller. */
   readonly party: string;
+  /** Its priority. */
   readonly rank: number;
   readonly reason: string;
+  /** Time in the queue. */
   readonly waitedMs: number;
+  /** Time until its deadline. */
   readonly leftMs: number;
   readonly retryAfterMs: number;
-  /** What it was compared with: requests that wait, and places that are free, of all. */
+  /** Inputs of the decision: queue length, free slots, all slots. */
   readonly waiting: number;
   readonly free: number;
   readonly slots: number;
 }
 
-/** A duty was taken, lost or carried out. */
+/** The leader lease of a singleton task was acquired, lost or used. */
 export interface LeadershipChanged {
   readonly event: 'duty-changed';
+  /** The singleton task. */
   readonly duty: string;
   readonly change: string;
+  /** Of the lease; rises with each holder. */
   readonly epoch: number;
   readonly detail?: string;
 }
 
-/** An order was given to a replica. */
+/** A load command was sent to a replica. */
 export interface LoadCommandSent {
   readonly event: 'order-given';
   readonly replica: string;
@@ -195,21 +214,22 @@
   readonly tookMs: number;
 }
 
-/** It was decided what is reported of a window of usage. */
+/** The counts that are reported of a usage window were decided. */
 export interface UsageDecided {
   readonly event: 'usage-decided';
   readonly window: number;
   readonly requests: number;
   readonly tenants: number;
-  /** Nodes that might have had something to add, and the names of a few of them. */
+  /** Nodes whose counts are missing, and the names of a few of them. */
   readonly missingNodes: number;
   readonly missing: string;
+  /** Node that decided. */
   readonly decidedBy: string;
   /** Time since the end of the window. */
   readonly sinceEndMs: number;
 }
 
-/** A report of usage was sent. */
+/** A usage report was sent. */
 export interface UsageReported {
   readonly event: 'usage-reported';
   readonly window: number;
@@ -219,7 +239,7 @@
   readonly tookMs: number;
 }
 
-/** The process serves. */
+/** The process accepts requests. */
 export interface ProcessStarted {
   readonly event: 'process-started';
   /** Addresses, `IP:PORT`. */
@@ -229,16 +249,17 @@
   readonly detail: string;
 }
 
-/** The process stopped, reloaded, or lost or regained a dependency. */
+/** The process stops, has reloaded its settings, or lost or regained a dependency. */
 export interface ProcessChanged {
   readonly event: 'process-changed';
   readonly change: string;
   readonly detail?: string;
 }
 
-/** Lines that were left out because their kind was over its budget. */
+/** Lines that were not written, because their event exceeded its rate limit. */
 export interface LinesLeftOut {
   readonly event: 'lines-left-out';
+  /** The event. */
   readonly kind: string;
   readonly count: number;
 }
--- a/src/common/elapsed-time.ts
+++ b/src/common/elapsed-time.ts
@@ -1,14 +1,14 @@
 /**
- * Time that has passed while the machine may have been suspended. The monotonic clock stands still then; the time of day goes
- * on, but it may be set at any moment, forward or back. A right that ends with time takes the longer of the two, and none at
- * all once they disagree in a way that only a clock set back explains: a step of the clock costs a proof, never a right that is
- * kept too long.
+ * Elapsed time on a machine that may have been suspended. The monotonic clock stops during a suspension; the
+ * time of day goes on, but may be set forward or back. A lease takes the longer of the two, and counts as
+ * expired when they disagree in a way that only a time of day set back explains: a clock step costs a lease,
+ * but never extends one.
  */
 import { monotonicMs } from './clock.js';
 
 /** Clocks of a machine, milliseconds. */
 export interface TimeSources {
-  /** Stands still while the machine is suspended. */
+  /** Stops while the machine is suspended. */
   readonly monotonicMs: () => number;
   /** May be set forward or back. */
   readonly timeOfDayMs: () => number;
@@ -17,10 +17,10 @@
 /** The clocks of this machine. */
 export const SYSTEM_TIME: TimeSources = { monotonicMs, timeOfDayMs: Date.now };
 
-/** Disagreement that a slewed time of day and its whole milliseconds account for, milliseconds. */
+/** Disagreement due to a slewed time of day and its resolution, milliseconds. Chosen, not measured. */
 const TOLERANCE_MS = 50;
 
-/** Starts to measure; the function returned tells the time since, milliseconds, infinite when it is in doubt. */
+/** Returns a function for the milliseconds since now; infinite when the clocks contradict each other. */
 export function startElapsed(sources: TimeSources = SYSTEM_TIME): () => number {
   const startedMs = sources.monotonicMs();
   const startedAtMs = sources.timeOfDayMs();
--- a/src/common/identifier.ts
+++ b/src/common/identifier.ts
@@ -7,12 +7,13 @@
 
 const SEPARATOR = '~';
 
+/** One system call for so many random bytes: 256 identifiers of 16 characters. */
 const RANDOM_POOL_BYTES = 4_096;
 const BYTE_VALUES = 256;
 const randomPool = Buffer.alloc(RANDOM_POOL_BYTES);
 let randomPoolUsed = RANDOM_POOL_BYTES;
 
-/** A random fraction from a pool: asking the system for each character costs more than the rest of a request ID. */
+/** A random fraction from a pool: a system call for each character costs more than the rest of an ID. */
 function pooledFraction(): number {
   if (randomPoolUsed >= RANDOM_POOL_BYTES) {
     randomFillSync(randomPool);
@@ -42,7 +43,7 @@
   readonly issuedAtMs: number;
 }
 
-/** The parts of a request ID, or `undefined` when the text is not one. */
+/** The parts of a request ID, or `undefined` when the text, which comes from a caller, is not one. */
 export function parseRequestId(text: string): RequestIdParts | undefined {
   const at = text.lastIndexOf(SEPARATOR);
   if (at <= 0) return undefined;
--- a/src/common/lifecycle.ts
+++ b/src/common/lifecycle.ts
@@ -1,13 +1,14 @@
 /**
- * The lifecycle of a long-lived thing (node, peer, back end, lease, swap), declared with robot3 inside the
- * task that owns it. The task awaits, then sends an event. An event that the current state does not take
- * is a defect: it is counted, and the state stays. Each change of state writes one log line.
+ * The lifecycle of a long-lived thing (node, peer, back end, lease, swap): a robot3 state machine inside the
+ * task that owns it. The task awaits, then sends an event. An event that the current state does not accept is
+ * a defect: it is counted, and the state stays. Each change of state writes one log line.
  */
 import { createMachine, interpret, type Machine, state, transition } from 'robot3';
 import type { Logger } from './logging.js';
 import type { Metrics } from './metrics.js';
+import type { NodeMetrics } from './node-metrics.js';
 
-/** For each state, the events it takes and the state that each one leads to. */
+/** For each state, the events it accepts and the state that each one leads to. */
 export type LifecycleTable<State extends string, Event extends string> = Readonly<
   Record<State, Readonly<Partial<Record<Event, State>>>>
 >;
@@ -25,24 +26,19 @@
   return createMachine(initial as never, states as never) as unknown as Machine;
 }
 
-/** A counter with labels. */
-interface LabelledCounter {
-  inc(labels: Record<string, string>): void;
-}
-
-/** What the parts of a node report to. */
+/** Logs and metrics of the parts of a node. */
 export interface LifecycleObserver {
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** What a lifecycle reports to. */
+/** The part of them that a lifecycle needs. */
 export interface LifecycleSink {
   readonly logger: Pick<Logger, 'info'>;
-  readonly metrics: { readonly lifecycleDefects: LabelledCounter; readonly transitions: LabelledCounter };
+  readonly metrics: Pick<NodeMetrics, 'lifecycleDefects' | 'transitions'>;
 }
 
-/** One running lifecycle. `kind` names the sort of thing, `subject` the single thing. */
+/** One running lifecycle. `kind` names the class of things, `subject` the single thing. */
 export class Lifecycle<State extends string, Event extends string> {
   private readonly service;
 
@@ -56,12 +52,12 @@
     this.service = interpret(buildMachine(initial, table), () => {});
   }
 
-  /** The state it is in now. */
+  /** The current state. */
   get current(): State {
     return this.service.machine.current as State;
   }
 
-  /** Takes an event. Returns false, and counts a defect, when the current state does not take it. */
+  /** Applies an event. Returns false, and counts a defect, when the current state does not accept it. */
   send(event: Event, reason = ''): boolean {
     const before = this.current;
     if (this.table[before][event] === undefined) {
@@ -73,7 +69,7 @@
     return true;
   }
 
-  /** Sends an event only when the current state takes it: for signals that may come in any state. */
+  /** Applies an event only when the current state accepts it: for signals that may come in any state. */
   sendIfTaken(event: Event, reason = ''): boolean {
     return this.table[this.current][event] === undefined ? false : this.send(event, reason);
   }
--- a/src/common/logging.ts
+++ b/src/common/logging.ts
@@ -1,6 +1,6 @@
 /**
- * Structured logs: roarr JSON lines on standard error, for changes of state only. What happens for each
- * request is counted (see `metrics.ts`), not logged.
+ * Structured logs of nodes of the product's own interface: roarr JSON lines on standard error, for changes of
+ * state only. Requests are counted (`metrics.ts`), not logged.
  */
 import './roarr-environment.js';
 import { ROARR, Roarr } from 'roarr';
@@ -20,7 +20,7 @@
 export interface Logger {
   /** A change of state in normal operation. */
   info(message: string, fields?: LogFields): void;
-  /** A change of state that an operator should look at. */
+  /** A change of state that needs an operator's attention. */
   warn(message: string, fields?: LogFields): void;
 }
 
--- a/src/common/metric-set.ts
+++ b/src/common/metric-set.ts
@@ -10,7 +10,7 @@
   protected counter<Label extends string>(
     name: string,
     help: string,
-    labelNames: readonly Label[],
+    labelNames: readonly Label[] = [],
   ): Counter<Label> {
     return new Counter({ name, help, labelNames: [...labelNames], registers: [this.registry] });
   }
@@ -27,7 +27,7 @@
   protected histogram<Label extends string>(
     name: string,
     help: string,
-    labelNames: readonly Label[],
+    labelNames: readonly Label[] = [],
   ): Histogram<Label> {
     const buckets = [...this.latencyBucketsSeconds];
     return new Histogram({ name, help, labelNames: [...labelNames], buckets, registers: [this.registry] });
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -2,6 +2,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
+/** Steps of a fraction: the largest 31-bit integer. */
 const RESOLUTION = 0x7fffffff;
 
 /** A seeded generator of uniform numbers. */
--- a/src/common/roarr-environment.ts
+++ b/src/common/roarr-environment.ts
@@ -1,2 +1,2 @@
-/** roarr reads this variable when it is loaded; without it all lines are dropped. Must be imported before roarr. */
+/** roarr reads this variable when it is loaded, and drops all lines without it: import before roarr. */
 process.env.ROARR_LOG ??= 'true';
--- a/src/common/statistics.ts
+++ b/src/common/statistics.ts
@@ -1,6 +1,6 @@
-/** Figures of lists of numbers. */
+/** Statistics of lists of numbers. */
 
-/** The middle of the sorted numbers, the mean of the middle two when their count is even; NaN without any. */
+/** The median; NaN of an empty list. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   const middle = Math.floor(sorted.length / 2);
--- a/src/common/token-bucket.ts
+++ b/src/common/token-bucket.ts
@@ -1,9 +1,9 @@
-/** A token bucket: a rate with a bounded burst. */
+/** A token bucket: a rate limit with a bounded burst, on the monotonic clock. */
 import { monotonicMs } from './clock.js';
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Hands out tokens at `ratePerSecond`, at most `burst` at once. */
+/** Grants `ratePerSecond` tokens in the long run, at most `burst` at once. */
 export class TokenBucket {
   private tokens: number;
   private updatedAtMs = monotonicMs();
@@ -15,7 +15,7 @@
     this.tokens = burst;
   }
 
-  /** Takes a token when there is one; otherwise returns the wait until the next one, milliseconds. */
+  /** Takes a token and returns 0, or returns the wait until the next one, milliseconds. */
   take(): number {
     this.refill();
     if (this.tokens >= 1) {
--- a/src/protocol/protocol-error.ts
+++ b/src/protocol/protocol-error.ts
@@ -1,11 +1,11 @@
-/** Failures of the protocol layer: what an exchange in a known wire format came to. */
+/** Failures of the protocol layer: exchanges in a known wire format that did not succeed. */
 import type { TransportError } from '../transport/transport-error.js';
 
 /** How an exchange failed. */
 export type ProtocolFailure =
   /** The other side could not be reached or did not answer. */
   | 'unavailable'
-  /** The other side said that it has reached its rate limit; nothing was done. */
+  /** The other side's rate limit is reached; nothing was done. */
   | 'rate-limited'
   /** A condition of the request did not hold; nothing was done. */
   | 'conflict'
@@ -13,13 +13,10 @@
   | 'refused'
   /** The answer did not follow the wire format. */
   | 'malformed'
-  /** This side gave the exchange up. */
+  /** This side cancelled the exchange. */
   | 'cancelled';
 
-/**
- * A failed exchange. `effect` says whether the other side may have carried the request out: `none` only
- * when that is certain.
- */
+/** A failed exchange. `effect` is `none` only when it is certain that the other side did nothing. */
 export class ProtocolError extends Error {
   override readonly name = 'ProtocolError';
 
@@ -27,7 +24,7 @@
     readonly failure: ProtocolFailure,
     readonly effect: 'none' | 'unknown',
     message: string,
-    /** When the other side asked to be tried again, milliseconds. */
+    /** Retry-After of the other side, milliseconds. */
     readonly retryAfterMs?: number,
     /** The body of a refusal, when there was one. */
     readonly detail?: unknown,
--- a/src/protocol/validation.ts
+++ b/src/protocol/validation.ts
@@ -1,4 +1,4 @@
-/** Checking of untrusted JSON against TypeBox schemas, with the path of every bad field. */
+/** Checks untrusted JSON against TypeBox schemas and names every bad field. Never throws. */
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
 import { Compile } from 'typebox/compile';
@@ -33,6 +33,7 @@
   readonly params: Record<string, unknown>;
 }
 
+/** Keywords that only summarize errors of their parts. */
 const COMPOSITE_KEYWORDS = new Set(['anyOf', 'oneOf', 'not', 'if']);
 
 function dotted(instancePath: string): string {
@@ -51,24 +52,26 @@
   return allowed === undefined ? error.message : `must be one of ${JSON.stringify(allowed)}`;
 }
 
+/** Paths that an error of the schema is about. */
+function fieldsOf(error: SchemaError): string[] {
+  const base = dotted(error.instancePath);
+  const names = namedFields(error);
+  if (names.length === 0) return [base || '(body)'];
+  return names.map((name) => (base ? `${base}.${name}` : name));
+}
+
+/** One problem for each field: an alternative adds its message, a composite keyword says nothing new. */
 function collectProblems(errors: readonly SchemaError[]): FieldProblem[] {
-  const problems = new Map<string, FieldProblem>();
-  for (const error of errors) {
-    const base = dotted(error.instancePath);
-    const names = namedFields(error);
-    const fields =
-      names.length > 0 ? names.map((name) => (base ? `${base}.${name}` : name)) : [base || '(body)'];
-    for (const field of fields) {
-      if (COMPOSITE_KEYWORDS.has(error.keyword) && problems.has(field)) continue;
-      const known = problems.get(field);
+  const messages = new Map<string, string>();
+  for (const error of errors)
+    for (const field of fieldsOf(error)) {
+      const known = messages.get(field);
       const message = describe(error);
-      if (known === undefined) problems.set(field, { field, message });
-      else if (!known.message.includes(message)) {
-        problems.set(field, { field, message: `${known.message}, or ${message}` });
-      }
+      if (known === undefined) messages.set(field, message);
+      else if (!COMPOSITE_KEYWORDS.has(error.keyword) && !known.includes(message))
+        messages.set(field, `${known}, or ${message}`);
     }
-  }
-  return [...problems.values()];
+  return [...messages].map(([field, message]) => ({ field, message }));
 }
 
 /** One line for a list of problems. */
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,4 +1,11 @@
-/** Pooled HTTP client (undici). It never retries: whether a repeat is safe is decided by the layers above. */
+/**
+ * Pooled HTTP client on undici. Never retries and never rejects: each failure is a `TransportError` that
+ * tells whether the request may have reached the other side, and the layers above decide whether a repeat is
+ * safe.
+ *
+ * Owns its connections. Corrects two behaviours of undici: a reset counts as a failure, not as the end of an
+ * answer without a length; an aborted exchange does not open another connection.
+ */
 import type { Socket } from 'node:net';
 import type { Readable } from 'node:stream';
 import { err, ok, type Result } from 'neverthrow';
@@ -25,16 +32,16 @@
    * side at the moment of writing, which would leave open whether the request ran. Default false.
    */
   readonly freshConnection?: boolean;
-  /** Longest time for the whole exchange, milliseconds; only `exchange` heeds it. Default: none. */
+  /** Longest time for the whole exchange, milliseconds; `send` ignores it. Default: none. */
   readonly totalTimeoutMs?: number;
   /**
-   * A header that tells which request a response answers. A response with another value breaks the exchange and its
-   * connection, since the right response may still come on it. Default: none.
+   * A header that identifies the request which a response answers. A response with another value fails the
+   * exchange and closes its connection, since the right response may still follow on it. Default: none.
    */
   readonly echoedHeader?: EchoedHeader;
 }
 
-/** A header (in lower case) that the other side sends back as it came. */
+/** A header (in lower case) that the other side copies into its response. */
 export interface EchoedHeader {
   readonly name: string;
   readonly value: string;
@@ -47,7 +54,7 @@
   readonly body: Readable;
 }
 
-/** A response read whole. */
+/** A response with its whole body. */
 export interface BufferedResponse {
   readonly status: number;
   readonly headers: Record<string, string | string[] | undefined>;
@@ -56,16 +63,17 @@
 
 /** How a client connects. */
 export interface HttpClientOptions {
-  /** Connections to each other side at most; further requests queue. Default 256. */
+  /** Most connections to each origin; further requests queue. Default 256. */
   readonly connectionsPerOrigin?: number;
-  /** IP address that connections come from. Default: chosen by the system. */
+  /** Local IP address of connections. Default: chosen by the system. */
   readonly localAddress?: string;
   /** Longest time to open a connection, milliseconds. Default 2,000. */
   readonly connectTimeoutMs?: number;
-  /** How long an idle connection is kept unless the other side says otherwise, milliseconds. Default 4,000. */
+  /** Lifetime of an idle connection unless the other side names another, milliseconds. Default 4,000. */
   readonly keepAliveMs?: number;
 }
 
+/** Defaults of the options above. Chosen, not measured: callers that depend on one of them pass their own. */
 const DEFAULT_CONNECTIONS_PER_ORIGIN = 256;
 const DEFAULT_HEAD_TIMEOUT_MS = 30_000;
 const DEFAULT_IDLE_TIMEOUT_MS = 60_000;
@@ -73,7 +81,7 @@
 const KEEP_ALIVE_MS = 4_000;
 const DEFAULT_BODY_LIMIT_BYTES = 32 * 1024 * 1024;
 
-/** Reads a stream whole, at most `limitBytes`. Fails when it ends before its declared end. */
+/** Buffers a stream of at most `limitBytes`. Fails when it ends before its declared end. */
 export async function readFully(body: Readable, limitBytes: number): Promise<Result<Buffer, TransportError>> {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -93,9 +101,9 @@
 }
 
 /** The methods of the base class, which its type leaves out. */
-const passOn = DecoratorHandler.prototype as Dispatcher.DispatchHandler;
+const baseHandler = DecoratorHandler.prototype as Dispatcher.DispatchHandler;
 
-/** Breaks an exchange whose response carries another value of the echoed header; passes all else on. */
+/** Fails an exchange whose response carries another value of the echoed header. */
 class EchoCheck extends DecoratorHandler {
   constructor(
     private readonly echoed: EchoedHeader,
@@ -113,11 +121,11 @@
     const value = headers[this.echoed.name];
     if (statusCode >= 200 && value !== undefined && value !== this.echoed.value)
       controller.abort(new TransportError('wrong-answer', true, `the response answers ${String(value)}`));
-    else passOn.onResponseStart?.call(this, controller, statusCode, headers, statusMessage);
+    else baseHandler.onResponseStart?.call(this, controller, statusCode, headers, statusMessage);
   }
 }
 
-/** Options of one dispatch, with what `EchoCheck` needs. */
+/** Options of one dispatch, with the input of `EchoCheck`. */
 type CheckedOptions = Dispatcher.DispatchOptions & { readonly echoedHeader?: EchoedHeader };
 
 /** Adds the echo check to the exchanges that ask for it. */
@@ -126,14 +134,14 @@
   return dispatch(options, echoedHeader ? new EchoCheck(echoedHeader, handler) : handler);
 };
 
-/** Code of a reset connection, and the one that is put in its place. */
+/** Code of a reset connection, and the code that replaces it. */
 const RESET_CODE = 'ECONNRESET';
 const RESET_IS_FAILURE_CODE = 'CONNECTION_RESET';
 
 /**
- * Makes resets of a connection failures. undici takes a reset for the end of an answer that has no length, so the error gets
- * a code that undici knows no exception for. When the last bytes and the reset arrive together, the runtime reports an
- * orderly end instead; but a connection that was reset has no peer any more.
+ * Makes every reset of a connection a failure. undici treats `ECONNRESET` as the end of an answer that has no
+ * length, so the error gets a code without that exception. When the last bytes and the reset arrive together,
+ * Node reports an orderly end; a reset connection is then recognized by its missing peer address.
  */
 function failOnReset(socket: Socket): void {
   socket.prependListener('error', (error: NodeJS.ErrnoException) => {
@@ -147,30 +155,31 @@
   };
 }
 
-/** Code that undici gives to errors of its own doing, and the one that is put in its place when an exchange is aborted. */
-const OWN_DOING_CODE = 'UND_ERR_INFO';
+/** Code of errors that undici raises itself, and the code that replaces it when an exchange is aborted. */
+const INTERNAL_CODE = 'UND_ERR_INFO';
 const ABORTED_CODE = 'EXCHANGE_ABORTED';
 
 /**
- * An aborted exchange ends its connection. undici then keeps the request in its queue until it has connected again, for
- * nothing; with an error code that it doesn't take for its own it drops the request first.
+ * Keeps undici from connecting again for an aborted exchange. It does so when the socket ends with an
+ * internal error, since the request is still in its queue; with any other error code it drops the request
+ * first.
  */
-function openNoneAfterAbort(socket: Socket): void {
+function avoidReconnectAfterAbort(socket: Socket): void {
   const destroy = socket.destroy.bind(socket);
   socket.destroy = (error?: NodeJS.ErrnoException) => {
-    const isAbort = error?.code === OWN_DOING_CODE && error.message === 'aborted';
+    const isAbort = error?.code === INTERNAL_CODE && error.message === 'aborted';
     return destroy(isAbort ? Object.assign(new Error('aborted'), { code: ABORTED_CODE }) : error);
   };
 }
 
-/** Opens connections whose resets are failures, and whose aborted exchanges open no others. */
+/** Opens connections with both corrections. */
 function createConnector(timeoutMs: number, localAddress: string | undefined): buildConnector.connector {
   const connect = buildConnector({ timeout: timeoutMs, ...(localAddress ? { localAddress } : {}) });
   return (options, callback) =>
     connect(options, (...result: buildConnector.CallbackArgs) => {
       if (result[1]) {
         failOnReset(result[1]);
-        openNoneAfterAbort(result[1]);
+        avoidReconnectAfterAbort(result[1]);
       }
       callback(...result);
     });
@@ -182,7 +191,7 @@
   return slash < 0 ? { origin: url, path: '/' } : { origin: url.slice(0, slash), path: url.slice(slash) };
 }
 
-/** A signal that is aborted after `timeoutMs` or together with `signal`; `release` must be called at the end. */
+/** A signal that aborts after `timeoutMs` or with `signal`; `release` must be called at the end. */
 function limitTime(timeoutMs: number, signal?: AbortSignal): { signal: AbortSignal; release: () => void } {
   const controller = new AbortController();
   const abort = () => controller.abort();
@@ -196,7 +205,7 @@
   return { signal: controller.signal, release };
 }
 
-/** One client for a process or node; call `close` when done. */
+/** A client with its connection pool; call `close` when done. */
 export class HttpClient {
   private readonly pooledAgent: Agent;
   private readonly pooled: Dispatcher;
@@ -212,7 +221,7 @@
     this.fresh = new Agent({ ...shared, pipelining: 0 });
   }
 
-  /** Sends a request; resolves at the head of the response. */
+  /** Sends a request; resolves at the head of the response. The caller reads or destroys the body. */
   async send(outgoing: OutgoingRequest): Promise<Result<IncomingResponse, TransportError>> {
     try {
       const dispatcher = outgoing.freshConnection ? this.fresh : this.pooled;
@@ -233,7 +242,7 @@
     }
   }
 
-  /** Sends a request and reads the response whole. */
+  /** Sends a request and buffers the response. */
   async exchange(
     outgoing: OutgoingRequest,
     limitBytes = DEFAULT_BODY_LIMIT_BYTES,
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,31 +1,34 @@
-/** HTTP server (polka) with bounded heads and header timeouts against slow senders. */
+/**
+ * HTTP server on polka, with limits on heads, connections and slow senders; helpers for answers.
+ * A handler that rejects is answered by the server's `failed`; nothing here retries.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import polka from 'polka';
 
-/** Limits towards the other side. Times are in milliseconds. */
+/** Limits on clients. Times are in milliseconds. */
 export interface HttpServerOptions {
   /** Default 16 KiB. */
   readonly maxHeaderBytes?: number;
-  /** Longest time for a head. Default 5,000. */
-  readonly headersTimeoutMs?: number;
   /** Longest time for a whole request. Default 30,000. */
   readonly requestTimeoutMs?: number;
-  /** How long an idle connection is kept. Default 8,000. */
+  /** Lifetime of an idle connection. Default 8,000. */
   readonly keepAliveTimeoutMs?: number;
 }
 
+/** Limits; chosen, not measured. A platform's configuration replaces the timeouts of its nodes. */
 const MAX_HEADER_BYTES = 16 * 1024;
 const HEADERS_TIMEOUT_MS = 5_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 const KEEP_ALIVE_TIMEOUT_MS = 8_000;
+/** How often Node checks the two timeouts of a request, which it overruns by as much. */
 const CONNECTION_CHECK_INTERVAL_MS = 500;
 const MAX_CONNECTIONS = 20_000;
 
-/** Handles one request; it must answer. A rejection is answered by `onFailure`. */
+/** Handles one request; it must answer. A rejection is answered by `ServerFallbacks.failed`. */
 export type Handler = (request: IncomingMessage, response: ServerResponse) => Promise<void>;
 
-/** Answers for what no handler answered. */
+/** Answers requests without a route, and those whose handler failed. */
 export interface ServerFallbacks {
   readonly notFound: Handler;
   readonly failed: (cause: unknown, request: IncomingMessage, response: ServerResponse) => void;
@@ -43,7 +46,7 @@
   ) {
     this.server = createServer({
       maxHeaderSize: options.maxHeaderBytes ?? MAX_HEADER_BYTES,
-      headersTimeout: options.headersTimeoutMs ?? HEADERS_TIMEOUT_MS,
+      headersTimeout: HEADERS_TIMEOUT_MS,
       requestTimeout: options.requestTimeoutMs ?? REQUEST_TIMEOUT_MS,
       keepAliveTimeout: options.keepAliveTimeoutMs ?? KEEP_ALIVE_TIMEOUT_MS,
       connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
@@ -79,7 +82,7 @@
     });
   }
 
-  /** Changes how long an idle connection is kept and how long a head may take, from now on. */
+  /** Changes the lifetime of idle connections and the longest time for a head, from now on. */
   setTimeouts(keepAliveTimeoutMs: number, headersTimeoutMs: number): void {
     this.server.keepAliveTimeout = keepAliveTimeoutMs;
     this.server.headersTimeout = headersTimeoutMs;
@@ -92,7 +95,7 @@
     await closed;
   }
 
-  /** Drops everything at once. */
+  /** Closes all connections at once. */
   destroy(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
@@ -112,7 +115,7 @@
   }
 }
 
-/** Aborts when the caller's connection closes before the answer was finished. */
+/** Aborts when the caller's connection closes before the answer was sent. */
 export function callerGone(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   response.once('close', () => {
@@ -121,7 +124,7 @@
   return controller.signal;
 }
 
-/** Reads a request's body; `undefined` when it is larger than `limitBytes`. Rejects when the caller leaves. */
+/** Buffers a request's body; `undefined` when it exceeds `limitBytes`. Rejects when the caller leaves. */
 export async function readRequestBody(
   request: IncomingMessage,
   limitBytes: number,
@@ -137,8 +140,8 @@
 }
 
 /**
- * Writes the head of an answer that ends with its connection. An answer that came in this form may have been cut on the
- * way; with a length it would look whole.
+ * Writes the head of an answer that ends with its connection. For an answer that was received in this form:
+ * it may have been truncated, and a length would hide that.
  */
 export function writeUnframedHead(
   response: ServerResponse,
--- a/src/transport/listener-probe.ts
+++ b/src/transport/listener-probe.ts
@@ -1,10 +1,10 @@
-/** Asks whether anything listens at an address, by opening a connection and closing it again without a byte. */
+/** Probes whether a process listens at an address, by opening a connection and closing it without a byte. */
 import { connect } from 'node:net';
 
-/** `refused`: the machine answers and nothing listens. `unknown`: no answer in time, or none that tells. */
+/** `refused`: the machine answers and nothing listens. `unknown`: no answer in time, or another error. */
 export type ListenerState = 'listening' | 'refused' | 'unknown';
 
-/** Looks at `address` (`IP:PORT`) for at most `timeoutMs` milliseconds. Never rejects. */
+/** Probes `address` (`IP:PORT`) for at most `timeoutMs` milliseconds. Never rejects. */
 export function probeListener(address: string, timeoutMs: number): Promise<ListenerState> {
   const colon = address.lastIndexOf(':');
   return new Promise((resolve) => {
--- a/src/transport/transport-error.ts
+++ b/src/transport/transport-error.ts
@@ -1,4 +1,4 @@
-/** Failures of the transport layer. */
+/** Failures of the transport layer: what failed, and whether the request may have reached the other side. */
 
 /** How an exchange failed. */
 export type TransportFailure =
@@ -26,6 +26,7 @@
   }
 }
 
+/** Codes raised before a connection exists: no byte of the request was sent. */
 const CONNECT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
--- a/test/support/system.ts
+++ b/test/support/system.ts
@@ -3,6 +3,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { stringify } from 'yaml';
+import { TrainerClient } from '../../emulator/clients/trainer-client.js';
 import { EMULATOR_TOKENS, emulatorSettings } from '../../emulator/cluster.js';
 import {
   EMULATOR_APPLICATION,
@@ -14,7 +15,6 @@
 import { uniqueId } from '../../src/common/identifier.js';
 import type { Settings } from '../../src/node/resource/settings.js';
 import { OperatorClient } from '../../src/protocol/resource/operator-client.js';
-import { TrainerClient } from '../../src/protocol/resource/trainer-client.js';
 import { HttpClient } from '../../src/transport/http-client.js';
 import { FaultProxy } from './fault-proxy.js';
 import { killProcess, type ReadyProcess, startEmulator, startNode } from './processes.js';
