--- a/src/coordination/service/generation/attempt-watch.ts
+++ b/src/coordination/service/generation/attempt-watch.ts
@@ -15,7 +15,7 @@
 export type WatchBreak = Extract<GenerationOutcome, { kind: 'broken' | 'moved' }>;
 
 /** Pace of the last events, from their times on the monotonic clock, oldest first; `undefined` while they are too few. */
-export function paceOf(eventTimes: readonly number[], nowMs: number): AttemptPace | undefined {
+function paceOf(eventTimes: readonly number[], nowMs: number): AttemptPace | undefined {
   const [first] = eventTimes;
   if (first === undefined || eventTimes.length < PACE_EVENTS) return undefined;
   return { eventMs: (nowMs - first) / eventTimes.length };
--- a/src/coordination/service/generation/sample-scorer.ts
+++ b/src/coordination/service/generation/sample-scorer.ts
@@ -39,7 +39,7 @@
 const FIRST_FAILURE_STATUS = 300;
 
 /** What one attempt means: `retry` without a failure that counts, as after a rejection or a response without a score. */
-export function judgeScoring(outcome: RelayOutcome): { kind: 'scored'; score: string } | 'failed' | 'retry' {
+function judgeScoring(outcome: RelayOutcome): { kind: 'scored'; score: string } | 'failed' | 'retry' {
   if (outcome.kind !== 'answered') return 'retry';
   const { status, isFramed, signature } = outcome.answer;
   if (status >= FIRST_FAILURE_STATUS) return 'failed';
--- a/src/state/service/admission/index.ts
+++ b/src/state/service/admission/index.ts
@@ -1,6 +1,5 @@
 export {
   type AdmissionDecision,
-  type AdmissionInput,
   admit,
   isDeadlineUnreachable,
   mayHedge,
@@ -12,5 +11,5 @@
 export { FlowUsage } from './flow-usage.js';
 export { mayRequeue } from './requeue.js';
 export { RetryBudget } from './retry-budget.js';
-export { type ReplicaUse, type RunningRequest, slotWaitMs } from './slot-wait.js';
+export { type RunningRequest, slotWaitMs } from './slot-wait.js';
 export { type Waiting, type WaitingBounds, WaitingList } from './waiting-list.js';
