--- a/src/coordination/service/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -1,7 +1,4 @@
-/**
- * A request on its way to some replica of a service, and its result: the terms of the queue and of remote
- * dispatch.
- */
+/** A request for some replica of a service, and its result, in the queue and in remote dispatch. */
 import type { ReplicaRequest } from '../../../protocol/service/replica.js';
 import type { AttemptOutcome } from './replica-exchange.js';
 
@@ -20,12 +17,9 @@
   /** Latency target, and deadline: when the answer is wanted, and when it is of no more use. */
   readonly targetAtMs: number;
   readonly deadlineMs: number;
-  /**
-   * Whether another attempt of it runs: it takes a free slot and is charged to the retry budget, or is
-   * declined.
-   */
+  /** Whether another attempt of it runs: it takes a free slot and retry budget, or is declined. */
   readonly isHedge: boolean;
-  /** Whether an earlier attempt reached a replica: it is charged to the retry budget. */
+  /** Whether an earlier attempt reached a replica: it takes retry budget. */
   readonly isRetry: boolean;
   /** Ids of replicas that it was sent to before; used only when there are no others. */
   readonly excluded: ReadonlySet<string>;
--- a/src/coordination/service/dispatch/dispatcher-candidates.ts
+++ b/src/coordination/service/dispatch/dispatcher-candidates.ts
@@ -15,9 +15,7 @@
 } from '../../../state/service/replicas/index.js';
 import type { ServiceCapacity } from './dispatch-call.js';
 
-/**
- * Age up to which a reported capacity counts, milliseconds. Chosen, not measured: many times a service time.
- */
+/** Age up to which a reported capacity counts, milliseconds. Chosen, not measured. */
 const MAX_CAPACITY_AGE_MS = 1_000;
 
 /** What the candidates depend on. */
--- a/src/coordination/service/dispatch/dispatcher-client.ts
+++ b/src/coordination/service/dispatch/dispatcher-client.ts
@@ -1,7 +1,4 @@
-/**
- * Calls dispatchers at other nodes, one call a request, and notes their acknowledgements. Never repeats a
- * call.
- */
+/** Calls dispatchers at other nodes and notes their acknowledgements. Never repeats a call. */
 import { monotonicMs } from '../../../common/clock.js';
 import type {
   DispatchMessage,
@@ -14,10 +11,7 @@
 import { toMessage } from './dispatch-messages.js';
 import { ACKNOWLEDGE_TIMEOUT_MS, type DispatcherHealth } from './dispatcher-health.js';
 
-/**
- * Time without an acknowledgement after which a repeatable request is sent elsewhere, milliseconds. Chosen,
- * not measured: a late acknowledgement costs the request a second run.
- */
+/** Unacknowledged time after which a repeatable request ends here, milliseconds. Chosen, not measured. */
 const REPEAT_AFTER_MS = 2.5 * ACKNOWLEDGE_TIMEOUT_MS;
 /** Time for the dispatcher's answer beyond the request's deadline, milliseconds. Chosen, not measured. */
 const ANSWER_MARGIN_MS = 250;
--- a/src/coordination/service/dispatch/queue-checks.ts
+++ b/src/coordination/service/dispatch/queue-checks.ts
@@ -1,9 +1,6 @@
 /** When a queue assigns its requests: after a change, and at a fixed period while requests are queued. */
 
-/**
- * Period of the check without a change, milliseconds: the end of a back-off or of slow start is no event.
- * Chosen, not measured: below the service time of most requests.
- */
+/** Period of the check, milliseconds: the end of a back-off is no event. Chosen, not measured. */
 export const RECHECK_MS = 20;
 
 export class QueueChecks {
--- a/src/coordination/service/dispatch/remote-dispatch.ts
+++ b/src/coordination/service/dispatch/remote-dispatch.ts
@@ -94,10 +94,7 @@
     return rejected;
   }
 
-  /**
-   * The result of a call at a dispatcher; `undefined` when it has certainly not run and is to be sent
-   * elsewhere.
-   */
+  /** The result at a dispatcher; `undefined` when it has not run there and is to be sent elsewhere. */
   private async dispatchAt(
     dispatcher: FleetMember,
     call: DispatchCall,
@@ -119,10 +116,7 @@
     return { outcome: { kind: 'unknown', reason }, hasCrashedReplica: false, via: dispatcher.name };
   }
 
-  /**
-   * The result in an outcome; `undefined` when another node is to be asked, since the dispatcher cannot serve
-   * it.
-   */
+  /** The result in an outcome; `undefined` when the dispatcher cannot serve it and another node may. */
   private resultOf(
     outcome: Framed<DispatchOutcomeMessage>,
     { name }: FleetMember,
--- a/src/coordination/service/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -64,10 +64,7 @@
   return undefined;
 }
 
-/**
- * The decline of an answer that says that the request was not run; `undefined` where it says nothing of the
- * kind.
- */
+/** The decline in an answer which states that the request was not run; `undefined` in any other. */
 function declineOf({ isNotExecuted, isForRequest, status }: ReplicaAnswer): AttemptOutcome | undefined {
   if (!isNotExecuted) return undefined;
   const isMisdirected = status === MISDIRECTED_STATUS;
--- a/src/coordination/service/dispatch/service-queue.ts
+++ b/src/coordination/service/dispatch/service-queue.ts
@@ -39,10 +39,7 @@
  * caller's node learns of it before its own timer ends the request as one that may have run.
  */
 const EXPIRY_MARGIN_MS = 2 * RECHECK_MS;
-/**
- * Requests that may wait for a fast replica while a slow one has a free slot, in one pass. Chosen, not
- * measured: bounds the cost of a pass.
- */
+/** Requests that one pass may leave waiting for a fast replica. Chosen, not measured: bounds its cost. */
 const MAX_SKIPPED = 200;
 
 /** What the queues of a node depend on. */
--- a/src/coordination/service/dispatch/service-queues.ts
+++ b/src/coordination/service/dispatch/service-queues.ts
@@ -1,7 +1,4 @@
-/**
- * The queues of the services that this node dispatches for. A queue is created with the first request of its
- * service and kept until the process ends.
- */
+/** The queues of this node by service, created with the first request and kept until the process ends. */
 import type { DispatchCall, DispatchResult } from './dispatch-call.js';
 import { ServiceQueue, type ServiceQueueServices } from './service-queue.js';
 
--- a/src/coordination/service/dispatch/service-replicas.ts
+++ b/src/coordination/service/dispatch/service-replicas.ts
@@ -34,9 +34,7 @@
     return capacityOf(this.available(), this.policy);
   }
 
-  /**
-   * Work that the replicas finish in a millisecond while all slots are taken, in milliseconds of usual time.
-   */
+  /** Work that the replicas finish in a millisecond with all slots taken, milliseconds. */
   get drainPerMs(): number {
     return drainRate(this.available(), this.policy);
   }
--- a/src/node/service/dispatch-parts.ts
+++ b/src/node/service/dispatch-parts.ts
@@ -1,7 +1,4 @@
-/**
- * Composition of dispatch at one node: its queues, remote dispatch, and the fleet that dispatchers are
- * selected from.
- */
+/** Composition of dispatch at one node: its queues, remote dispatch, and the fleet. */
 import type { DecisionLogger } from '../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import {
@@ -27,10 +24,7 @@
 /** Limits of a queue: requests, and bodies as a share of the node's memory. Chosen, not measured. */
 const MAX_QUEUED = 2_000;
 const QUEUED_MEMORY_FRACTION = 0.05;
-/**
- * Load added to a replica in another zone, as a share of its slots: it is used once its own zone is half
- * full. Chosen.
- */
+/** Load added to replicas of other zones: used once the own zone is half full. Chosen, not measured. */
 const OTHER_ZONE_PENALTY = 0.5;
 
 export interface DispatchServices {
@@ -78,10 +72,7 @@
     directory.onChange(() => this.remote.noteChange());
   }
 
-  /**
-   * Queues a call of another node; `undefined` when this node is leaving, or only the other one has the
-   * store.
-   */
+  /** Queues another node's call; `undefined` when this node is leaving, or only that one has the store. */
   forPeer(
     framed: Framed<DispatchMessage>,
     signal: AbortSignal,
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -16,10 +16,7 @@
 
 /** Path of the exchange. */
 export const DISPATCH_PATH = '/dispatch';
-/**
- * Larger bodies are not sent to a dispatcher, bytes. Chosen, not measured: the hop would cost more than it
- * saves.
- */
+/** Larger bodies are not sent to a dispatcher, bytes: bounds the cost of the hop. Chosen. */
 export const MAX_DISPATCHED_BODY_BYTES = 256 * 1024;
 /** Largest message with its body, bytes: above the largest body of a replica's answer. */
 export const MAX_DISPATCH_BYTES = 17 * 1024 * 1024;
--- a/src/protocol/service/replica.ts
+++ b/src/protocol/service/replica.ts
@@ -1,14 +1,9 @@
-/**
- * Replicas of a service and the client to call them. An adapter implements `ReplicaClient` for a wire format.
- */
+/** Replicas of a service and their client; an adapter implements `ReplicaClient` for a wire format. */
 import type { Readable } from 'node:stream';
 import type { Result } from 'neverthrow';
 import type { TransportError } from '../../transport/transport-error.js';
 
-/**
- * A replica as it announces itself. A restarted one may keep its `id`; `startedAtMs` identifies the
- * incarnation.
- */
+/** A replica as announced. A restarted one may keep its `id`; `startedAtMs` tells incarnations apart. */
 export interface Replica {
   readonly id: string;
   /** Start by its own time of day, milliseconds since 1970; `undefined` where it is not announced. */
--- a/src/state/service/admission/admission.ts
+++ b/src/state/service/admission/admission.ts
@@ -56,23 +56,13 @@
 
 /** Least Retry-After, milliseconds. Chosen, not measured: sooner than that little work has drained. */
 const MIN_RETRY_AFTER_MS = 50;
-/**
- * Largest Retry-After as a share of the remaining time. Chosen, not measured: leaves time for the retry
- * itself.
- */
+/** Largest Retry-After as a share of the remaining time. Chosen, not measured: leaves time to run. */
 const MAX_RETRY_AFTER_FRACTION = 1 / 3;
-/**
- * Retry-After is lengthened by up to this share of itself at random. Chosen, not measured: spreads retries.
- */
+/** Retry-After is lengthened at random by up to this share, to spread retries. Chosen, not measured. */
 const RETRY_AFTER_JITTER = 0.5;
-/**
- * Share of the expected service time below which the remaining time of a queued request is too short. Chosen.
- */
+/** Least remaining time of a queued request, as a share of its service time. Chosen, not measured. */
 const MIN_SERVICE_FRACTION = 0.5;
-/**
- * Share of slots that must be free for a hedge. Chosen, not measured: hedges must not take first attempts'
- * slots.
- */
+/** Free share of slots below which no hedge is sent: first attempts go first. Chosen, not measured. */
 const MIN_FREE_SLOT_FRACTION_FOR_HEDGE = 0.1;
 
 const TEXTS: Readonly<Record<RejectionReason, string>> = {
--- a/src/state/service/admission/flow-usage.ts
+++ b/src/state/service/admission/flow-usage.ts
@@ -5,10 +5,7 @@
  * Owns the usage at one node, in memory; lost with the process, after which all flows start equal.
  */
 
-/**
- * Half-life of a use, milliseconds. Chosen, not measured: of the order of the time that callers wait in a
- * queue.
- */
+/** Half-life of a use, milliseconds. Chosen, not measured: about as long as callers wait in a queue. */
 const HALF_LIFE_MS = 1_000;
 /** Flows that are kept. Chosen, not measured: more than the tenants of a large configuration. */
 const MAX_FLOWS = 100_000;
@@ -31,10 +28,10 @@
     return this.usages.size;
   }
 
-  /** Decayed use of a flow, milliseconds of replica time, divided by its `weight`. */
-  of(flow: string, nowMs: number, weight = 1): number {
+  /** Decayed use of a flow, milliseconds of replica time. */
+  of(flow: string, nowMs: number): number {
     const usage = this.usages.get(flow);
-    return usage ? decayed(usage, nowMs) / weight : 0;
+    return usage ? decayed(usage, nowMs) : 0;
   }
 
   /** Adds a use; a negative one corrects an estimate that was too long. */
--- a/src/state/service/admission/retry-budget.ts
+++ b/src/state/service/admission/retry-budget.ts
@@ -3,10 +3,7 @@
  * that slow replicas do not double their own load. Lost with the process; a new one starts half full.
  */
 
-/**
- * Retries and hedges for each first attempt. Chosen, not measured: covers a few slow replicas, not a slow
- * service.
- */
+/** Retries and hedges for each first attempt. Chosen, not measured: not enough for a slow service. */
 const RETRIES_PER_REQUEST = 0.2;
 /** Largest budget, requests. Chosen, not measured: what a few replicas that fail together have in flight. */
 const MAX_SAVED = 20;
--- a/src/state/service/admission/waiting-list.ts
+++ b/src/state/service/admission/waiting-list.ts
@@ -34,10 +34,7 @@
   readonly bytes: number;
 }
 
-/**
- * Every 25th slot goes to the longest waiting request of another priority than the first in order: that one
- * keeps 96 of 100 slots, above the aim of 95.
- */
+/** Every 25th slot goes to another priority: the first one keeps 96 in 100, above the aim of 95. */
 const OTHER_PRIORITY_TURN = 25;
 /** Every 4th slot goes to the longest waiting background work of the priority. Chosen, not measured. */
 const BACKGROUND_TURN = 4;
@@ -60,10 +57,7 @@
     return this.waiting.values();
   }
 
-  /**
-   * Adds a request. Returns the one that was dropped where a limit is exceeded: the last in order, perhaps
-   * itself.
-   */
+  /** Adds a request. Beyond a limit, removes and returns the last in order, which may be itself. */
   add(one: W, nowMs: number): W | undefined {
     this.waiting.add(one);
     this.bytes += one.bytes;
--- a/src/state/service/replicas/dispatcher-selection.ts
+++ b/src/state/service/replicas/dispatcher-selection.ts
@@ -20,15 +20,9 @@
   readonly capacity: number;
 }
 
-/**
- * Replicas for each dispatcher of a service. Chosen, not measured: some hundreds of requests a second, about
- * as many as one node can schedule.
- */
+/** Replicas for each dispatcher: some hundreds of requests a second. Chosen, not measured. */
 const REPLICAS_PER_DISPATCHER = 32;
-/**
- * Least processor share of a dispatcher, relative to the strongest node: it works for many. Chosen, not
- * measured.
- */
+/** Least processor share of a dispatcher, relative to the strongest node. Chosen, not measured. */
 const MIN_RELATIVE_CAPACITY = 0.5;
 const HASH_RANGE = 2 ** 32;
 
--- a/src/state/service/replicas/latency-estimate.ts
+++ b/src/state/service/replicas/latency-estimate.ts
@@ -4,16 +4,11 @@
  * clock.
  */
 
-/**
- * Half-life of a measurement, milliseconds. Chosen, not measured: a replica that was slow is tried again some
- * seconds later, with one request at a time.
- */
+/** Half-life, milliseconds: a slow replica is tried again some seconds later. Chosen, not measured. */
 const HALF_LIFE_MS = 3_000;
 /** Weight of the newest request. Chosen, not measured: some ten requests make a figure. */
 const WEIGHT = 0.15;
-/**
- * Least ratio of one request: bounds what an answer far below the usual time counts. Chosen, not measured.
- */
+/** Least ratio of one request, which bounds what a very short one counts. Chosen, not measured. */
 const MIN_RATIO = 0.05;
 /** Ratio beyond which a replica is slow, as in the choice of a replica. */
 export const SLOW_RATIO = 2;
@@ -34,10 +29,7 @@
     return Math.exp(this.logRatio * (1 - faded));
   }
 
-  /**
-   * Whether the replica was slow and nothing was measured for a half-life: one request at a time finds it
-   * out.
-   */
+  /** Whether the replica was slow and was not measured for a half-life. */
   isStale(nowMs: number): boolean {
     return this.logRatio > SLOW_LOG_RATIO && nowMs - this.measuredAtMs > HALF_LIFE_MS;
   }
--- a/src/state/service/replicas/replica-choice.ts
+++ b/src/state/service/replicas/replica-choice.ts
@@ -63,9 +63,7 @@
   return slow.timeMs <= waitMs(candidates, fastestMs, input) + fastestMs ? toSend(slow) : { kind: 'wait' };
 }
 
-/**
- * Work that the replicas finish in a millisecond while all slots are taken, in milliseconds of usual time.
- */
+/** Work that the replicas finish in a millisecond with all slots taken, milliseconds. */
 export function drainRate(states: readonly ReplicaState[], input: Pick<ChoiceInput, 'slotsOf'>): number {
   return states.reduce((sum, state) => sum + slotsOf(state, input) / state.latencyRatio, 0);
 }
--- a/src/state/service/replicas/replica-directory.ts
+++ b/src/state/service/replicas/replica-directory.ts
@@ -15,9 +15,7 @@
   private readonly states = new Map<string, ReplicaState>();
   private readonly services = new Map<string, Set<ReplicaState>>();
   private readonly listeners = new Set<() => void>();
-  /**
-   * Replicas without an announcement, by id: the same incarnation may be announced again, with its requests.
-   */
+  /** Replicas whose announcement is gone, by id: the incarnation may be announced again. */
   private readonly absent = new Map<string, ReplicaState>();
   /** Ids of replicas of which it is not known which incarnation runs. */
   private readonly unconfirmed = new Set<string>();
@@ -147,10 +145,7 @@
     this.unconfirmed.delete(state.id);
   }
 
-  /**
-   * The state of a replica that is announced: that of the same incarnation, if it is still kept, or a new
-   * one.
-   */
+  /** The kept state of the announced incarnation, or a new one. */
   private stateFor(replica: Replica): ReplicaState {
     const known = this.absent.get(replica.id);
     this.absent.delete(replica.id);
--- a/src/state/service/replicas/replica-health.ts
+++ b/src/state/service/replicas/replica-health.ts
@@ -16,15 +16,11 @@
 /** First and longest ejection, milliseconds; doubles with each failure. Chosen, not measured. */
 const MIN_EJECTION_MS = 250;
 const MAX_EJECTION_MS = 4_000;
-/**
- * Longest back-off, milliseconds. Chosen, not measured: slots free up sooner than a failed replica recovers.
- */
+/** Longest back-off, milliseconds. Chosen, not measured: slots become free soon. */
 const MAX_BACKOFF_MS = 250;
 /** Requests that may await an answer. Chosen, not measured: what one decline may cost in delayed requests. */
 const MAX_UNANSWERED = 3;
-/**
- * Time without an answer after which a replica is silent, milliseconds: it is no longer waited for. Chosen.
- */
+/** Time without an answer after which a replica is silent, milliseconds. Chosen, not measured. */
 const SILENCE_MS = 100;
 
 export class ReplicaHealth {
@@ -46,7 +42,6 @@
     return nowMs < this.backoffUntilMs;
   }
 
-  /** Whether one more generation request may be sent. */
   admitsMore(nowMs: number): boolean {
     if (this.declines > 0) return !this.isProbed;
     return this.unanswered < MAX_UNANSWERED || !this.isSilent(nowMs);
@@ -56,7 +51,6 @@
     return this.unanswered >= MAX_UNANSWERED && !this.isSilent(nowMs);
   }
 
-  /** Whether it declined the last request that it answered. */
   get hasDeclined(): boolean {
     return this.declines > 0;
   }
@@ -92,9 +86,7 @@
     this.failures += 1;
   }
 
-  /**
-   * It declined a request since it is full; declines of requests sent before it became unhealthy count once.
-   */
+  /** It declined a request since it is full; counts once while it is unhealthy. */
   backOff(durationMs: number, nowMs: number): void {
     this.isProbed = false;
     if (this.isEjected(nowMs) || this.isBackingOff(nowMs)) return;
--- a/src/state/service/replicas/replica-incarnation.ts
+++ b/src/state/service/replicas/replica-incarnation.ts
@@ -6,9 +6,7 @@
 
 export interface ReplicaIncarnation {
   readonly id: string;
-  /**
-   * Start by the replica's own time of day, milliseconds since 1970; `undefined` where it is not announced.
-   */
+  /** Start by the replica's own time of day, milliseconds since 1970, where it is announced. */
   readonly startedAtMs: number | undefined;
 }
 
@@ -17,10 +15,7 @@
   | 'same'
   /** It follows the known one, which has ended. */
   | 'next'
-  /**
-   * It names an earlier start. Either the announcement is late, or the time of day was set back between the
-   * two starts; which of them shows later (`replica-announcements.ts`).
-   */
+  /** An earlier start: a late announcement, or a clock that was set back (`replica-announcements.ts`). */
   | 'earlier'
   /** It names no start, though the known one did. */
   | 'untold';
--- a/src/state/service/replicas/replica-selection.ts
+++ b/src/state/service/replicas/replica-selection.ts
@@ -24,16 +24,10 @@
   readonly cost: ReplicaCost;
 }
 
-/**
- * Cost of a request at a replica for a node of `zone`. `fastestMs` is the lowest `averageMs`, infinite if
- * unknown.
- */
+/** Cost for a node of `zone`; `fastestMs` is the lowest `averageMs`, infinite if unknown. */
 export type ReplicaCost = (state: ReplicaState, zone: string, fastestMs: number) => number;
 
-/**
- * The preferred replica or the one of lowest cost among `states`, which are available; `undefined` when none
- * fits.
- */
+/** The preferred one or that of lowest cost of the available `states`; `undefined` when none fits. */
 export function selectReplica(
   states: readonly ReplicaState[],
   { accepts, preferred, zone, cost }: SelectionCriteria,
--- a/src/state/service/replicas/replica-state.ts
+++ b/src/state/service/replicas/replica-state.ts
@@ -11,10 +11,7 @@
 import { ResponseSilence } from './response-silence.js';
 import { SlowStart } from './slow-start.js';
 
-/**
- * Weights of the newest request, and of the newest event of a generation, in `averageMs`. Chosen, not
- * measured.
- */
+/** Weights of the newest request and of the newest event in `averageMs`. Chosen, not measured. */
 const REQUEST_WEIGHT = 0.2;
 const EVENT_WEIGHT = 0.05;
 
@@ -24,10 +21,7 @@
 export class ReplicaState {
   /** Requests of this node that it has. */
   inFlight = 0;
-  /**
-   * Moving average of the service time, at a model replica of the time between events; milliseconds, 0 if
-   * unknown.
-   */
+  /** Mean service time, at a model replica time between events, milliseconds; 0 if unknown. */
   averageMs = 0;
   private ending: IncarnationEnd | undefined;
   private sentAtMs = 0;
@@ -67,7 +61,6 @@
     return () => this.restartListeners.delete(listener);
   }
 
-  /** Notes the end of this incarnation. */
   noteEnd(ending: IncarnationEnd): void {
     this.ending = ending;
     if (ending !== 'restarted') return;
@@ -75,7 +68,6 @@
     this.restartListeners.clear();
   }
 
-  /** Notes that this incarnation is announced again. */
   noteReturn(): void {
     this.ending = undefined;
   }
@@ -113,10 +105,7 @@
     return this.inFlight + this.reported.others(monotonicMs());
   }
 
-  /**
-   * Service time over the usual one: as measured times its reported pace, or by its silence if that is
-   * longer.
-   */
+  /** Service time over the usual one: measured times the reported pace, or its silence if longer. */
   get latencyRatio(): number {
     const nowMs = monotonicMs();
     const silence = this.inFlight === 0 ? 0 : this.silence.ratio(nowMs);
@@ -143,12 +132,10 @@
     this.slowStart.begin(forMs, monotonicMs());
   }
 
-  /** Notes that a request took `ratio` times its usual time. */
   noteLatencyRatio(ratio: number): void {
     this.latency.note(ratio, monotonicMs());
   }
 
-  /** Notes the load that it reported. */
   noteLoad(load: ReplicaLoad): void {
     this.reported.note(load, this.inFlight, monotonicMs());
   }
@@ -177,7 +164,6 @@
     this.health.noteAnswered(monotonicMs());
   }
 
-  /** Notes that it takes requests: a back-off ends. */
   noteTaken(): void {
     this.health.noteTaken();
   }
--- a/src/state/service/replicas/reported-load.ts
+++ b/src/state/service/replicas/reported-load.ts
@@ -5,10 +5,7 @@
  */
 import type { ReplicaLoad } from '../../../protocol/service/replica.js';
 
-/**
- * Half-life of reported requests, and age up to which a pace counts, milliseconds. Chosen, not measured:
- * several times a usual service time of some tens of milliseconds.
- */
+/** Half-life of reported requests, and largest age of a pace, milliseconds. Chosen, not measured. */
 const MAX_AGE_MS = 250;
 /** The pace of a replica whose work takes its usual time. */
 const USUAL_PACE_PERCENT = 100;
--- a/src/state/service/replicas/response-silence.ts
+++ b/src/state/service/replicas/response-silence.ts
@@ -3,10 +3,7 @@
  * them. Shows a slow or paused replica before a request ends. Times are on the monotonic clock.
  */
 
-/**
- * Ratio up to which silence is no sign. Chosen, not measured: single requests take a few times their usual
- * time without the replica being slow.
- */
+/** Ratio up to which silence is no sign: single requests take that long. Chosen, not measured. */
 const MIN_RATIO = 4;
 
 export class ResponseSilence {
@@ -28,9 +25,7 @@
     this.sinceMs = nowMs;
   }
 
-  /**
-   * Silence over the longest expected time; 0 where that is no sign. Only for a replica that has requests.
-   */
+  /** Silence over the longest expected time, 0 where it is no sign, of a replica that has requests. */
   ratio(nowMs: number): number {
     if (this.longestExpectedMs === 0) return 0;
     const ratio = (nowMs - this.sinceMs) / this.longestExpectedMs;
--- a/src/state/service/replicas/service-times.ts
+++ b/src/state/service/replicas/service-times.ts
@@ -7,18 +7,11 @@
  * time longer.
  */
 
-/**
- * Weight of the newest request; means are of the logarithm. Chosen, not measured: some ten requests make a
- * figure.
- */
+/** Weight of the newest request in the mean of the logarithm. Chosen, not measured. */
 const WEIGHT = 0.1;
-/**
- * Kinds that are kept; beyond, all are dropped and measured anew. Chosen, not measured: routes are far fewer.
- */
+/** Kinds that are kept; beyond, all are measured anew. Chosen: far more than routes. */
 const MAX_KINDS = 1_000;
-/**
- * Usual time of a kind before it was measured, milliseconds; counts like one request. Chosen, not measured.
- */
+/** Usual time of an unmeasured kind, milliseconds; counts like one request. Chosen, not measured. */
 const UNMEASURED_MS = 50;
 /** Shortest time that is noted, milliseconds: bounds the logarithm. */
 const MIN_MS = 0.1;
--- a/src/state/service/replicas/slow-start.ts
+++ b/src/state/service/replicas/slow-start.ts
@@ -1,7 +1,4 @@
-/**
- * Limits the requests a second that this node sends to a replica in slow start. Times are on the monotonic
- * clock.
- */
+/** Limit of the requests that this node sends to a replica in slow start. Monotonic clock. */
 
 const MS_PER_SECOND = 1_000;
 
--- a/src/state/service/replicas/weight-versions.ts
+++ b/src/state/service/replicas/weight-versions.ts
@@ -1,6 +1,4 @@
-/**
- * The newest weight version that a trainer has named, by model. Versions only rise; lost with the process.
- */
+/** Newest weight version that a trainer has named, by model. Only rises; lost with the process. */
 
 export class WeightVersions {
   private readonly newest = new Map<string, number>();
--- a/test/state/service/admission/waiting-list.test.ts
+++ b/test/state/service/admission/waiting-list.test.ts
@@ -225,7 +225,6 @@
     const use = new FlowUsage();
     use.add('a', 800, 0);
     expect(use.of('a', 1_000)).to.equal(400);
-    expect(use.of('a', 0, 2)).to.equal(400);
     use.add('b', 10, 20_000);
     use.add('c', 10, 20_001);
     expect(use.of('a', 20_000)).to.equal(0);
