--- a/src/coordination/service/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -28,8 +28,7 @@
   readonly signal: AbortSignal;
   /**
    * Called with `true` when the request is handed to a replica or to another node, where it may run, and with
-   * `false` when it has certainly not run there and is queued here again. A request that was never handed
-   * over has not run.
+   * `false` when it has not run there and is queued here again. Without a call it has not run.
    */
   readonly onHandOver?: (mayRun: boolean) => void;
 }
--- a/src/coordination/service/dispatch/dispatch-messages.ts
+++ b/src/coordination/service/dispatch/dispatch-messages.ts
@@ -1,6 +1,5 @@
 /**
- * Translation between calls and results and the messages that nodes exchange (`dispatch-peer.ts`). Several
- * wire names mislead; they stay for nodes of other builds:
+ * Translates calls and results to and from messages (`dispatch-peer.ts`). Wire names that mislead:
  * - `rank`: priority, 0 is the most urgent
  * - `party`: flow
  * - `isPatient`: whether it is background work
@@ -10,8 +9,7 @@
  * - `hasEndedReplica`: whether the replica has crashed
  * - `room`: capacity
  *
- * Times on the wire are relative, since monotonic clocks of nodes cannot be compared; the hop itself is not
- * deducted.
+ * Times on the wire are relative, since monotonic clocks cannot be compared; the hop is not deducted.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type {
--- a/src/coordination/service/dispatch/dispatcher-candidates.ts
+++ b/src/coordination/service/dispatch/dispatcher-candidates.ts
@@ -1,7 +1,6 @@
 /**
  * The nodes to call for a service: one of its dispatchers, then the fallback in this node's zone. Of two
- * dispatchers drawn at random the one with the lower reported load is called, so that nodes do not all choose
- * the same.
+ * dispatchers drawn at random the less loaded is called, so that nodes do not all choose the same one.
  *
  * Owns the selection per service, until the fleet or the replicas change, and the last capacity that each
  * dispatcher reported. Where all are ejected there is no candidate, and the caller dispatches by itself.
--- a/src/coordination/service/dispatch/dispatcher-health.ts
+++ b/src/coordination/service/dispatch/dispatcher-health.ts
@@ -3,16 +3,14 @@
  * the replica answers; one that does not in time, or whose call fails, is ejected for a while, longer each
  * time, until it acknowledges a call again.
  *
- * Owns the state of each dispatcher, in memory. No probes are sent: the first call after the ejection is the
- * probe.
+ * Owns the state of each dispatcher, in memory. The first call after an ejection is the probe.
  */
 import { exponentialMs } from '../../../common/backoff.js';
 import { monotonicMs } from '../../../common/clock.js';
 
 /**
  * Time without an acknowledgement after which a dispatcher is ejected, milliseconds. Chosen, not measured:
- * leaves time for another attempt within a usual latency target, and exceeds the pause of a small machine
- * that has used up its processor share.
+ * leaves time for another attempt, and exceeds the pause of a machine that used up its processor share.
  */
 export const ACKNOWLEDGE_TIMEOUT_MS = 100;
 /** First and longest ejection, milliseconds; doubles each time. Chosen, not measured. */
--- a/src/coordination/service/dispatch/remote-dispatch.ts
+++ b/src/coordination/service/dispatch/remote-dispatch.ts
@@ -1,7 +1,6 @@
 /**
  * Client side of remote dispatch: forwards a request to a dispatcher of its service, and falls back to this
- * node's own queue. So the queue, the load and the connections of a replica are at few nodes, at the cost of
- * one hop.
+ * node's own queue. So a replica's queue, load and connections are at few nodes.
  *
  * Relies on fleet membership and replicas (dispatcher selection) and on the peer ports of other nodes. A
  * dispatcher that does not acknowledge in time or whose call fails is ejected; then the fallback in this
@@ -53,8 +52,7 @@
 
   /**
    * Sends a call to a dispatcher or to this node's queue. Never rejects. `isRepeatable` says whether the
-   * request may run twice; one that a dispatcher may have taken is not sent to another one, it ends as
-   * `unknown`.
+   * request may run twice; one that a dispatcher may have taken ends as `unknown`.
    */
   async dispatch(call: DispatchCall, isRepeatable: boolean): Promise<DispatchResult> {
     if (call.request.body.length <= MAX_DISPATCHED_BODY_BYTES)
--- a/src/coordination/service/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -1,7 +1,6 @@
 /**
  * One attempt at one replica: whether the request ran, and whether the answer can be passed on. Keeps the
- * replica's statistics, and logs each attempt. An outcome that is in doubt is `unknown`: the request may have
- * run.
+ * replica's statistics, and logs each attempt. In doubt the outcome is `unknown`.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -1,8 +1,7 @@
 /**
  * Wire format and client of remote dispatch: a node sends a request to a dispatcher of its service, over the
  * port for other nodes. A message is one line of JSON, checked by schema, and then the bytes of the body. The
- * head of the answer acknowledges the call, long before the outcome, so that a paused node is not mistaken
- * for a slow replica.
+ * head of the answer acknowledges the call, so that a paused node is not mistaken for a slow replica.
  *
  * The names of the fields are translated in `coordination/service/dispatch/dispatch-messages.ts`, where those
  * that mislead are explained. A message that does not hold its schema is none.
--- a/src/state/service/admission/admission.ts
+++ b/src/state/service/admission/admission.ts
@@ -1,11 +1,9 @@
 /**
  * Admission control: whether a request may queue for a slot, when a queued one is rejected, whether a hedge
- * may be sent, and Retry-After of a rejected request. Under overload, work that cannot meet its deadline is
- * rejected before it runs.
+ * may be sent, and Retry-After. What cannot meet its deadline is rejected before it runs.
  *
  * Pure decisions: time and randomness are arguments. They rest on estimates of service time and drain rate;
- * where these are wrong a request is rejected while it waits (`isDeadlineUnreachable`), still before it has
- * run.
+ * where these are wrong a request is rejected while it waits (`isDeadlineUnreachable`).
  */
 
 /** Inputs of admission control. Times in milliseconds; work is expected time at a replica of usual speed. */
@@ -76,9 +74,8 @@
 };
 
 /**
- * Decides on a request at its arrival. One that finds a free slot is always admitted: otherwise a service
- * time that was overestimated would never be corrected, since none of its kind would run. `random` is in [0,
- * 1).
+ * Decides on a request at its arrival. One that finds a free slot is always admitted: else an overestimated
+ * service time would never be corrected. `random` is in [0, 1).
  */
 export function admit(input: AdmissionInput, random: number): AdmissionDecision {
   if (!input.hasReplica)
@@ -102,8 +99,7 @@
 
 /**
  * Whether a queued request is to be rejected: after the wait for a slot less than the margin or half of its
- * service time would be left. More lenient than `admit`, since it has already waited and the estimate may be
- * wrong.
+ * service time would be left. More lenient than `admit`, since the estimate may be wrong.
  */
 export function isDeadlineUnreachable(input: QueuedDeadline): boolean {
   const usableMs = input.remainingMs - input.slotWaitMs;
--- a/src/state/service/admission/waiting-list.ts
+++ b/src/state/service/admission/waiting-list.ts
@@ -1,9 +1,8 @@
 /**
  * Queue order of one service: which request gets the next slot, and which is dropped when the queue is full.
  * By priority; then requests that can still meet their latency target; then interactive before background
- * work; then the flow with the least recent use of replica time; then the earliest deadline. A share of the
- * slots goes to the longest waiting request of another priority, and of background work, so that none
- * starves.
+ * work; then the flow with the least recent use of replica time; then the earliest deadline. Some slots go to
+ * the longest waiting request of another priority, and of background work.
  *
  * Owns the queued requests, in memory. Pure otherwise: the time is an argument.
  */
--- a/src/state/service/replicas/crash-history.ts
+++ b/src/state/service/replicas/crash-history.ts
@@ -1,11 +1,9 @@
 /**
  * Crash history: which requests ran at replicas that crashed, and whether a request is quarantined. A replica
  * may crash for other reasons, so a crash makes every request that ran there a suspect; common suspects of
- * further crashes are quarantined. An answer clears a request: a popular one runs at many crashes that it
- * does not cause.
+ * further crashes are quarantined. An answer clears a request, since popular ones run at many crashes.
  *
- * Owns the history of one node, in memory and bounded; shared through crash reports. Times are on the store's
- * clock.
+ * Owns one node's history, in memory and bounded; shared through crash reports. Store's clock.
  */
 
 /** A replica ended while it ran a request. */
@@ -41,8 +39,7 @@
 /**
  * Quarantine after the last crash, milliseconds. Chosen, not measured. The short one exceeds the restart of
  * replicas, some three seconds on the recorded day (docs/design/fatal-requests.md), and costs a wrong suspect
- * little; the long one bounds the damage to one replica in ten minutes, and lets a request run again whose
- * cause was fixed.
+ * little; the long one bounds the damage, and lets a request run again whose cause was fixed.
  */
 const SHORT_QUARANTINE_MS = 4_000;
 const LONG_QUARANTINE_MS = 600_000;
--- a/src/state/service/replicas/crash-record.ts
+++ b/src/state/service/replicas/crash-record.ts
@@ -1,8 +1,7 @@
 /**
  * Crash reports in the store: one record for each request and replica, and one for the answer that clears the
  * request. They lie in the table of jobs, which every node follows; nodes of older builds ignore them there,
- * since they are not JSON. Stored names that mislead: the partition `fatal-runs`, and `served` in place of a
- * replica id.
+ * since they are not JSON. The stored names `fatal-runs` and `served` (in place of an id) stay.
  */
 import type { ChangedRecord, RecordWrite } from '../../../protocol/record-store.js';
 import { FOLLOWED_TABLE } from '../store/index.js';
--- a/src/state/service/replicas/dispatcher-selection.ts
+++ b/src/state/service/replicas/dispatcher-selection.ts
@@ -1,12 +1,10 @@
 /**
  * Dispatcher selection: which nodes schedule the requests for a service. In a large fleet a node's own
- * requests in flight say little of a replica's load, so all requests for a service go through few nodes, its
- * dispatchers.
+ * requests say little of a replica's load, so a service's requests go through few nodes.
  *
  * Pure: weighted rendezvous hashing over the fleet members, so that all nodes find the same dispatchers
  * without a message, and few change when nodes come or go. While nodes disagree a service has more
- * dispatchers than intended, each of which sees a part of the load; replicas decline what exceeds their
- * slots.
+ * dispatchers; replicas decline what exceeds their slots.
  */
 import { xxHash32 } from 'js-xxhash';
 
--- a/src/state/service/replicas/latency-estimate.ts
+++ b/src/state/service/replicas/latency-estimate.ts
@@ -1,7 +1,6 @@
 /**
  * How many times the usual time requests take at one replica: a moving average of the logarithm, so that a
- * few long requests count little, which fades towards 1 while nothing is measured. Times are on the monotonic
- * clock.
+ * few long ones count little, which fades towards 1 without measurements. Monotonic clock.
  */
 
 /** Half-life, milliseconds: a slow replica is tried again some seconds later. Chosen, not measured. */
--- a/src/state/service/replicas/replica-choice.ts
+++ b/src/state/service/replicas/replica-choice.ts
@@ -40,8 +40,7 @@
 
 /**
  * Replicas up to `SLOW_RATIO` times as slow as the fastest are equal, since the estimates are no better than
- * that; the one of least load is chosen. A slower one is chosen only where the request ends there before it
- * would at an equal.
+ * that; the one of least load is chosen. A slower one is chosen only where the request ends there first.
  */
 export function chooseReplica(states: readonly ReplicaState[], input: ChoiceInput): Choice {
   if (states.length === 0) return { kind: 'none' };
--- a/src/state/service/replicas/replica-directory.ts
+++ b/src/state/service/replicas/replica-directory.ts
@@ -1,7 +1,6 @@
 /**
  * The replicas of all services, as they are announced. Owns their states, which of them are available, and
- * the zones that are evacuated. Relies on whoever reads announcements; without new ones it stays as last
- * known.
+ * the zones that are evacuated. Without new announcements it stays as last known.
  */
 import type { Replica } from '../../../protocol/service/replica.js';
 import { compareIncarnations, type IncarnationOrder } from './replica-incarnation.js';
--- a/src/state/service/replicas/replica-health.ts
+++ b/src/state/service/replicas/replica-health.ts
@@ -1,15 +1,11 @@
 /**
  * Health of one replica, as this node learns it from its own attempts. The states, of which several may hold:
  * - ejected: the last attempts failed; for a while, longer with each failure, until a request is finished
- * - backing off: it declined a request since it is full; for a while, longer with each decline, until one is
- *   taken
- * - probed: it declined its last request; one request at a time is sent until one is taken (generation
- *   requests)
- * - awaiting answers: some requests are neither taken nor declined; no more are sent until one is, or until
- *   it is silent (generation requests)
+ * - backing off: it declined a request as full; for a while, longer with each decline, until one is taken
+ * - probed: it declined its last request; generation requests are sent one at a time until one is taken
+ * - awaiting answers: of some generation requests; no more are sent until one is taken or declined
  *
- * "Unhealthy" is ejected or backing off. A replica that reports itself as slow or full is not unhealthy.
- * Times are on the monotonic clock.
+ * "Unhealthy" is ejected or backing off. Slow is not unhealthy. Times are on the monotonic clock.
  */
 import { exponentialMs } from '../../../common/backoff.js';
 
--- a/src/state/service/replicas/replica-incarnation.ts
+++ b/src/state/service/replicas/replica-incarnation.ts
@@ -1,7 +1,6 @@
 /**
  * Incarnations of a replica. A replica may restart under its id; it then holds nothing of before, so what is
- * known of one incarnation says nothing of another. An incarnation is identified by the id and the time of
- * its start.
+ * known of one incarnation says nothing of another. The id and the time of the start identify it.
  */
 
 export interface ReplicaIncarnation {
--- a/src/state/service/replicas/replica-selection.ts
+++ b/src/state/service/replicas/replica-selection.ts
@@ -2,8 +2,7 @@
  * Replica for a generation request, as its placement selects it. Differs from `replica-choice.ts`, which
  * serves the queue of a service: generation requests are long and few, belong to jobs that each node owns,
  * and do not pass a dispatcher. So the cost is the expected time by this node's measurements of events, given
- * by the caller; unhealthy replicas are never used, since a request may wait; and another request of the same
- * group may prefer its replica.
+ * by the caller; unhealthy replicas are never used, since a request may wait; a group may prefer a replica.
  *
  * Pure, but for what the replica states read from the clock.
  */
--- a/src/state/service/replicas/reported-load.ts
+++ b/src/state/service/replicas/reported-load.ts
@@ -1,7 +1,6 @@
 /**
  * Load and pace that a replica last reported with an answer, where it does. The requests of other nodes fade,
- * since they end without a word to this node; the pace counts until it is too old. Times are on the monotonic
- * clock.
+ * since their ends are not reported; an old pace does not count.
  */
 import type { ReplicaLoad } from '../../../protocol/service/replica.js';
 
--- a/src/state/service/replicas/service-times.ts
+++ b/src/state/service/replicas/service-times.ts
@@ -2,9 +2,8 @@
  * Usual service time of each kind of request at the replicas of a service, as one node measures it. Kinds
  * differ much in length, so a replica's speed shows only against the usual time of what it was sent.
  *
- * The usual time is that of all replicas as they are used, slow ones too. If it were divided by each one's
- * latency ratio it would feed on itself: a longer usual time makes replicas look faster, and that the usual
- * time longer.
+ * The usual time is that of all replicas as they are used, slow ones too. Divided by each one's latency ratio
+ * it would feed on itself: replicas would look faster, and it would grow.
  */
 
 /** Weight of the newest request in the mean of the logarithm. Chosen, not measured. */
--- a/test/coordination/service/dispatch/dispatchers.test.ts
+++ b/test/coordination/service/dispatch/dispatchers.test.ts
@@ -143,7 +143,7 @@
     configure({ kind: 'unsafe', timeoutMs: 5_000 });
     await inForce(2);
     const filling = Array.from({ length: replicas.length * SLOTS }, () => lookup(dispatcher));
-    await until('every place is taken', () => replicas.every(({ running }) => running === SLOTS));
+    await until('every slot is taken', () => replicas.every(({ running }) => running === SLOTS));
     const waitingId = nextId();
     const waiting = lookup(others[0] as ServiceNodeProcess, waitingId, { [HEADER.deadlineMs]: '1500' });
     await until('the dispatcher has it', async () => (await waitingAt(dispatcher)) === 1);
