--- a/src/coordination/service/dispatch/service-replicas.ts
+++ b/src/coordination/service/dispatch/service-replicas.ts
@@ -5,6 +5,7 @@
 import { type RunningRequest, slotWaitMs } from '../../../state/service/admission/index.js';
 import {
   type Choice,
+  type ChoiceInput,
   capacityOf,
   chooseReplica,
   drainRate,
@@ -13,14 +14,9 @@
 } from '../../../state/service/replicas/index.js';
 
 /** What the configuration and the fleet say of replicas. */
-export interface ReplicaPolicy {
+export interface ReplicaPolicy
+  extends Required<Pick<ChoiceInput, 'slotsOf' | 'slowStartPerSecond' | 'zonePenalty'>> {
   readonly directory: ReplicaDirectory;
-  /** Requests that a replica runs at once. */
-  readonly slotsOf: (state: ReplicaState) => number;
-  /** Requests that a replica in slow start may get from this node in a second; `undefined` for no limit. */
-  readonly slowStartPerSecond: (state: ReplicaState) => number | undefined;
-  /** Added to the load of a replica in another zone, as a share of its slots. */
-  readonly zonePenalty: (state: ReplicaState) => number;
 }
 
 export class ServiceReplicas {
--- a/src/state/service/admission/waiting-list.ts
+++ b/src/state/service/admission/waiting-list.ts
@@ -61,7 +61,7 @@
     this.waiting.add(one);
     this.bytes += one.bytes;
     if (this.waiting.size <= this.bounds.count && this.bytes <= this.bounds.bytes) return undefined;
-    const last = this.last(nowMs);
+    const last = this.first((left, right) => this.compare(right, left, nowMs));
     if (last) this.remove(last);
     return last;
   }
@@ -75,7 +75,7 @@
 
   /** The request for the next slot; it stays queued, and `noteServed` advances the turns. */
   next(nowMs: number, isEligible: (one: W) => boolean = () => true): W | undefined {
-    const first = this.best(nowMs, isEligible);
+    const first = this.first((left, right) => this.compare(left, right, nowMs), isEligible);
     if (!first) return undefined;
     const turn = this.turns + 1;
     if (turn % OTHER_PRIORITY_TURN === 0)
@@ -109,24 +109,18 @@
     return workMs;
   }
 
-  private best(nowMs: number, isEligible: (one: W) => boolean): W | undefined {
-    let best: W | undefined;
-    for (const one of this.waiting)
-      if (isEligible(one) && (!best || this.compare(one, best, nowMs) < 0)) best = one;
-    return best;
-  }
-
-  private last(nowMs: number): W | undefined {
-    let last: W | undefined;
-    for (const one of this.waiting) if (!last || this.compare(one, last, nowMs) > 0) last = one;
-    return last;
+  private longestWaiting(isEligible: (one: W) => boolean): W | undefined {
+    return this.first((left, right) => left.sinceMs - right.sinceMs, isEligible);
   }
 
-  private longestWaiting(isEligible: (one: W) => boolean): W | undefined {
-    let longest: W | undefined;
-    for (const one of this.waiting)
-      if (isEligible(one) && (!longest || one.sinceMs < longest.sinceMs)) longest = one;
-    return longest;
+  /** The first eligible request in an order; of equal ones the one that was added first. */
+  private first(
+    order: (left: W, right: W) => number,
+    isEligible: (one: W) => boolean = () => true,
+  ): W | undefined {
+    let first: W | undefined;
+    for (const one of this.waiting) if (isEligible(one) && (!first || order(one, first) < 0)) first = one;
+    return first;
   }
 
   private compare(left: W, right: W, nowMs: number): number {
--- a/src/state/service/replicas/index.ts
+++ b/src/state/service/replicas/index.ts
@@ -7,7 +7,7 @@
   toServedRecord,
 } from './crash-record.js';
 export { type DispatcherSelection, type FleetMember, selectDispatchers } from './dispatcher-selection.js';
-export { type Choice, capacityOf, chooseReplica, drainRate } from './replica-choice.js';
+export { type Choice, type ChoiceInput, capacityOf, chooseReplica, drainRate } from './replica-choice.js';
 export { ReplicaDirectory } from './replica-directory.js';
 export type { IncarnationOrder } from './replica-incarnation.js';
 export { ReplicaState } from './replica-state.js';
