--- a/src/coordination/service/dispatch/rejection-reports.ts
+++ b/src/coordination/service/dispatch/rejection-reports.ts
@@ -2,28 +2,23 @@
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { Rejection } from '../../../state/service/admission/index.js';
 import type { ServiceCapacity } from './dispatch-call.js';
 import type { QueueEntry } from './queue-entry.js';
 
-/** Where rejections are reported. */
-export interface RejectionSinks {
-  readonly metrics: Pick<ServiceMetrics, 'refusedRequests'>;
-  readonly logger: DecisionLogger;
-}
-
-/** A rejection as it is reported. */
-export interface RejectionReport {
-  readonly service: string;
+/** A rejection as it is reported; `retryAfterMs` is 0 where none is given. */
+export interface RejectionReport extends Pick<Rejection, 'retryAfterMs'> {
   readonly entry: QueueEntry;
   readonly reason: string;
-  /** Milliseconds; 0 where none is given. */
-  readonly retryAfterMs: number;
   readonly capacity: ServiceCapacity;
 }
 
 /** Reports a rejection. The log keys `party` and `rank` are the request's flow and priority. */
-export function reportRejection({ metrics, logger }: RejectionSinks, report: RejectionReport): void {
-  const { service, entry, reason, retryAfterMs, capacity } = report;
+export function reportRejection(
+  { metrics, logger }: { metrics: Pick<ServiceMetrics, 'refusedRequests'>; logger: DecisionLogger },
+  service: string,
+  { entry, reason, retryAfterMs, capacity }: RejectionReport,
+): void {
   const { free, slots, waiting } = capacity;
   metrics.refusedRequests.inc({ service, rank: String(entry.priority) });
   logger.record({
--- a/src/coordination/service/dispatch/service-queue.ts
+++ b/src/coordination/service/dispatch/service-queue.ts
@@ -183,7 +183,7 @@
     const reason = entry.lastDecline === '' ? text : `${text}; before: ${entry.lastDecline}`;
     const { retryAfterMs } = rejection;
     const { service, services, capacity } = this;
-    if (!entry.call.isHedge) reportRejection(services, { service, entry, reason, retryAfterMs, capacity });
+    if (!entry.call.isHedge) reportRejection(services, service, { entry, reason, retryAfterMs, capacity });
     this.end(entry, {
       outcome: { kind: 'declined', reason, isFull: true },
       hasCrashedReplica: false,
@@ -241,7 +241,7 @@
     for (const entry of [...this.waiting]) {
       const { deadlineMs, serviceTimeMs } = entry;
       const remainingMs = deadlineMs - nowMs;
-      if (isDeadlineUnreachable({ remainingMs, slotWaitMs, serviceTimeMs, marginMs }))
+      if (isDeadlineUnreachable({ remainingMs, slotWaitMs, serviceTimeMs }, marginMs))
         this.rejectForNow(entry, 'deadline-unreachable', slotWaitMs);
     }
   }
@@ -287,7 +287,7 @@
     entry.declines += 1;
     entry.lastDecline = reason;
     const { isHedge, signal, onHandOver } = entry.call;
-    if (!mayRequeue({ declines: entry.declines, isHedge, isCancelled: signal.aborted })) return false;
+    if (!mayRequeue(entry.declines, isHedge, signal.aborted)) return false;
     onHandOver?.(false);
     entry.excluded.add(replicaId);
     this.relaxExclusion(entry);
--- a/src/coordination/service/membership/replica-announcements.ts
+++ b/src/coordination/service/membership/replica-announcements.ts
@@ -77,7 +77,7 @@
     const { directory } = this.services;
     const before = directory.get(replica.id)?.replica;
     const order = directory.set(replica);
-    if (order === 'untold') this.refuse(replica.id, 'born: is required', version);
+    if (order === 'start-missing') this.refuse(replica.id, 'born: is required', version);
     else if (order === 'earlier') this.awaitConfirmation(replica, version);
     else this.settled(replica, before, order, version);
   }
--- a/src/coordination/service/requests/request-quarantine.ts
+++ b/src/coordination/service/requests/request-quarantine.ts
@@ -72,7 +72,7 @@
   noteServed(request: IdentifiedRequest): void {
     if (this.history.size === 0) return;
     const digest = digestOf(request);
-    if (!this.history.isAccused(digest)) return;
+    if (!this.history.isSuspect(digest)) return;
     const run = { digest, servedAtMs: this.services.store.nowMs() };
     this.history.noteServed(run);
     this.reports.share(toServedRecord(run));
--- a/src/state/service/admission/admission.ts
+++ b/src/state/service/admission/admission.ts
@@ -1,6 +1,7 @@
 /**
- * Admission control: whether a request may queue for a slot, when a queued one is rejected, whether a hedge
- * may be sent, and Retry-After. What cannot meet its deadline is rejected before it runs.
+ * Admission control: whether a request may queue for a slot, when a queued one is rejected, when a declined
+ * one is queued again, whether a hedge may be sent, and Retry-After. What cannot meet its deadline is
+ * rejected before it runs.
  *
  * Pure decisions: time and randomness are arguments. They rest on estimates of service time and drain rate;
  * where these are wrong a request is rejected while it waits (`isDeadlineUnreachable`).
@@ -60,6 +61,11 @@
 const RETRY_AFTER_JITTER = 0.5;
 /** Least remaining time of a queued request, as a share of its service time. Chosen, not measured. */
 const MIN_SERVICE_FRACTION = 0.5;
+/**
+ * Declines after which a request is returned as declined; each makes its replica back off. Chosen, not
+ * measured: at 4, requests with time left were rejected while two nodes dispatched for one service.
+ */
+const MAX_DECLINES = 16;
 /** Free share of slots below which no hedge is sent: first attempts go first. Chosen, not measured. */
 const MIN_FREE_SLOT_FRACTION_FOR_HEDGE = 0.1;
 
@@ -88,22 +94,19 @@
   return { kind: 'reject', reason, expectedWaitMs, retryAfterMs: retryAfterMs(input, random) };
 }
 
-/** Inputs of the check of a queued request. Milliseconds. */
-export interface QueuedDeadline {
-  readonly remainingMs: number;
-  readonly slotWaitMs: number;
-  readonly serviceTimeMs: number;
-  /** Least time that must be left, whatever its service time. */
-  readonly marginMs: number;
-}
-
 /**
- * Whether a queued request is to be rejected: after the wait for a slot less than the margin or half of its
+ * Whether a queued request is to be rejected: after the wait for a slot less than `marginMs` or half of its
  * service time would be left. More lenient than `admit`, since the estimate may be wrong.
  */
-export function isDeadlineUnreachable(input: QueuedDeadline): boolean {
-  const usableMs = input.remainingMs - input.slotWaitMs;
-  return usableMs < Math.max(input.marginMs, input.serviceTimeMs * MIN_SERVICE_FRACTION);
+export function isDeadlineUnreachable(
+  {
+    remainingMs,
+    slotWaitMs,
+    serviceTimeMs,
+  }: Pick<AdmissionInput, 'remainingMs' | 'slotWaitMs' | 'serviceTimeMs'>,
+  marginMs: number,
+): boolean {
+  return remainingMs - slotWaitMs < Math.max(marginMs, serviceTimeMs * MIN_SERVICE_FRACTION);
 }
 
 /** Whether a hedge may take a slot; it never queues. The retry budget must allow it as well. */
@@ -111,6 +114,14 @@
   return waiting === 0 && free >= slots * MIN_FREE_SLOT_FRACTION_FOR_HEDGE;
 }
 
+/**
+ * Whether a request that a replica has declined is queued again. `declines` counts the last one as well;
+ * hedges never queue, and a cancelled request needs no further attempt.
+ */
+export function mayRequeue(declines: number, isHedge: boolean, isCancelled: boolean): boolean {
+  return !isHedge && !isCancelled && declines < MAX_DECLINES;
+}
+
 /**
  * Retry-After of a rejected request, milliseconds: once the queue has drained and the request's own service
  * time has passed, with jitter, within a share of the remaining time. `random` is in [0, 1).
--- a/src/state/service/admission/index.ts
+++ b/src/state/service/admission/index.ts
@@ -3,13 +3,13 @@
   admit,
   isDeadlineUnreachable,
   mayHedge,
+  mayRequeue,
   type Rejection,
   type RejectionReason,
   rejectionText,
   retryAfterMs,
 } from './admission.js';
 export { FlowUsage } from './flow-usage.js';
-export { mayRequeue } from './requeue.js';
 export { RetryBudget } from './retry-budget.js';
 export { type RunningRequest, slotWaitMs } from './slot-wait.js';
 export { type Waiting, type WaitingBounds, WaitingList } from './waiting-list.js';
--- a/src/state/service/replicas/crash-history.ts
+++ b/src/state/service/replicas/crash-history.ts
@@ -97,7 +97,7 @@
   }
 
   /** Whether the request ran at a crash and was not answered since. */
-  isAccused(digest: string): boolean {
+  isSuspect(digest: string): boolean {
     return this.crashesByDigest.has(digest);
   }
 
--- a/src/state/service/replicas/replica-directory.ts
+++ b/src/state/service/replicas/replica-directory.ts
@@ -27,12 +27,12 @@
 
   /**
    * Adds or updates a replica. A later incarnation replaces the known one and starts with no statistics.
-   * Returns how the incarnation compares with the known one; an `earlier` or `untold` one changes nothing.
+   * Returns how the incarnation compares with the known one; an `earlier` or `start-missing` one changes nothing.
    */
   set(replica: Replica): IncarnationOrder | 'first' {
     const existing = this.states.get(replica.id);
     const order = existing ? compareIncarnations(existing.replica, replica) : 'first';
-    if (order === 'earlier' || order === 'untold') return order;
+    if (order === 'earlier' || order === 'start-missing') return order;
     this.unconfirmed.delete(replica.id);
     if (!existing) this.add(replica);
     else if (order === 'same') this.update(existing, replica);
--- a/src/state/service/replicas/replica-incarnation.ts
+++ b/src/state/service/replicas/replica-incarnation.ts
@@ -17,14 +17,14 @@
   /** An earlier start: a late announcement, or a clock that was set back (`replica-announcements.ts`). */
   | 'earlier'
   /** It names no start, though the known one did. */
-  | 'untold';
+  | 'start-missing';
 
 export function compareIncarnations(
   known: ReplicaIncarnation,
   announced: ReplicaIncarnation,
 ): IncarnationOrder {
   if (known.startedAtMs === announced.startedAtMs) return 'same';
-  if (announced.startedAtMs === undefined) return 'untold';
+  if (announced.startedAtMs === undefined) return 'start-missing';
   if (known.startedAtMs === undefined) return 'next';
   return announced.startedAtMs > known.startedAtMs ? 'next' : 'earlier';
 }
--- a/test/state/service/admission/admission.test.ts
+++ b/test/state/service/admission/admission.test.ts
@@ -1,7 +1,13 @@
 /** Admission of requests, Retry-After of rejected ones, and the retry budget. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { type AdmissionInput, admit } from '../../../../src/state/service/admission/admission.js';
+import {
+  type AdmissionInput,
+  admit,
+  isDeadlineUnreachable,
+  mayHedge,
+  mayRequeue,
+} from '../../../../src/state/service/admission/admission.js';
 import { RetryBudget } from '../../../../src/state/service/admission/retry-budget.js';
 
 const options = { numRuns: 500, seed: 20_261_205 };
@@ -58,6 +64,28 @@
   });
 });
 
+describe('requests after their admission', () => {
+  it('are rejected once less than the margin or half of the service time is left behind the wait for a slot', () => {
+    const queued = { remainingMs: 100, slotWaitMs: 60, serviceTimeMs: 80 };
+    expect(isDeadlineUnreachable(queued, 40)).to.equal(false);
+    expect(isDeadlineUnreachable(queued, 41)).to.equal(true);
+    expect(isDeadlineUnreachable({ ...queued, serviceTimeMs: 82 }, 0)).to.equal(true);
+  });
+
+  it('are queued again after fewer than 16 declines, unless cancelled or hedges', () => {
+    expect(mayRequeue(15, false, false)).to.equal(true);
+    expect(mayRequeue(16, false, false)).to.equal(false);
+    expect(mayRequeue(1, true, false)).to.equal(false);
+    expect(mayRequeue(1, false, true)).to.equal(false);
+  });
+
+  it('are hedged only with an empty queue and a tenth of the slots free', () => {
+    expect(mayHedge({ free: 1, slots: 10, waiting: 0 })).to.equal(true);
+    expect(mayHedge({ free: 1, slots: 11, waiting: 0 })).to.equal(false);
+    expect(mayHedge({ free: 5, slots: 10, waiting: 1 })).to.equal(false);
+  });
+});
+
 describe('the retry budget', () => {
   it('is a share of the first attempts', () => {
     const budget = new RetryBudget();
