--- a/src/coordination/service/weights/load-priority.ts
+++ b/src/coordination/service/weights/load-priority.ts
@@ -1,7 +1,8 @@
 /**
- * In which order replicas load weight versions when several models are behind. Jobs may use the newest version of their
- * model and the one before, and a job lasts as long as its longest samples, which begin first. So a few replicas for every
- * model come before many for one: each load goes to the model of which the smallest part can serve its jobs.
+ * In which order replicas load when several models are behind. Jobs may use the newest version of their model
+ * and the one before, and a job lasts as long as its longest samples, which begin first. So a few replicas
+ * for every model come before many for one: each load goes to the model of which the smallest share of
+ * replicas can serve its jobs.
  */
 
 /** A replica that should have the newest version of a model. */
@@ -26,11 +27,14 @@
   readonly model: string;
 }
 
-/** Weight of replicas that cannot serve a model's jobs, beside those that can but not with its newest version. */
+/**
+ * Weight of replicas that cannot serve a model's jobs, relative to 1 for
+ * those that can, but not with its newest version. Chosen, not measured.
+ */
 const UNFIT_WEIGHT = 2;
 
-/** One model while loads are handed out. */
-interface Count {
+/** One model while loads are assigned. */
+interface ModelCount {
   readonly model: string;
   readonly newest: number;
   readonly total: number;
@@ -41,7 +45,7 @@
   fit: number;
 }
 
-/** Loads that are missing, the most urgent first. Replicas that `isFree` rejects are passed over. */
+/** Missing loads, the most urgent first. Replicas that `isFree` rejects are skipped. */
 export function prioritizeLoads(
   models: readonly FollowedModel[],
   isFree: (id: string) => boolean,
@@ -49,18 +53,18 @@
   const counts = models.map((followed) => countOf(followed, isFree));
   const loads: NextLoad[] = [];
   for (;;) {
-    const [neediest] = counts
+    const [mostUrgent] = counts
       .filter(({ waiting }) => waiting.length > 0)
-      .sort((left, right) => needOf(right) - needOf(left));
-    const replica = neediest?.waiting.shift();
-    if (!neediest || !replica) return loads;
-    loads.push({ id: replica.id, model: neediest.model });
-    neediest.current += 1;
-    if (!isFit(replica, neediest.newest)) neediest.fit += 1;
+      .sort((left, right) => urgencyOf(right) - urgencyOf(left));
+    const replica = mostUrgent?.waiting.shift();
+    if (!mostUrgent || !replica) return loads;
+    loads.push({ id: replica.id, model: mostUrgent.model });
+    mostUrgent.current += 1;
+    if (!isFit(replica, mostUrgent.newest)) mostUrgent.fit += 1;
   }
 }
 
-function countOf({ model, newest, replicas }: FollowedModel, isFree: (id: string) => boolean): Count {
+function countOf({ model, newest, replicas }: FollowedModel, isFree: (id: string) => boolean): ModelCount {
   const isCurrent = (replica: FollowingReplica) => replica.isLoading || replica.version >= newest;
   return {
     model,
@@ -77,6 +81,6 @@
 }
 
 /** The larger, the more urgent is a load for the model. */
-function needOf({ total, current, fit }: Count): number {
+function urgencyOf({ total, current, fit }: ModelCount): number {
   return (UNFIT_WEIGHT * (total - fit) + (total - current)) / total;
 }
--- a/src/coordination/service/weights/weight-plan.ts
+++ b/src/coordination/service/weights/weight-plan.ts
@@ -1,10 +1,9 @@
 /**
- * Which replicas follow which model. Replicas that serve several models cannot load every version of all of them in time,
- * and each load takes room from running requests. So each model gets a share of the replicas, and only these are
- * brought to its newest version. The plan follows from the versions alone: a replica stays with the model that it is
- * least behind of, so a new giver of orders continues the plan of the one before.
- *
- * Replicas that no model's work needs follow none: they keep the version that they have, and cost no orders.
+ * Which replicas follow which model. Replicas cannot load every version of several models in time, and each
+ * load takes capacity from running requests. So each model gets a share of the replicas, and only these are
+ * brought to its newest version. The plan follows from versions and demand alone: a replica stays with the
+ * model that it is least behind of, so a new leader continues the plan of the one before. Replicas that no
+ * model's work needs follow none: they keep their version and get no commands.
  */
 
 /** A replica as the plan sees it. */
@@ -13,12 +12,12 @@
   versionOf(model: string): number;
 }
 
-/** A model, its newest named version, and how much its requests ask of the replicas, in any unit. */
+/** A model, its newest named version, and its demand on the replicas, in any unit common to all models. */
 export interface PlannedModel {
   readonly model: string;
   readonly version: number;
   readonly demand: number;
-  /** Replicas that its work can use at most. Default: all. */
+  /** Most replicas that its work can use. Default: all. */
   readonly most?: number;
 }
 
@@ -28,16 +27,19 @@
   readonly lag: number;
 }
 
-/** Replicas that a model should have at least, so that one can load or fail while another serves. */
+/** Least replicas of a model, if there are enough: one can load or fail while another serves. */
 const REDUNDANT_SHARE = 2;
 /**
- * Replicas for each one that the requests of a model's largest job fill, and some on top: a zone may be lost, and loads, slow
- * replicas and failures take others away.
+ * Replicas beyond those that the requests of a model's largest job fill: a factor and a number on top, since
+ * a zone may be lost, and loads, slow replicas and failures take others away. Chosen, not measured.
  */
 const SPARE_FACTOR = 1.5;
 const SPARE_REPLICAS = 2;
 
-/** Replicas that the work of a model can use: all while its work is not known. `requests` are those of its largest job. */
+/**
+ * Replicas that a model's work can use: infinite while `requests`, those of its largest recent job, is 0
+ * (unknown).
+ */
 export function usefulReplicas(requests: number, slots: number): number {
   if (requests === 0) return Number.POSITIVE_INFINITY;
   return Math.ceil((requests / Math.max(1, slots)) * SPARE_FACTOR) + SPARE_REPLICAS;
@@ -56,28 +58,31 @@
   return plan;
 }
 
-/** Replicas for each model: the same small number for all, the rest where the demand for each is highest and they are of use. */
+/**
+ * Replicas for each model: the same small number for all, the rest by the highest demand per replica, up to
+ * `most`.
+ */
 export function shareReplicas(count: number, models: readonly PlannedModel[]): Map<string, number> {
   const equal = Math.max(1, Math.min(REDUNDANT_SHARE, Math.floor(count / models.length)));
   const shares = new Map(models.map(({ model }) => [model, equal]));
   for (let left = count - equal * models.length; left > 0; left -= 1) {
-    const [neediest] = models
+    const [next] = models
       .filter(({ model, most }) => (shares.get(model) ?? 0) < (most ?? count))
       .sort(
         (one, other) => pressure(other, shares) - pressure(one, shares) || compare(one.model, other.model),
       );
-    if (!neediest) break;
-    shares.set(neediest.model, (shares.get(neediest.model) ?? 0) + 1);
+    if (!next) break;
+    shares.set(next.model, (shares.get(next.model) ?? 0) + 1);
   }
   return shares;
 }
 
-/** Demand for each replica that a model has so far. */
+/** Demand per replica that a model has so far. */
 function pressure({ model, demand }: PlannedModel, shares: ReadonlyMap<string, number>): number {
   return demand / (shares.get(model) ?? 1);
 }
 
-/** All pairs, those that are least behind first; ties in an order that every node agrees on. */
+/** All pairs, those least behind first; ties in an order that is the same on every node. */
 function pairsByLag<R extends PlannedReplica>(
   replicas: readonly R[],
   models: readonly PlannedModel[],
--- a/src/state/service/replicas/weight-versions.ts
+++ b/src/state/service/replicas/weight-versions.ts
@@ -4,18 +4,11 @@
 
 export class WeightVersions {
   private readonly newest = new Map<string, number>();
-  private readonly listeners = new Set<() => void>();
-
-  /** Called after each rise. */
-  onChange(listener: () => void): void {
-    this.listeners.add(listener);
-  }
 
   /** Notes a named version; returns whether it is newer than the known one. */
   note(model: string, version: number): boolean {
     if (version <= (this.newest.get(model) ?? 0)) return false;
     this.newest.set(model, version);
-    for (const listener of this.listeners) listener();
     return true;
   }
 
--- a/test/coordination/service/weights/load-commander.test.ts
+++ b/test/coordination/service/weights/load-commander.test.ts
@@ -21,7 +21,7 @@
 
 const LEASE_MS = 1_000;
 
-describe('orders to load weight versions', () => {
+describe('load commands', () => {
   let system: ServiceSystem;
   let engines: ReplicaServer[];
 
@@ -59,7 +59,7 @@
     return nodes;
   }
 
-  it('brings every replica to the newest version, few at a time', async () => {
+  it('bring every replica to the newest version, few at a time', async () => {
     await startNodes(3);
     system.nameVersion(2);
     await allAt(2);
@@ -71,7 +71,7 @@
     for (const engine of engines) expect(engine.orders.map((order) => order.version)).to.deep.equal([2, 3]);
   });
 
-  it('begins the next load when the one before should be over, also when that one takes longer', async () => {
+  it('begin the next load when the one before should be over, also when that one takes longer', async () => {
     const [slow, ...others] = engines as [ReplicaServer, ...ReplicaServer[]];
     await startNodes(1);
     system.nameVersion(2);
@@ -85,7 +85,7 @@
     expect(slow.versions.get(MODEL)).to.equal(2);
   });
 
-  it('passes to another node when the giver is killed, with the lease time between them', async () => {
+  it('are continued by another node when the leader is killed, with the handover guard between them', async () => {
     const nodes = await startNodes(3);
     system.nameVersion(2);
     await until('orders are given', () => engines.some((engine) => engine.orders.length > 0));
@@ -97,7 +97,7 @@
     expectApart();
   });
 
-  it('lets a giver that was paused do nothing before the store has confirmed its lease', async () => {
+  it('are not sent by a paused leader before the store has confirmed its lease', async () => {
     const nodes = await startNodes(2);
     system.nameVersion(2);
     await allAt(2);
@@ -115,7 +115,7 @@
     expectApart();
   });
 
-  it('makes an order void that is carried out late', async () => {
+  it('are void when they arrive late', async () => {
     const [engine] = engines;
     if (engine) {
       engine.ordersToDelay = 1;
@@ -130,7 +130,7 @@
     expect(engine?.versions.get(MODEL)).to.equal(3);
   });
 
-  it('gives no orders while the store is silent, and goes on afterwards', async () => {
+  it('are not sent while the store is silent, and go on afterwards', async () => {
     await startNodes(2);
     system.nameVersion(2);
     await allAt(2);
@@ -146,7 +146,7 @@
   });
 });
 
-describe('orders without a store', () => {
+describe('load commands without a store', () => {
   const IDS = ['r1', 'r2', 'r3', 'r4'];
   const REFUSALS = 20;
   let directory: ReplicaDirectory;
@@ -211,7 +211,7 @@
     await orders;
   }
 
-  it('set no replica back: after an outage those furthest behind come first', async () => {
+  it('pause no replica: after an outage those furthest behind come first', async () => {
     let refusals = 0;
     const confirm = async () => {
       refusals += 1;
@@ -223,7 +223,7 @@
     expect(ordered.slice(0, IDS.length - 1).sort()).to.deep.equal(['r2', 'r3', 'r4']);
   });
 
-  it('leave out a replica at an address that another machine has ordered lately', async () => {
+  it('skip a replica at an address within the handover guard of another machine', async () => {
     const confirmed: string[] = [];
     const confirm = async (target: string) => {
       confirmed.push(target);
--- a/test/coordination/service/weights/load-priority.test.ts
+++ b/test/coordination/service/weights/load-priority.test.ts
@@ -32,7 +32,7 @@
     expect(modelsOf(loads)).to.deep.equal(['b', 'b', 'a', 'a']);
   });
 
-  it('counts loads under way as done, and passes over replicas that are not free', () => {
+  it('counts loads under way as done, and skips replicas that are not free', () => {
     const a = followed('a', 2, [1, 1]);
     const replicas = a.replicas.map((replica, index) => ({ ...replica, isLoading: index === 0 }));
     const loads = prioritizeLoads([{ ...a, replicas }, followed('b', 2, [1, 1])], (id) => id !== 'b-1');
