--- a/src/coordination/feeds/record-feed.ts
+++ b/src/coordination/feeds/record-feed.ts
@@ -1,23 +1,41 @@
 /**
- * Follows one table of the store: reads it whole, then takes each change in order. When the history is lost the table
- * is read whole again. An answer older than what was seen of the table is never taken.
+ * Follows one table of the store: reads it whole, then applies each change in order. When the store has lost
+ * the history of changes the table is read whole again. An answer older than what was seen of the table is
+ * never applied.
  *
- * After a loss of history, reads of ranges may be old for many seconds. Then the records that are known are read by
- * themselves, as they are now, and their changes are followed from there; the table is read whole again until that read is
- * new. With 84 nodes and reads 6 s behind for 13 s, a change is in force within a second; it took 6 s, and 13 s on a fifth of
- * the nodes, while whole reads were the only way (real processes, a loss of history and five changes).
+ * Owns: the position up to which changes are applied. Relies on: scans and long polls of the store; failed
+ * calls are repeated with back-off until `signal` is aborted.
+ *
+ * After a loss of history, scans may be old for many seconds. Then the known records are read individually,
+ * as they are now, and changes are followed from there; whole reads are repeated until one is new. With 84
+ * nodes and scans 6 s behind for 13 s, a change is in force within a second; with whole reads alone it took 6
+ * s, and 13 s on a fifth of the nodes (real processes, one loss of history and five changes).
  */
-import { err, ok, type Result } from 'neverthrow';
+import type { Result } from 'neverthrow';
 import { monotonicMs, sleep } from '../../common/clock.js';
-import type { ChangedRecord, RecordAddress, RecordStore, StoredRecord } from '../../protocol/record-store.js';
-import { StateError } from '../../state/state-error.js';
-import { readCurrent } from '../../state/store/index.js';
+import type {
+  ChangedRecord,
+  RecordAddress,
+  RecordChanges,
+  RecordStore,
+  RecordStoreError,
+  StoredRecord,
+} from '../../protocol/record-store.js';
+import type { StateError } from '../../state/state-error.js';
+import { readCurrent, readRange } from '../../state/store/index.js';
 
-/** Longest wait of one question for changes, milliseconds. */
+/**
+ * Longest wait of one long poll, milliseconds. Chosen, not measured: it bounds a quiet feed's age and its
+ * rate of calls.
+ */
 export const FEED_WAIT_MS = 1_200;
+/**
+ * Back-off after failed calls, milliseconds; each pause is doubled, and spread by half around its length.
+ * Chosen, not measured.
+ */
 const FIRST_PAUSE_MS = 50;
 const LONGEST_PAUSE_MS = 400;
-/** Time between two reads of a table that was only read in part, milliseconds. */
+/** Time between two whole reads of a table that was read in part, milliseconds. Chosen, not measured. */
 const REREAD_MS = 1_000;
 
 /** A table read whole, and the version from which its changes continue. */
@@ -28,21 +46,24 @@
   readonly isOld?: boolean;
 }
 
-/** What a follower does with what it learns. */
+/** What a follower does with the records. */
 export interface FeedHandler<T> {
   readonly table: string;
   /** Reads the table whole. */
   readAll(): Promise<Result<TableContent<T>, StateError>>;
-  /** Takes the whole content; what is not in it no longer exists. */
+  /** Replaces all records; what is not in the content no longer exists. */
   replaceAll(content: T): void;
   apply(change: ChangedRecord): void;
-  /** Where the records lie that are known, all in one partition; without it old reads are waited out. */
+  /**
+   * Addresses of the known records, all in one partition; without it the feed waits until whole reads are
+   * new.
+   */
   knownAddresses?(): RecordAddress[];
 }
 
-/** Who is told of a feed. */
+/** Observes a feed. */
 export interface FeedObserver {
-  /** The store has answered. */
+  /** The store has answered about changes. */
   answered?(table: string): void;
   /** The table was read whole, or its history was lost. */
   changed(table: string, change: string, version: number): void;
@@ -50,14 +71,14 @@
 
 /** One follower. */
 export class RecordFeed<T> {
-  /** When the question was asked whose answer is the newest. */
+  /** Start of the newest answered call about changes, on the monotonic clock. */
   private currentAsOfMs = Number.NEGATIVE_INFINITY;
   private position = 0;
-  /** Position at which the history was lost last: a whole read that shows no more is old. */
+  /** Position at the last loss of history: a whole read that shows no more is old. */
   private lostAt = -1;
-  /** Whether a whole read may be old, since no answer about changes has followed it. */
-  private isDoubtful = true;
-  /** Whether records may be there that are not known, because no whole read was new. */
+  /** Whether the last whole read may be old, since no answer about changes has followed it. */
+  private mayBeOld = true;
+  /** Whether there may be unknown records, because no whole read was new. */
   private isPartial = false;
   private readAtMs = Number.NEGATIVE_INFINITY;
 
@@ -65,7 +86,7 @@
     private readonly store: RecordStore,
     private readonly handler: FeedHandler<T>,
     private readonly observer: FeedObserver,
-    /** Resolves when changes may be asked for again after some were taken. Default: at once. */
+    /** Resolves when the next long poll may start after changes were applied. Default: at once. */
     private readonly pause: (signal: AbortSignal) => Promise<void> = () => Promise.resolve(),
   ) {}
 
@@ -74,24 +95,19 @@
   }
 
   /**
-   * Time since the question was asked whose answer is the newest, milliseconds: what changed before it is known. Whole reads
-   * don't count, since they may be old; infinite before the first answer that does.
+   * Time since the start of the newest answered call about changes, milliseconds: all earlier changes are
+   * applied. Whole reads do not count, since they may be old; infinite before the first answer that counts.
    */
   get ageMs(): number {
     return monotonicMs() - this.currentAsOfMs;
   }
 
-  /** Version up to which changes were taken. */
-  get version(): number {
-    return this.position;
-  }
-
-  /** Runs until `signal` is aborted. Nodes that lose the history together don't read again in the same moment. */
+  /** Runs until `signal` is aborted. Nodes that lose the history together read again at spread times. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!(await this.readSnapshot(signal))) return;
       await this.followChanges(signal);
-      await sleep(FIRST_PAUSE_MS * (0.5 + Math.random()), signal);
+      await sleep(spreadPause(FIRST_PAUSE_MS), signal);
     }
   }
 
@@ -99,8 +115,8 @@
     let pauseMs = FIRST_PAUSE_MS;
     while (!signal.aborted) {
       if (await this.tryToRead()) return true;
-      await sleep(pauseMs * (0.5 + Math.random()), signal);
-      pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+      await sleep(spreadPause(pauseMs), signal);
+      pauseMs = nextPauseMs(pauseMs);
     }
     return false;
   }
@@ -118,14 +134,14 @@
     const canFollow = version >= this.position && version > this.lostAt;
     if (canFollow && !isOld) {
       this.isPartial = false;
-      this.isDoubtful = true;
+      this.mayBeOld = true;
       this.report('read whole');
       return true;
     }
     return (await this.readKnown(version)) || canFollow;
   }
 
-  /** Reads what is known as it is now, since the whole read shows `oldVersion`. */
+  /** Reads the known records as they are now, since the whole read shows `oldVersion`. */
   private async readKnown(oldVersion: number): Promise<boolean> {
     const addresses = this.handler.knownAddresses?.() ?? [];
     if (addresses.length === 0) return false;
@@ -138,13 +154,15 @@
       this.handler.apply(found.get(address.key) ?? { ...address, value: undefined, version });
     this.position = Math.max(this.position, version);
     this.isPartial = true;
-    this.isDoubtful = false;
+    this.mayBeOld = false;
     this.noteAnswer(askedAtMs);
     this.report(`read in part: a whole read shows version ${oldVersion}`);
     return true;
   }
 
-  /** Reads a table again that was read in part. An old read is not taken: the changes that followed are newer. */
+  /**
+   * Reads a table whole that was read in part. An old read is dropped: the changes applied since are newer.
+   */
   private async complete(): Promise<void> {
     this.readAtMs = monotonicMs();
     const read = await this.handler.readAll();
@@ -160,26 +178,41 @@
     let pauseMs = FIRST_PAUSE_MS;
     while (!signal.aborted) {
       const askedAtMs = monotonicMs();
-      const waitMs = this.isDoubtful ? 0 : FEED_WAIT_MS;
+      const waitMs = this.mayBeOld ? 0 : FEED_WAIT_MS;
       const outcome = await this.store.changes(this.handler.table, this.position, waitMs, signal);
       if (outcome.isOk()) {
-        this.isDoubtful = false;
-        this.take(outcome.value.changes, outcome.value.version, askedAtMs);
         pauseMs = FIRST_PAUSE_MS;
-        if (this.isPartial && monotonicMs() - this.readAtMs > REREAD_MS) await this.complete();
-        if (outcome.value.changes.length > 0) await this.pause(signal);
-        continue;
-      }
-      if (outcome.error.failure === 'history-lost' || outcome.error.failure === 'refused') {
-        if (outcome.error.failure === 'history-lost') this.lostAt = this.position;
-        this.report(`history lost: ${outcome.error.message}`);
-        return;
+        await this.takeAnswer(outcome.value, askedAtMs, signal);
+      } else if (this.mustReadAgain(outcome.error)) return;
+      else {
+        await sleep(spreadPause(pauseMs), signal);
+        pauseMs = nextPauseMs(pauseMs);
       }
-      await sleep(pauseMs * (0.5 + Math.random()), signal);
-      pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
     }
   }
 
+  private async takeAnswer(
+    { changes, version }: RecordChanges,
+    askedAtMs: number,
+    signal: AbortSignal,
+  ): Promise<void> {
+    this.mayBeOld = false;
+    this.take(changes, version, askedAtMs);
+    if (this.isPartial && monotonicMs() - this.readAtMs > REREAD_MS) await this.complete();
+    if (changes.length > 0) await this.pause(signal);
+  }
+
+  /**
+   * A position that the store refuses is dropped like one whose history is lost; any other failure is
+   * transient.
+   */
+  private mustReadAgain({ failure, message }: RecordStoreError): boolean {
+    if (failure !== 'history-lost' && failure !== 'refused') return false;
+    if (failure === 'history-lost') this.lostAt = this.position;
+    this.report(`history lost: ${message}`);
+    return true;
+  }
+
   private take(changes: readonly ChangedRecord[], version: number, askedAtMs: number): void {
     for (const change of changes) if (change.version > this.position) this.handler.apply(change);
     this.position = Math.max(this.position, version);
@@ -196,6 +229,15 @@
   }
 }
 
+/** Spread by half around its length, so that nodes do not call together. */
+function spreadPause(pauseMs: number): number {
+  return pauseMs * (0.5 + Math.random());
+}
+
+function nextPauseMs(pauseMs: number): number {
+  return Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+}
+
 /** Reads one partition of a table whole, with `allowsOld` also as of an earlier moment. */
 export async function readPartition(
   store: RecordStore,
@@ -203,18 +245,6 @@
   partition: string,
   allowsOld = false,
 ): Promise<Result<TableContent<StoredRecord[]>, StateError>> {
-  const records: StoredRecord[] = [];
-  let version = Number.POSITIVE_INFINITY;
-  let isOld = false;
-  let from: string | undefined;
-  for (;;) {
-    const page = await store.scan({ table, partition, from, allowsOld });
-    if (page.isErr()) return err(new StateError('unavailable', 'none', page.error.message));
-    records.push(...page.value.records);
-    version = Math.min(version, page.value.version);
-    isOld ||= page.value.isOld === true;
-    const last = records.at(-1);
-    if (!page.value.hasMore || !last) return ok({ content: records, version, isOld });
-    from = `${last.key}\0`;
-  }
+  const range = await readRange(store, table, partition, undefined, undefined, allowsOld);
+  return range.map(({ records, version, isOld }) => ({ content: records, version, isOld }));
 }
--- a/src/coordination/feeds/shared-table.ts
+++ b/src/coordination/feeds/shared-table.ts
@@ -1,4 +1,4 @@
-/** Follows a table in which several kinds of records lie, each in partitions of its own. */
+/** Follows a table that holds two kinds of records, each in partitions of its own, with one feed. */
 import { err, ok, type Result } from 'neverthrow';
 import type { ChangedRecord } from '../../protocol/record-store.js';
 import type { StateError } from '../../state/state-error.js';
@@ -16,7 +16,7 @@
   readonly other: Other;
 }
 
-/** Gives one kind the records of its partition, and the main kind all others. */
+/** Passes records of one partition to one handler, and all others to the main handler. */
 export class SharedTable<Main, Other> implements FeedHandler<SharedContent<Main, Other>> {
   constructor(
     private readonly main: FeedHandler<Main>,
--- a/src/protocol/record-store.ts
+++ b/src/protocol/record-store.ts
@@ -1,7 +1,7 @@
 /**
- * The store in which everything lasting lives, as the product sees it: versioned records in tables and partitions,
- * conditional transactions, a feed of changes, and objects. Which outside store stands behind it is a matter of the
- * adapter that implements `RecordStore`.
+ * The store in which everything durable lives, as the product sees it: versioned records in tables and
+ * partitions, conditional transactions, a feed of changes, and objects. An adapter implements `RecordStore`
+ * for the actual store.
  */
 import type { Result } from 'neverthrow';
 
@@ -28,7 +28,7 @@
   readonly value: Buffer;
 }
 
-/** Carried out whole or not at all. */
+/** Executed whole or not at all. */
 export interface RecordTransaction {
   readonly conditions: readonly RecordCondition[];
   readonly writes: readonly RecordWrite[];
@@ -43,9 +43,12 @@
   readonly from?: string;
   /** End of the range, excluded. Default: the end of the partition. */
   readonly until?: string;
-  /** Records at most. Default: what the store gives at most. */
+  /** Most records to return. Default: the store's own limit. */
   readonly limit?: number;
-  /** Takes an answer that is older than one which the process had before it asked. Default: such a read fails as stale. */
+  /**
+   * Accepts an answer older than one that the process had before the call. Default: such a read fails as
+   * `stale`.
+   */
   readonly allowsOld?: boolean;
 }
 
@@ -54,7 +57,7 @@
   readonly records: readonly StoredRecord[];
   readonly hasMore: boolean;
   readonly version: number;
-  /** Whether the process had a newer answer, about whatever table, before it asked. Default: false. */
+  /** Whether the process had a newer answer, about any table, before the call. Default: false. */
   readonly isOld?: boolean;
 }
 
@@ -64,7 +67,7 @@
   readonly version: number;
 }
 
-/** Changes of one table in order; the next question goes on after `version`. */
+/** Changes of one table in order; the next call continues after `version`. */
 export interface RecordChanges {
   readonly changes: readonly ChangedRecord[];
   readonly version: number;
@@ -72,20 +75,20 @@
 
 /** How a call of the store failed. */
 export type RecordStoreFailure =
-  /** The store did not answer, or could not be reached. */
+  /** The store did not answer, or was unreachable. */
   | 'unavailable'
   /** Over the rate; nothing was done. */
   | 'rate-limited'
   /** A condition did not hold; nothing was done. */
   | 'conflict'
-  /** The changes asked for are no longer kept: read the table whole and go on from there. */
+  /** The changes are no longer kept: read the table whole and continue from there. */
   | 'history-lost'
   /** The answer is older than one that this process has already had. */
   | 'stale'
   /** The store does not accept the call; a repeat would fail in the same way. */
   | 'refused';
 
-/** A failed call. `effect` is `none` only when it is certain that nothing was done and nothing will be done. */
+/** A failed call. `effect` is `none` only when it is certain that nothing was done and nothing will be. */
 export class RecordStoreError extends Error {
   override readonly name = 'RecordStoreError';
 
@@ -110,10 +113,10 @@
   readonly objectBytes: number;
 }
 
-/** Client of the store. No call is ever repeated by it. */
+/** Client of the store. It never repeats a call. */
 export interface RecordStore {
   readonly limits: RecordStoreLimits;
-  /** Resolves to the version that the transaction got. An abort gives the answer up, not the transaction. */
+  /** Resolves to the transaction's version. An abort abandons the answer, not the transaction. */
   transact(transaction: RecordTransaction, signal?: AbortSignal): Promise<Result<number, RecordStoreError>>;
   scan(range: RecordRange, signal?: AbortSignal): Promise<Result<RecordPage, RecordStoreError>>;
   /** Waits up to `waitMs` for changes of `table` after the version `after`. */
@@ -129,10 +132,10 @@
   /** Names of all objects that start with `prefix`, in order. */
   listObjects(prefix: string): Promise<Result<string[], RecordStoreError>>;
   removeObject(name: string): Promise<Result<void, RecordStoreError>>;
-  /** How long an answer usually takes now, milliseconds; 0 while nothing is known. */
+  /** How long an answer usually takes now, milliseconds; 0 while unknown. */
   usualAnswerMs(): number;
-  /** Whether the store has served this process lately; false when all calls of some time were left without success. */
+  /** Whether the store answers this process; false when no call was served for some time. */
   isAnswering(): boolean;
-  /** The store's steady clock, milliseconds, as estimated from its newest answer. */
+  /** The store's steady clock, milliseconds, estimated from its newest answer. */
   nowMs(): number;
 }
--- a/src/state/service/store/instrumented-store.ts
+++ b/src/state/service/store/instrumented-store.ts
@@ -1,4 +1,10 @@
-/** The record store with counters, latency histograms and a lifecycle that says whether it answers. */
+/**
+ * The record store with metrics, and the belief whether it answers this process.
+ *
+ * Owns: the open calls, their latency, the logged state (answering, slow, silent). Relies on: the wrapped
+ * store, to which calls are passed unchanged; calls whose answer is lost are aborted (`overdue-calls.ts`),
+ * none is repeated here.
+ */
 import type { Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -24,25 +30,33 @@
   silent: { answered: 'answering', answeredLate: 'slow', failed: 'silent' },
 } as const;
 
-/** A store whose answers usually take longer counts as slow, milliseconds. */
-const LATE_MS = 100;
+/** Usual time of an answer above which the store is logged as slow, milliseconds. Chosen, not measured. */
+const SLOW_ANSWER_MS = 100;
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** A store counts as out of reach after this time without an answer, milliseconds, or this many usual answers. */
-const OUT_OF_REACH_MS = 1_000;
-const OUT_OF_REACH_ANSWERS = 4;
+/**
+ * The store counts as not answering after this time without an answer, milliseconds, or this many usual
+ * answers if that is longer. Chosen, not measured.
+ */
+const SILENCE_MS = 1_000;
+const SILENCE_ANSWERS = 4;
 
-/** A small question, to learn whether the store answers. */
+/** A minimal scan, to learn whether the store answers. */
 const PROBE: RecordRange = { table: 'probe', partition: '', limit: 1 };
 
-/** Failures that say nothing of the store's state: it was not reached, or turned the call away. */
+/** Failures by which the store has not served the call: it was unreachable, or rejected the call unread. */
 const NOT_SERVED: ReadonlySet<RecordStoreFailure> = new Set(['unavailable', 'rate-limited']);
 
 function isAnswered(answer: Result<unknown, RecordStoreError>): boolean {
   return answer.isOk() || !NOT_SERVED.has(answer.error.failure);
 }
 
-/** Wraps a store; passes every call on unchanged. */
+/** Whether a store that was silent for `silentMs` still counts as answering; both in milliseconds. */
+export function countsAsAnswering(silentMs: number, usualAnswerMs: number): boolean {
+  return silentMs < Math.max(SILENCE_MS, usualAnswerMs * SILENCE_ANSWERS);
+}
+
+/** Wraps a store; passes every call through unchanged. */
 export class InstrumentedStore implements RecordStore {
   private readonly health: Lifecycle<Health, HealthEvent>;
   private readonly calls = new OverdueCalls(() => void this.scan(PROBE));
@@ -69,7 +83,7 @@
   }
 
   isAnswering(): boolean {
-    return this.calls.silentMs < Math.max(OUT_OF_REACH_MS, this.usualAnswerMs() * OUT_OF_REACH_ANSWERS);
+    return countsAsAnswering(this.calls.silentMs, this.usualAnswerMs());
   }
 
   nowMs(): number {
@@ -130,11 +144,16 @@
     return answer;
   }
 
-  /** A call that fails while others are answered says nothing: a part of the store may be down, or one answer lost. */
+  /**
+   * One failure while other calls are answered changes nothing: a partition may be down, or one answer lost.
+   */
   private noteHealth(failure: string | undefined): void {
     const usualMs = this.usualAnswerMs();
     if (!this.isAnswering()) this.health.sendIfTaken('failed', failure ?? 'no answer');
     else if (failure === undefined)
-      this.health.sendIfTaken(usualMs > LATE_MS ? 'answeredLate' : 'answered', `${Math.round(usualMs)} ms`);
+      this.health.sendIfTaken(
+        usualMs > SLOW_ANSWER_MS ? 'answeredLate' : 'answered',
+        `${Math.round(usualMs)} ms`,
+      );
   }
 }
--- a/src/state/service/store/overdue-calls.ts
+++ b/src/state/service/store/overdue-calls.ts
@@ -1,34 +1,43 @@
 /**
- * The open calls of the store: how long answers take, since when none has come, and which calls are given up because
- * their answer will not come. A missing answer alone proves nothing: the store may be slow.
- * But when a call that was made later has been answered, and the earlier one has waited many times as long as answers
- * take now, its answer is lost, and waiting for it only delays the repeat. While calls wait, a small question is asked now
+ * The open calls of the store: how long answers take, for how long none has come, and which calls are aborted
+ * because their answer is lost. A missing answer alone proves nothing, since the store may be slow. But when
+ * a later call has been answered, and the earlier one has waited many times as long as answers take now, its
+ * answer is lost, and waiting only delays the repeat. While calls wait, a minimal scan probes the store now
  * and then, so that there is something to be answered.
  */
 import { monotonicMs } from '../../../common/clock.js';
 
-/** A call is never given up before this, milliseconds. */
+/**
+ * Wait after which an overtaken call is aborted: this many usual answers, at least the shortest wait,
+ * milliseconds. Chosen, not measured: a call aborted too early is repeated and costs another, one aborted too
+ * late delays its caller.
+ */
+const OVERDUE_ANSWERS = 8;
 const SHORTEST_WAIT_MS = 150;
-/** A call is overdue after this many times the usual time of an answer. */
-const PATIENCE = 8;
-/** Weight of the newest answer in the moving average. */
+/** Weight of the newest answer in the moving average of answer times. Chosen, not measured. */
 const AVERAGE_WEIGHT = 0.25;
-/** A call is late after this time, milliseconds; while calls are late they are looked at as often as that. */
+/**
+ * Wait after which a call is late, and the interval of checks while calls are late, milliseconds. Chosen, not
+ * measured.
+ */
 const CHECK_MS = 100;
-/** Time between two questions while calls wait, milliseconds. */
+/**
+ * Interval of probes while calls are late, milliseconds: five of the store's reads a second. Chosen, not
+ * measured.
+ */
 const PROBE_MS = 200;
 
 /** A call under way. */
 export interface OpenCall {
-  /** Aborted when the call is given up. */
+  /** Aborted when the answer counts as lost, or by the caller. */
   readonly signal: AbortSignal;
-  /** Must be called at the end. */
+  /** Must be called once the call has ended. */
   close(isAnswered: boolean): void;
 }
 
 interface WaitingCall {
   readonly startedAtMs: number;
-  /** Time that the store may hold the answer on purpose, milliseconds. */
+  /** Time for which the store may hold the answer (long poll), milliseconds. */
   readonly heldMs: number;
   readonly controller: AbortController;
 }
@@ -36,28 +45,29 @@
 /** The open calls of a process. */
 export class OverdueCalls {
   private readonly waiting = new Set<WaitingCall>();
+  /** Moving average of answer times, milliseconds; 0 before the first answer. */
   private averageMs = 0;
   /** Start of the latest call that has been answered. */
   private answeredCallStartedAtMs = Number.NEGATIVE_INFINITY;
   private answeredAtMs = Number.NEGATIVE_INFINITY;
-  /** When the first call was due that has failed since the last answer; `undefined` without one. */
+  /** When the first call that failed since the last answer was due; `undefined` without one. */
   private failingSinceMs: number | undefined;
   private probedAtMs = Number.NEGATIVE_INFINITY;
   private timer: NodeJS.Timeout | undefined;
-  /** When the timer goes off; infinite while there is none. */
+  /** When the timer fires; infinite while there is none. */
   private checksAtMs = Number.POSITIVE_INFINITY;
 
-  /** `probe` asks the store a small question; its call is opened and closed here like any other. */
+  /** `probe` makes a minimal call, which is opened and closed here like any other. */
   constructor(private readonly probe: () => void) {}
 
-  /** How long an answer usually takes now, milliseconds. */
+  /** How long an answer usually takes now, milliseconds; 0 before the first. */
   get usualAnswerMs(): number {
     return this.averageMs;
   }
 
   /**
-   * Time for which nothing was answered although something was asked, milliseconds: since the first call that has failed or
-   * waits, but not longer than since the last answer. Calls that the store may hold count from then on.
+   * Time for which no call was answered although some were open, milliseconds: since the first one due that
+   * failed or waits, at most since the last answer. Long polls are due once their wait has passed.
    */
   get silentMs(): number {
     const now = monotonicMs();
@@ -66,7 +76,7 @@
     return Math.min(now - askedAtMs, now - this.answeredAtMs);
   }
 
-  /** Opens a call. `outer` gives it up as well. */
+  /** Opens a call; the caller may abort it by `outer`. */
   open(heldMs: number, outer?: AbortSignal): OpenCall {
     const call = { startedAtMs: monotonicMs(), heldMs, controller: new AbortController() };
     this.waiting.add(call);
@@ -97,10 +107,10 @@
     if (call.heldMs > 0) return;
     const tookMs = monotonicMs() - call.startedAtMs;
     this.averageMs += (tookMs - this.averageMs) * AVERAGE_WEIGHT;
-    this.giveUpOverdue();
+    this.abortOverdue();
   }
 
-  /** Looks at the waiting calls at `timeMs` or before. */
+  /** Checks the waiting calls at `timeMs` or before. */
   private checkAt(timeMs: number): void {
     if (timeMs >= this.checksAtMs) return;
     clearTimeout(this.timer);
@@ -112,7 +122,7 @@
   private check(): void {
     this.checksAtMs = Number.POSITIVE_INFINITY;
     if (this.waiting.size === 0) return;
-    this.giveUpOverdue();
+    this.abortOverdue();
     const now = monotonicMs();
     const lateAtMs = Math.min(...[...this.waiting].map(dueAtMs)) + CHECK_MS;
     if (lateAtMs <= now && now - this.probedAtMs >= PROBE_MS) {
@@ -122,17 +132,17 @@
     this.checkAt(Math.max(lateAtMs, now + CHECK_MS));
   }
 
-  private giveUpOverdue(): void {
+  private abortOverdue(): void {
     const now = monotonicMs();
-    const patienceMs = Math.max(SHORTEST_WAIT_MS, this.averageMs * PATIENCE);
+    const longestWaitMs = Math.max(SHORTEST_WAIT_MS, this.averageMs * OVERDUE_ANSWERS);
     for (const call of this.waiting) {
       const isOvertaken = dueAtMs(call) < this.answeredCallStartedAtMs;
-      if (isOvertaken && now - dueAtMs(call) > patienceMs) call.controller.abort();
+      if (isOvertaken && now - dueAtMs(call) > longestWaitMs) call.controller.abort();
     }
   }
 }
 
-/** Time from which on an answer is missing. */
+/** Time from which an answer is missing. */
 function dueAtMs({ startedAtMs, heldMs }: WaitingCall): number {
   return startedAtMs + heldMs;
 }
--- a/src/state/store/current-records.ts
+++ b/src/state/store/current-records.ts
@@ -1,24 +1,26 @@
 /**
- * Reads records as they are now, however old the store's reads of ranges are: a transaction that writes nothing, on the
- * condition that none of the records is there. The store judges conditions by its newest records and tells those that
- * don't meet theirs.
+ * Reads records as they are now, however old the store's scans are: a transaction without writes, on the
+ * condition that none of the records exists. The store checks conditions against its newest records and
+ * returns those that fail.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { RecordAddress, RecordStore, StoredRecord } from '../../protocol/record-store.js';
 import { StateError } from '../state-error.js';
 
-/** Conditions that the store takes in one transaction. */
+/** Conditions that the store accepts in one transaction (limit of its protocol). */
 const MAX_CONDITIONS = 100;
 const ABSENT = 0;
 
 /** Records as of the same moment or later; those of the addresses that are missing don't exist. */
 export interface CurrentRecords {
   readonly records: readonly StoredRecord[];
-  /** Newest version of the store at the first moment that they show. */
+  /** Lowest version of the store that any of the records was read at. */
   readonly version: number;
 }
 
-/** Reads the records at `addresses`, all of one partition. Costs one writing call for each hundred. */
+/**
+ * Reads the records at `addresses`, all of one partition, with one write call per hundred. A repeat is safe.
+ */
 export async function readCurrent(
   store: RecordStore,
   addresses: readonly RecordAddress[],
--- a/src/state/store/index.ts
+++ b/src/state/store/index.ts
@@ -1,1 +1,2 @@
 export { readCurrent } from './current-records.js';
+export { readRange } from './read-range.js';
--- a/src/state/store/read-range.ts
+++ b/src/state/store/read-range.ts
@@ -1,26 +1,41 @@
-/** Reads a range of records that may be longer than one page. */
+/** Reads a range of records over all its pages. A failed page fails the whole read; a repeat is safe. */
 import { err, ok, type Result } from 'neverthrow';
-import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
-import { StateError } from '../../state-error.js';
+import type { RecordStore, StoredRecord } from '../../protocol/record-store.js';
+import { StateError } from '../state-error.js';
 
-/** Records of a range, read page by page; the version is that of the first page. */
+/** Content of a range. */
+export interface RangeContent {
+  readonly records: StoredRecord[];
+  /** Lowest version of the pages: later changes may be missing. */
+  readonly version: number;
+  /** Whether a page is older than an answer that the process had before. */
+  readonly isOld: boolean;
+}
+
+/**
+ * Reads from `from` (included, default the start) to `until` (excluded, default the end); `allowsOld` as in
+ * `RecordRange`.
+ */
 export async function readRange(
   store: RecordStore,
   table: string,
   partition: string,
   from?: string,
   until?: string,
-): Promise<Result<{ records: StoredRecord[]; version: number }, StateError>> {
+  allowsOld = false,
+): Promise<Result<RangeContent, StateError>> {
   const records: StoredRecord[] = [];
   let version = Number.POSITIVE_INFINITY;
+  let isOld = false;
   let next = from;
   for (;;) {
-    const page = await store.scan({ table, partition, from: next, until });
+    const page = await store.scan({ table, partition, from: next, until, allowsOld });
     if (page.isErr()) return err(new StateError('unavailable', 'none', page.error.message));
     records.push(...page.value.records);
     version = Math.min(version, page.value.version);
+    isOld ||= page.value.isOld === true;
     const last = records.at(-1);
-    if (!page.value.hasMore || !last) return ok({ records, version });
+    if (!page.value.hasMore || !last) return ok({ records, version, isOld });
     next = `${last.key}\0`;
   }
 }
--- a/test/coordination/feeds/record-feed.test.ts
+++ b/test/coordination/feeds/record-feed.test.ts
@@ -26,7 +26,7 @@
 
 const OBSERVER: FeedObserver = { answered: () => {}, changed: () => {} };
 
-describe('questions for changes', () => {
+describe('long polls for changes', () => {
   let store: BusyStore;
   let taken: number;
   let controller: AbortController;
@@ -48,7 +48,7 @@
     },
   };
 
-  it('wait after each answer with changes until the pause is over', async () => {
+  it('start after an answer with changes once the pause is over', async () => {
     const pauseIsOver = new ConditionVariable();
     const pause = (signal: AbortSignal) => pauseIsOver.wait(signal);
     const feed = new RecordFeed(store as unknown as RecordStore, handler, OBSERVER, pause);
--- a/test/state/service/store/overdue-calls.test.ts
+++ b/test/state/service/store/overdue-calls.test.ts
@@ -4,7 +4,7 @@
 import { until } from '../../../support/wait.js';
 
 describe('calls of the store', () => {
-  it('that a later answered call has overtaken are given up', async () => {
+  it('are aborted when a later call was answered and they are overdue', async () => {
     const calls = new OverdueCalls(() => {
       const later = calls.open(0);
       later.close(true);
@@ -25,7 +25,7 @@
     waiting.close(true);
   });
 
-  it('are given the time that the store may hold them', async () => {
+  it('may take the time for which the store holds them', async () => {
     let probes = 0;
     const calls = new OverdueCalls(() => {
       probes += 1;
