--- a/src/coordination/service/membership/announcements.ts
+++ b/src/coordination/service/membership/announcements.ts
@@ -1,8 +1,10 @@
 /**
- * What operators and trainers announce through the store: the configuration, the newest weight version of each model, and
- * zones whose replicas are to get nothing. An adapter reads the records; this module keeps what they say.
+ * Takes over what operators and trainers announce through the store: the configuration, the newest weight
+ * version of each model, and evacuated zones, whose replicas get no requests. An adapter parses the records.
+ *
+ * Owns: the configuration's record as the operator wrote it. Relies on: the feed of the operators' table. An
+ * unreadable configuration is logged and the one in force stays.
  */
-
 import type { Result } from 'neverthrow';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
@@ -27,22 +29,25 @@
   versionKey(model: string): string;
   parseConfiguration(value: Buffer): RoutingConfiguration | undefined;
   parseNamedVersion(key: string, value: Buffer): { model: string; version: number } | undefined;
-  /** The zone that a record takes out of use while it is there; `undefined` when the record is of another kind. */
+  /** The zone that a record evacuates while it exists; `undefined` when the record is of another kind. */
   evacuatedZoneOf(key: string): string | undefined;
   evacuationKey(zone: string): string;
   /** The replica in a record, or what is wrong with the record. */
   parseReplica(id: string, value: Buffer): Result<Replica, string>;
 }
 
-/** Records of announcements, as they are read whole. */
+/** Records of a whole read. */
 export type Announced = StoredRecord[];
 
 /** Partition of all announcements. */
 export const ANNOUNCED_PARTITION = '';
-/** Announcements that are as new as those taken before are taken, also when the store has shown something newer. */
+/**
+ * Whole reads may be older than other answers of the store; the feed drops those older than what it has
+ * applied.
+ */
 export const ALLOWS_OLD = true;
 
-/** Takes the configuration, the named versions and the zones out of use. */
+/** The announcements of operators and trainers. */
 export class OperatorAnnouncements implements FeedHandler<Announced> {
   private configurationRecord: Buffer | undefined;
 
@@ -64,7 +69,7 @@
     return readPartition(this.store, this.table, ANNOUNCED_PARTITION, ALLOWS_OLD);
   }
 
-  /** The configuration, the named version of each model that it has, and each zone's being out of use. */
+  /** Records of the configuration, of each known model's version, and of each known zone's evacuation. */
   knownAddresses(): RecordAddress[] {
     const services = this.routing.current?.configuration.services ?? [];
     const models = new Set([...services.flatMap((service) => service.models), ...this.versions.models]);
@@ -96,7 +101,10 @@
     return this.configurationRecord;
   }
 
-  /** Takes the operator's record of the configuration, from the store or from another node. */
+  /**
+   * Takes over the operator's record of the configuration, from the store or a peer. Older versions are
+   * ignored.
+   */
   takeConfiguration(value: Buffer): void {
     const configuration = this.format.parseConfiguration(value);
     if (!configuration) {
--- a/src/coordination/service/membership/fleet-directory.ts
+++ b/src/coordination/service/membership/fleet-directory.ts
@@ -1,6 +1,7 @@
 /**
- * All nodes at work, from their announcements in the store. Each node follows the table, so that all hear of one that comes or
- * leaves within a second. A node that was lost without a word is in the table until its announcement is old; who calls it finds out.
+ * All running nodes, from their announcements in the store. Each node follows the table, so a node that joins
+ * or leaves is known to all within a second. One that crashed stays listed until its announcement expires;
+ * calls to it fail until then.
  */
 import type { ChangedRecord, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { FleetMember } from '../../../state/service/replicas/index.js';
@@ -9,7 +10,7 @@
 
 const ALLOWS_OLD = true;
 
-/** The nodes that one node knows. */
+/** The fleet as one node knows it. */
 export class FleetDirectory implements FeedHandler<readonly StoredRecord[]> {
   readonly table = SERVING_NODES;
   private readonly announcements = new Map<string, Announcement>();
@@ -22,7 +23,7 @@
     this.listeners.add(listener);
   }
 
-  /** Nodes that answer others, this one among them once it has announced itself. */
+  /** Nodes that answer peers; this one among them once it has announced itself. */
   get members(): FleetMember[] {
     const nowMs = this.store.nowMs();
     return [...this.announcements].flatMap(([name, announcement]) => {
--- a/src/coordination/service/membership/fleet-time.ts
+++ b/src/coordination/service/membership/fleet-time.ts
@@ -1,6 +1,7 @@
 /**
- * Time of day as the whole fleet sees it: the store's steady clock, plus the median of what the nodes' own clocks add to it.
- * The clock of one machine may be off, or jump by seconds and return; that of the median node is not touched by it.
+ * Time of day as the whole fleet agrees on it: the store's steady clock, plus the median of what the nodes'
+ * own clocks add to it. One machine's clock may be off, or jump by seconds and return; that does not move the
+ * median.
  */
 import type { RecordStore } from '../../../protocol/record-store.js';
 
@@ -19,13 +20,13 @@
     return this.timeOfDayMs() - this.store.nowMs();
   }
 
-  /** Time of day, milliseconds since the start of 1970; by this node's own clock while no other is known. */
+  /** Time of day, milliseconds since 1970; by this node's own clock until offsets are known. */
   now(): number {
     if (this.agreedOffsetMs === undefined) return this.timeOfDayMs();
     return this.store.nowMs() + this.agreedOffsetMs;
   }
 
-  /** Takes the offsets of all nodes that are at work. */
+  /** Takes the offsets (milliseconds) of all running nodes; without any the last agreement stays. */
   agree(offsetsMs: readonly number[]): void {
     const sorted = [...offsetsMs].sort((left, right) => left - right);
     const median = sorted[Math.floor(sorted.length / 2)];
--- a/src/coordination/service/membership/node-announcement.ts
+++ b/src/coordination/service/membership/node-announcement.ts
@@ -1,15 +1,15 @@
-/** What a node announces of itself in the store, for other nodes. */
+/** The stored announcement of a node, for its peers. */
 
 /** Table of the announcements; their key is the node's name. */
 export const SERVING_NODES = 'serving-nodes';
-/** Time after which an announcement that was not renewed is no longer believed, milliseconds. */
+/** Age at which an announcement expires, milliseconds: above three intervals of renewal (`ANNOUNCE_MS`). */
 const EXPIRY_MS = 200_000;
 
-/** What an announcement says. Nodes of the build before leave out what it did not know. */
+/** Stored; the names of fields stay. Nodes of earlier builds leave out optional fields. */
 export interface Announcement {
-  /** Where callers are served, `IP:PORT`. */
+  /** Listener for callers, `IP:PORT`. */
   readonly address: string;
-  /** Where other nodes are answered, `IP:PORT`. */
+  /** Listener for peers, `IP:PORT`. */
   readonly peerAddress?: string;
   readonly zone?: string;
   /** Processor share, in cores. */
@@ -25,7 +25,7 @@
   return JSON.parse(value.toString('utf8')) as Announcement;
 }
 
-/** Whether an announcement is too old to be believed at `nowMs` on the store's clock. */
+/** Whether an announcement has expired at `nowMs` on the store's clock. */
 export function isExpired({ announcedAtMs }: Announcement, nowMs: number): boolean {
   return nowMs - announcedAtMs > EXPIRY_MS;
 }
--- a/src/coordination/service/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -1,7 +1,9 @@
 /**
- * Where other nodes serve callers. Each node announces its address in the store and remembers those of a few nodes that
- * follow it in the order of their names, so that the cost for each node stays the same however many there are. Now and
- * then it counts all nodes.
+ * Addresses of a few peers, and the size of the fleet. Each node announces its addresses in the store and
+ * keeps those of a few nodes that follow it in the order of names, so that the cost per node does not grow
+ * with the fleet. It counts all nodes now and then.
+ *
+ * Relies on: the store. While it does not answer, the addresses and the count stay as they were last read.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -11,27 +13,38 @@
 import { type Announcement, isExpired, parseAnnouncement, SERVING_NODES } from './node-announcement.js';
 
 const TABLE = SERVING_NODES;
-/** Looks after which all announcements are counted again; first with the second look. */
-const COUNT_LOOKS = 12;
-/** Other nodes that are remembered. */
-const REMEMBERED = 8;
-/** How often a node announces itself, milliseconds. */
+/**
+ * Reads between two counts of all nodes, which are large reads; the first count follows the second read.
+ * Chosen, not measured.
+ */
+const READS_PER_COUNT = 12;
+/**
+ * Peers whose addresses are kept. Chosen, not measured: enough that one reaches the store when a zone is cut
+ * off.
+ */
+const KEPT_PEERS = 8;
+/** Interval of announcements, milliseconds. Chosen, not measured; a third of their expiry at most. */
 const ANNOUNCE_MS = 60_000;
-/** Time between two looks, milliseconds; the first ones come sooner, while all nodes start. */
-const LOOK_MS = 10_000;
-const FIRST_LOOK_MS = 1_500;
-const LOOK_SPREAD = 0.2;
-
-/** What a node says of itself besides its addresses. */
+/**
+ * Intervals of reads, milliseconds: the first ones are shorter, while all nodes start. Chosen, not measured.
+ */
+const READ_MS = 10_000;
+const FIRST_READ_MS = 1_500;
+/** Share of the interval over which reads are spread. Chosen, not measured. */
+const READ_SPREAD = 0.2;
+/** Rank of a peer between one that carried out the last forwarded call (1) and one that failed to (0). */
+const UNTRIED_RANK = 0.5;
+
+/** What a node announces besides its addresses. */
 export type NodeTraits = Pick<Announcement, 'zone' | 'capacity'>;
 
-/** The addresses that one node knows. */
+/** The addresses known to one node. */
 export class PeerAddresses {
-  /** Time of day as the fleet sees it. */
+  /** Time of day as the fleet agrees on it. */
   readonly time: FleetTime;
   private known: readonly Announcement[] = [];
   private count = 1;
-  /** Nodes that carried out the last call that was passed on to them, or failed to. */
+  /** Whether a peer carried out the last call forwarded to it, by address. */
   private readonly hasServed = new Map<string, boolean>();
   private isWithdrawn = false;
 
@@ -45,46 +58,51 @@
     this.time = new FleetTime(store);
   }
 
-  /** Up to `count` addresses (`IP:PORT`): nodes that served last time, then untried ones, then the others. */
+  /**
+   * Up to `count` callers' addresses (`IP:PORT`): peers that served last time, then untried ones, then the
+   * others.
+   */
   likeliest(count: number): string[] {
     return this.ranked()
       .slice(0, count)
       .map(({ address }) => address);
   }
 
-  /** Like `likeliest`, but the addresses at which nodes answer each other. */
+  /** Like `likeliest`, but the peer addresses. */
   likeliestPeers(count: number): string[] {
     return this.ranked()
       .flatMap(({ peerAddress }) => peerAddress ?? [])
       .slice(0, count);
   }
 
-  /** Nodes that are at work, as counted last: 1 before that. */
+  /** Running nodes by the last count; 1 before the first. */
   get fleetSize(): number {
     return this.count;
   }
 
-  /** Takes note of whether a node carried out a call that was passed on to it. */
+  /** Notes whether a peer carried out a call forwarded to it. */
   note(address: string, hasServed: boolean): void {
     this.hasServed.set(address, hasServed);
   }
 
-  /** Takes this node's announcement away: it is leaving. */
+  /** Removes this node's announcement, as it drains. If that fails, the announcement expires. */
   async withdraw(): Promise<void> {
     this.isWithdrawn = true;
     await this.store.transact({ conditions: [], writes: [], removals: [recordAddress(this.nodeName)] });
   }
 
-  /** Announces this node, which serves callers and other nodes at these addresses (`IP:PORT`), and looks for others. */
+  /**
+   * Announces this node with its addresses (`IP:PORT`) and reads those of others until `signal` is aborted.
+   */
   async run(address: string, signal: AbortSignal, peerAddress?: string): Promise<void> {
     await this.untilAnswered(signal);
     await Promise.all([this.announceRegularly(address, peerAddress, signal), this.refreshLoop(signal)]);
   }
 
-  /** Until the store has answered once its clock is not known, and an announcement would bear a wrong time. */
+  /** Before the first answer the store's clock is unknown, and an announcement would have a wrong time. */
   private async untilAnswered(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && (await this.scan(undefined)) === undefined)
-      await this.clock.sleep(FIRST_LOOK_MS, signal);
+      await this.clock.sleep(FIRST_READ_MS, signal);
   }
 
   private async announceRegularly(
@@ -95,7 +113,7 @@
     let isAnnounced = false;
     while (!signal.aborted && !this.isWithdrawn) {
       isAnnounced = await this.announce(address, peerAddress);
-      await this.clock.sleep(isAnnounced ? ANNOUNCE_MS : FIRST_LOOK_MS, signal);
+      await this.clock.sleep(isAnnounced ? ANNOUNCE_MS : FIRST_READ_MS, signal);
     }
   }
 
@@ -113,11 +131,11 @@
   }
 
   private async refreshLoop(signal: AbortSignal): Promise<void> {
-    for (let looks = 0; !signal.aborted; looks += 1) {
-      const distanceMs = looks < 2 ? FIRST_LOOK_MS : LOOK_MS;
-      await this.clock.sleep(distanceMs * (1 + LOOK_SPREAD * (this.clock.random() - 0.5)), signal);
+    for (let reads = 0; !signal.aborted; reads += 1) {
+      const intervalMs = reads < 2 ? FIRST_READ_MS : READ_MS;
+      await this.clock.sleep(intervalMs * (1 + READ_SPREAD * (this.clock.random() - 0.5)), signal);
       if (!signal.aborted) await this.refresh();
-      if (!signal.aborted && looks % COUNT_LOOKS === 1) await this.countAll();
+      if (!signal.aborted && reads % READS_PER_COUNT === 1) await this.countAll();
     }
   }
 
@@ -134,9 +152,10 @@
   private async refresh(): Promise<void> {
     const following = await this.scan(`${this.nodeName}\0`);
     if (!following) return;
-    const isShort = following.length < REMEMBERED;
+    const isShort = following.length < KEPT_PEERS;
+    // If the second scan fails, the nodes that follow in the order of names are enough until the next read.
     const records = isShort ? [...following, ...((await this.scan(undefined)) ?? [])] : following;
-    const others = records.filter(({ key }) => key !== this.nodeName).slice(0, REMEMBERED);
+    const others = records.filter(({ key }) => key !== this.nodeName).slice(0, KEPT_PEERS);
     const expired = others.filter((record) => this.isExpired(record));
     const present = others.filter((record) => !this.isExpired(record)).map(parse);
     const byAddress = new Map(present.map((announcement) => [announcement.address, announcement]));
@@ -145,9 +164,9 @@
     if (expired.length > 0) await this.remove(expired);
   }
 
-  /** Remembered nodes: those that served last time, then untried ones, then the others. */
+  /** Kept peers, by rank. */
   private ranked(): Announcement[] {
-    const rank = ({ address }: Announcement) => Number(this.hasServed.get(address) ?? 0.5);
+    const rank = ({ address }: Announcement) => Number(this.hasServed.get(address) ?? UNTRIED_RANK);
     return [...this.known].sort((left, right) => rank(right) - rank(left));
   }
 
@@ -165,7 +184,7 @@
   }
 
   private async scan(from: string | undefined): Promise<readonly StoredRecord[] | undefined> {
-    const page = await this.store.scan({ table: TABLE, partition: '', from, limit: REMEMBERED + 1 });
+    const page = await this.store.scan({ table: TABLE, partition: '', from, limit: KEPT_PEERS + 1 });
     return page.isOk() ? page.value.records : undefined;
   }
 
@@ -173,7 +192,7 @@
     return isExpired(parse(record), this.store.nowMs());
   }
 
-  /** Nodes that are gone for good leave their announcements behind. */
+  /** Removes announcements that crashed nodes left behind. */
   private async remove(records: readonly StoredRecord[]): Promise<void> {
     const conditions = records.map(({ key, version }) => ({ ...recordAddress(key), version }));
     const removals = records.map(({ key }) => recordAddress(key));
--- a/src/coordination/service/membership/peer-configuration.ts
+++ b/src/coordination/service/membership/peer-configuration.ts
@@ -1,38 +1,40 @@
 /**
- * What a node that does not hear of changes of the configuration learns from nodes that do: the newest configuration, so that
- * the operator's changes take effect here too and a key that was taken away is not taken for longer. Where the store does not
- * serve this node at all, also that it is there, so that others will take this node's jobs over. Versions only rise,
- * whoever brings them.
+ * Configuration from peers: what a node asks of others while the store reports no changes of the
+ * configuration to it.
+ *
+ * Owns: since when a peer has confirmed the configuration here, and how often in a row a peer reached the
+ * store when this node did not. Relies on: the addresses of peers. Versions only rise, whichever source they
+ * come from. Where no peer reaches the store, the configuration stays as it is and is not confirmed.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { PeerConfigurationAnswer } from '../../../protocol/service/configuration-peer.js';
 
-/** How often a node looks whether it hears of changes, milliseconds. */
-const LOOK_MS = 400;
-/** Nodes that are asked in one turn, one after the other, until one is served. */
-const ASKED = 4;
+/** Interval of checks whether the store reports changes, milliseconds. Chosen, not measured. */
+const CHECK_MS = 400;
+/** Peers asked in one round, one after the other, until one reaches the store. Chosen, not measured. */
+const MAX_ASKED = 4;
 /**
- * Turns in a row in which another node is served and this one is not, after which this one counts as turned away: after a
- * pause of its own a node hears of the store within the first.
+ * Rounds in a row in which a peer reached the store and this node did not, after which this node counts as
+ * rejected by the store: after a process pause it reaches the store again within the first.
  */
-const TURNED_AWAY_TURNS = 2;
-/** How long the word of another node counts, milliseconds: two turns. */
+const REJECTED_ROUNDS = 2;
+/** Time for which a peer's confirmation counts, milliseconds: two rounds. */
 const CONFIRMED_MS = 2_500;
 
 /** What the task works with. */
 export interface PeerConfigurationServices {
   readonly isStoreAnswering: () => boolean;
-  /** Whether the store itself has told of changes lately. */
+  /** Whether the store itself reports changes, within their bound. */
   readonly isFollowed: () => boolean;
-  /** Addresses of other nodes, the likeliest to be served first. */
+  /** Addresses of peers, the likeliest to reach the store first. */
   readonly peers: (count: number) => readonly string[];
   /** Version in force; 0 while none is known. */
   readonly version: () => number;
   readonly ask: (address: string, version: number) => Promise<PeerConfigurationAnswer>;
-  /** Takes the operator's record. */
+  /** Takes over the operator's record. */
   readonly take: (value: Buffer) => void;
-  /** Called while the store serves others and has not served this node for some time. */
+  /** Called in each round in which this node counts as rejected by the store. May be called repeatedly. */
   readonly onRejectedByStore: () => void;
   readonly logger: DecisionLogger;
 }
@@ -40,7 +42,7 @@
 /** The task of one node. */
 export class PeerConfiguration {
   private confirmedAtMs = Number.NEGATIVE_INFINITY;
-  private turnsAway = 0;
+  private rejectedRounds = 0;
   private wasFollowed = false;
 
   constructor(
@@ -48,28 +50,28 @@
     private readonly clock: Clock = SYSTEM_CLOCK,
   ) {}
 
-  /** Whether a node that the store serves has said a moment ago that the configuration here is the newest. */
+  /** Whether a peer that reaches the store has just confirmed that the configuration here is the newest. */
   get isConfirmed(): boolean {
     return this.clock.now() - this.confirmedAtMs < CONFIRMED_MS;
   }
 
-  /** Asks while the store tells of no changes, until `signal` is aborted. */
+  /** Asks peers while the store reports no changes, until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.services.isStoreAnswering()) this.turnsAway = 0;
+      if (this.services.isStoreAnswering()) this.rejectedRounds = 0;
       this.reportFollowed();
-      if (!this.hearsOfChanges) await this.askInTurn();
-      await this.clock.sleep(LOOK_MS, signal);
+      if (!this.isFollowing) await this.askPeers();
+      await this.clock.sleep(CHECK_MS, signal);
     }
   }
 
-  private get hearsOfChanges(): boolean {
+  private get isFollowing(): boolean {
     return this.services.isStoreAnswering() && this.services.isFollowed();
   }
 
-  private async askInTurn(): Promise<void> {
-    for (const address of this.services.peers(ASKED)) {
-      if (this.hearsOfChanges) return;
+  private async askPeers(): Promise<void> {
+    for (const address of this.services.peers(MAX_ASKED)) {
+      if (this.isFollowing) return;
       const askedAtMs = this.clock.now();
       const before = this.services.version();
       const answer = await this.services.ask(address, before);
@@ -77,15 +79,15 @@
       if (answer.kind === 'newer') this.services.take(answer.value);
       this.confirmedAtMs = askedAtMs;
       if (answer.kind === 'newer') this.report(address);
-      this.noteTurnedAway();
+      this.noteRejected();
       return;
     }
   }
 
-  private noteTurnedAway(): void {
+  private noteRejected(): void {
     if (this.services.isStoreAnswering()) return;
-    this.turnsAway += 1;
-    if (this.turnsAway >= TURNED_AWAY_TURNS) this.services.onRejectedByStore();
+    this.rejectedRounds += 1;
+    if (this.rejectedRounds >= REJECTED_ROUNDS) this.services.onRejectedByStore();
   }
 
   private reportFollowed(): void {
@@ -96,7 +98,7 @@
       event: 'belief-changed',
       subject: 'configuration',
       name: 'changes',
-      change: isFollowed ? 'the store tells of them' : 'the store has not told of them within their bound',
+      change: isFollowed ? 'the store reports them' : 'the store has not told of them within their bound',
       version: this.services.version(),
     });
   }
--- a/src/coordination/service/membership/replica-announcements.ts
+++ b/src/coordination/service/membership/replica-announcements.ts
@@ -1,10 +1,14 @@
 /**
- * What replicas announce of themselves through the store. A record that is no announcement names no replica: its replica, if
- * one was known under the id, is taken as gone until its own next record, since the store says no more that it is there.
+ * Takes over the replicas' announcements from the store.
  *
- * A record may seem to be of a life before the known one: a write that was late, or a replica whose time of day was set back
- * before it started again. Until that is settled neither life gets requests. A life that lives writes its record again within
- * a beat; so if it was a late write, the known life is back by then, and if the record stays, its life is the one that lives.
+ * Owns: incarnations that are not confirmed yet. Relies on: the feed of the replicas' table and the interval
+ * of their heartbeats. A record that is no announcement removes the replica known under its id until the next
+ * valid record.
+ *
+ * A record may seem to be of an incarnation before the known one: a write that arrived late, or a replica
+ * whose time of day was set back before it restarted. Until that is settled neither gets requests. A running
+ * replica writes its record again within one heartbeat: after a late write the known incarnation is back by
+ * then, and if the record stays, its incarnation is the one that runs.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -15,25 +19,28 @@
 import { type FeedHandler, readPartition } from '../../feeds/index.js';
 import { ALLOWS_OLD, ANNOUNCED_PARTITION, type Announced, type AnnouncementFormat } from './announcements.js';
 
-/** Beats of a replica after which a record stands for the life that lives: one may be lost, and one is under way. */
-const SETTLED_BEATS = 3;
+/**
+ * Heartbeats after which an unchanged record is of the running incarnation: one may be lost, and one under
+ * way.
+ */
+const SETTLED_HEARTBEATS = 3;
 
-/** What the announcements of replicas are taken with. */
+/** What announcements are taken over with. */
 export interface ReplicaAnnouncementServices {
   readonly store: RecordStore;
   readonly format: AnnouncementFormat;
   readonly directory: ReplicaDirectory;
-  /** How often a replica writes its record, milliseconds. */
+  /** Interval at which a replica writes its record, milliseconds. */
   readonly heartbeatMs: () => number;
-  /** Whether this node would have heard of a change of these records by now. */
+  /** Whether a change of these records would be known here by now. */
   readonly isFollowed: () => boolean;
   readonly metrics: Pick<ServiceMetrics, 'unreadableReplicas'>;
   readonly logger: DecisionLogger;
 }
 
-/** Takes the replicas. */
+/** The announcements of replicas. */
 export class ReplicaAnnouncements implements FeedHandler<Announced> {
-  /** Lives whose records seem to be of before the known ones, by id. */
+  /** Incarnations whose records seem to be earlier than the known ones, by replica id. */
   private readonly unsettled = new Map<string, Replica>();
 
   constructor(
@@ -70,19 +77,19 @@
     }
     const parsed = this.services.format.parseReplica(key, value);
     if (parsed.isOk()) this.take(parsed.value, version);
-    else this.refuse(key, parsed.error, version);
+    else this.rejectRecord(key, parsed.error, version);
   }
 
   private take(replica: Replica, version: number): void {
     const { directory } = this.services;
     const before = directory.get(replica.id)?.replica;
     const order = directory.set(replica);
-    if (order === 'untold') this.refuse(replica.id, 'born: is required', version);
+    if (order === 'untold') this.rejectRecord(replica.id, 'born: is required', version);
     else if (order === 'earlier') this.awaitConfirmation(replica, version);
-    else this.settled(replica, before, order, version);
+    else this.noteIncarnation(replica, before, order, version);
   }
 
-  private settled(
+  private noteIncarnation(
     replica: Replica,
     before: Replica | undefined,
     order: IncarnationOrder | 'first',
@@ -93,7 +100,7 @@
     if (order === 'first') this.report(name, `joined ${replica.service} at ${replica.address}`, version);
     else if (order === 'next') this.report(name, `started again, born ${replica.startedAtMs}`, version);
     else if (before?.isDraining !== replica.isDraining)
-      this.report(name, replica.isDraining ? 'draining' : 'not draining any more', version);
+      this.report(name, replica.isDraining ? 'draining' : 'no longer draining', version);
   }
 
   private awaitConfirmation(replica: Replica, version: number): void {
@@ -105,7 +112,7 @@
 
   private async settle(replica: Replica, version: number): Promise<void> {
     const { heartbeatMs, isFollowed, directory } = this.services;
-    do await this.clock.sleep(SETTLED_BEATS * heartbeatMs());
+    do await this.clock.sleep(SETTLED_HEARTBEATS * heartbeatMs());
     while (this.unsettled.get(replica.id) === replica && !isFollowed());
     if (this.unsettled.get(replica.id) !== replica) return;
     this.unsettled.delete(replica.id);
@@ -117,7 +124,7 @@
     );
   }
 
-  private refuse(id: string, problem: string, version: number): void {
+  private rejectRecord(id: string, problem: string, version: number): void {
     this.services.metrics.unreadableReplicas.inc({});
     this.report(id, `names no replica: ${problem}`, version);
     this.remove(id, 'gone with its record', version);
--- a/src/coordination/service/membership/session-monitor.ts
+++ b/src/coordination/service/membership/session-monitor.ts
@@ -1,52 +1,49 @@
 /**
- * Which processes are alive, as far as anyone needs to know: a process that holds jobs or duties writes a beat to the
- * store, and every node looks at all beats now and then. A holder counts as lost when its beat stood still for
- * `EXPIRY_MS` of time in which this node could read the store without a gap; an outage of the store costs nobody a job.
+ * Which processes run, as far as holders of jobs and leases are concerned: a holder writes heartbeats to the
+ * store, and every node reads all heartbeats periodically. A holder is lost when its heartbeat has not
+ * changed for `lossAfterMs` of observed time, in which this node could read the store without a gap.
  *
- * Holders look often, and so do all nodes of a small fleet. In a large one the others look the more seldom the more
- * nodes there are, so that all together look as often as a few would; one that finds an old beat looks often until it
- * knows whether the holder is lost.
+ * Owns: this process's heartbeats, the last heartbeat seen of each node, the observed time. Relies on: the
+ * store. While it cannot be read, observed time stops, so an outage of the store or a pause of this process
+ * costs no holder its jobs.
+ *
+ * Holders read often, and so do all nodes of a small fleet; in a large one idle nodes read less often, until
+ * they find a suspect heartbeat.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import { ConditionVariable } from '../../../common/condition-variable.js';
 import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { OwnerReference } from '../../../state/service/jobs/index.js';
-
-/** Table of the beats, and of whatever else every node looks at together with them. */
+import {
+  frequentPollMs,
+  freshUpToMs,
+  HEARTBEAT_MS,
+  idlePollFactor,
+  isObserved,
+  lossAfterMs,
+  MAX_OPEN_HEARTBEATS,
+  RECENT_POLL_MS,
+  suspectAfterMs,
+} from './session-rules.js';
+
+/** Table of the heartbeats, and of whatever else every node reads together with them. */
 export const SESSION_TABLE = 'sessions';
-const BEAT_PREFIX = 'beat/';
-/** Beats are written by the few holders and read by all, so they come more often than the looks. */
-const BEAT_MS = 250;
-const POLL_MS = 500;
-/** Nodes that look often in a fleet of any size: in a larger one each looks more seldom in proportion. */
-const WATCHERS = 16;
-/** Part of `POLL_MS` by which looks come sooner or later, so that those of different nodes spread. */
-const POLL_SPREAD = 0.05;
-/** Beats without an answer after which the next one waits: lost answers must not delay it. */
-const MAX_OPEN_BEATS = 4;
+/** Stored; stays. */
+const HEARTBEAT_PREFIX = 'beat/';
 /**
- * Observed time after which a silent holder counts as lost, milliseconds, and answers of a slow store on top. It lies
- * between one look and two, at any distance that looks have: one look without a new beat never counts, the second does.
+ * Longest wait for a read that is needed now, milliseconds. Chosen, not measured: its callers' requests wait
+ * for it.
  */
-const EXPIRY_MS = 900;
-const EXPIRY_ANSWERS = 4;
-/** Time between two reads above which nothing in between counts as observed, milliseconds. */
-const GAP_MS = 1_100;
-/** A beat of at most this age on the store's clock shows a process at work, milliseconds, and answers on top. */
-const FRESH_MS = 2 * BEAT_MS + POLL_MS;
-const FRESH_ANSWERS = 2;
-/** A beat of more than this age on the store's clock is looked at often, milliseconds. */
-const SUSPECT_MS = 2.5 * BEAT_MS;
-/** Longest wait for a look that someone needs now, milliseconds. */
 const REFRESH_MS = 200;
 
-/** What a beat says. */
+/** A stored heartbeat; the names of its fields stay. */
 interface Heartbeat {
+  /** Incarnation of the process. */
   readonly life: string;
   readonly count: number;
-  /** Whether the process takes no new jobs, because it is on its way out. */
+  /** Whether the process drains and accepts no new jobs. */
   readonly isLeaving: boolean;
-  /** When it was written, on the store's clock, milliseconds; nodes of version 0.1.0 do not say it. */
+  /** When it was written, on the store's clock, milliseconds; nodes of version 0.1.0 leave it out. */
   readonly atMs?: number;
 }
 
@@ -54,33 +51,34 @@
   version: number;
   life: string;
   isLeaving: boolean;
-  /** When the newest beat was written, on the store's clock, milliseconds. */
+  /** When the newest heartbeat was written, on the store's clock, milliseconds. */
   heartbeatAtMs: number;
-  /** Observed time at which the beat last changed, milliseconds. */
+  /** Observed time at which the heartbeat last changed, milliseconds. */
   changedAtMs: number;
 }
 
-/** What this process holds, and what it must know of others. */
+/** Why this process takes part in sessions. */
 export interface SessionRoles {
-  /** Whether this process holds anything, so that it must beat. */
+  /** Whether this process holds a job or a lease, so that it must send heartbeats. */
   readonly isHolder: () => boolean;
-  /** Whether anything is held by others, so that their beats matter. */
+  /** Whether others may hold something that this process could take over. */
   readonly mustWatch: () => boolean;
-  /** Processes whose loss would be acted upon. */
+  /** Last known holders, whose loss would be acted upon. */
   readonly holders: () => readonly OwnerReference[];
-  /** Nodes that are at work, roughly. */
+  /** Approximate number of running nodes. */
   readonly fleetSize: () => number;
 }
 
-/** Beats of this process and observation of all others. */
+/** Heartbeats of this process and observation of all others. */
 export class SessionMonitor {
   private readonly sessions = new Map<string, ObservedSession>();
   private observedMs = 0;
-  /** Observed time of the last gap: after it every holder gets the whole time again. */
+  /** Observed time of the last gap: after it every holder has the whole time again. */
   private restartedAtMs = 0;
+  /** On the monotonic clock. */
   private lastReadMs = Number.NEGATIVE_INFINITY;
   private heartbeats = 0;
-  /** Beats that the store has not answered yet. */
+  /** Heartbeats that the store has not answered yet. */
   private openHeartbeats = 0;
   private isLeaving = false;
   private readonly holding = new ConditionVariable();
@@ -93,30 +91,30 @@
     private readonly clock: Clock = SYSTEM_CLOCK,
   ) {}
 
-  /** Called after each look, with all records of the table. */
+  /** Called after each read, with all records of the table, in the order of registration. */
   onPoll(listener: (records: readonly StoredRecord[]) => void): void {
     this.listeners.add(listener);
   }
 
-  /** This process has begun to hold something: it beats and looks often from now on. */
+  /** This process has begun to hold something: heartbeats and frequent reads begin at once. */
   noteHolding(): void {
     this.holding.notifyAll();
   }
 
-  /** Observed time now, milliseconds: it stands still while the store cannot be read. */
+  /** Observed time now, milliseconds: it stops while the store cannot be read. */
   get observedTimeMs(): number {
     return this.observedMs;
   }
 
   /**
-   * Whether the holder has been silent for too long. `heldSinceMs` is the observed time at which this node learnt of the
-   * holding: a process that held nothing before had no reason to beat.
+   * Whether a holder counts as lost. `heldSinceMs` is the observed time at which this node first saw it as
+   * the holder: a process that held nothing before had no reason to send heartbeats.
    */
   isLost(holder: OwnerReference, heldSinceMs: number): boolean {
     const session = this.sessions.get(holder.node);
     const changedAtMs = session?.life === holder.life ? session.changedAtMs : 0;
-    const expiryMs = EXPIRY_MS + this.store.usualAnswerMs() * EXPIRY_ANSWERS;
-    return this.observedMs - Math.max(changedAtMs, heldSinceMs, this.restartedAtMs) > expiryMs;
+    const silentMs = this.observedMs - Math.max(changedAtMs, heldSinceMs, this.restartedAtMs);
+    return silentMs > lossAfterMs(this.store.usualAnswerMs());
   }
 
   /** Resolves after `ms` milliseconds, at once while this process holds something, or when it begins to. */
@@ -124,29 +122,32 @@
     if (!this.roles.isHolder()) await this.holding.waitAtMost(ms, signal, this.clock);
   }
 
-  /** Looks now if the last look is not recent. Resolves soon, also when the store does not answer. */
+  /**
+   * Reads now unless the last read is recent. Resolves within `REFRESH_MS`, also when the store does not
+   * answer.
+   */
   async refresh(): Promise<void> {
-    if (this.clock.now() - this.lastReadMs <= POLL_MS * (1 + POLL_SPREAD)) return;
+    if (this.clock.now() - this.lastReadMs <= RECENT_POLL_MS) return;
     const controller = new AbortController();
     await Promise.race([this.poll(), this.clock.sleep(REFRESH_MS, controller.signal)]);
     controller.abort();
   }
 
-  /** Whether a process of this life beat a moment ago and takes jobs, as far as this node has seen. */
+  /** Whether the last known heartbeat shows that this incarnation runs and accepts jobs. */
   isFresh(owner: OwnerReference): boolean {
     const session = this.sessions.get(owner.node);
     if (session?.life !== owner.life || session.isLeaving) return false;
-    const freshMs = FRESH_MS + this.store.usualAnswerMs() * FRESH_ANSWERS;
-    return this.heartbeatAgeMs(session) <= freshMs && this.clock.now() - this.lastReadMs <= GAP_MS;
+    const isRecent = this.heartbeatAgeMs(session) <= freshUpToMs(this.store.usualAnswerMs());
+    return isRecent && isObserved(this.clock.now() - this.lastReadMs);
   }
 
-  /** Tells all nodes that this process takes no new jobs. */
+  /** Announces to all nodes that this process accepts no new jobs. */
   async announceLeaving(): Promise<void> {
     this.isLeaving = true;
     if (this.roles.isHolder()) await this.heartbeat();
   }
 
-  /** Beats and watches until `signal` is aborted. */
+  /** Sends heartbeats and watches until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this.heartbeatLoop(signal), this.watchRegularly(signal)]);
   }
@@ -157,8 +158,8 @@
         await this.holding.wait(signal);
         continue;
       }
-      if (this.openHeartbeats < MAX_OPEN_BEATS) void this.heartbeat();
-      await this.clock.sleep(BEAT_MS, signal);
+      if (this.openHeartbeats < MAX_OPEN_HEARTBEATS) void this.heartbeat();
+      await this.clock.sleep(HEARTBEAT_MS, signal);
     }
   }
 
@@ -178,28 +179,27 @@
       atMs,
     };
     const value = Buffer.from(JSON.stringify(content), 'utf8');
-    const write = { table: SESSION_TABLE, partition: '', key: BEAT_PREFIX + this.self.node, value };
+    const write = { table: SESSION_TABLE, partition: '', key: HEARTBEAT_PREFIX + this.self.node, value };
     await this.store.transact({ conditions: [], writes: [write], removals: [] });
   }
 
   private async watchRegularly(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.roles.mustWatch()) await this.poll();
-      const spread = POLL_SPREAD * (2 * this.clock.random() - 1);
-      await this.pause(POLL_MS * (1 + spread), signal);
+      await this.pause(frequentPollMs(this.clock.random()), signal);
     }
   }
 
-  /** `pollMs` while looks must come often, else longer, until this process begins to hold something. */
+  /** `pollMs` while reads must be frequent, else longer, until this process begins to hold something. */
   private async pause(pollMs: number, signal: AbortSignal): Promise<void> {
-    const factor = Math.max(1, this.roles.fleetSize() / WATCHERS);
+    const factor = idlePollFactor(this.roles.fleetSize());
     if (factor === 1 || this.roles.isHolder() || this.hasSuspects()) await this.clock.sleep(pollMs, signal);
     else await this.holding.waitAtMost(pollMs * factor, signal, this.clock);
   }
 
-  /** Whether a holder's newest beat is old. */
+  /** Whether the newest heartbeat of another holder is suspect. */
   private hasSuspects(): boolean {
-    const suspectMs = SUSPECT_MS + this.store.usualAnswerMs() * FRESH_ANSWERS;
+    const suspectMs = suspectAfterMs(this.store.usualAnswerMs());
     return this.roles.holders().some(({ node, life }) => {
       const session = this.sessions.get(node);
       return node !== this.self.node && (session?.life !== life || this.heartbeatAgeMs(session) > suspectMs);
@@ -214,21 +214,22 @@
     const page = await this.store.scan({ table: SESSION_TABLE, partition: '' });
     if (page.isErr()) return;
     this.advance();
-    for (const record of page.value.records) if (record.key.startsWith(BEAT_PREFIX)) this.observe(record);
+    for (const record of page.value.records)
+      if (record.key.startsWith(HEARTBEAT_PREFIX)) this.observe(record);
     for (const listener of this.listeners) listener(page.value.records);
   }
 
   private advance(): void {
     const now = this.clock.now();
     const elapsed = now - this.lastReadMs;
-    if (elapsed > GAP_MS) this.restartedAtMs = this.observedMs;
-    else this.observedMs += elapsed;
+    if (isObserved(elapsed)) this.observedMs += elapsed;
+    else this.restartedAtMs = this.observedMs;
     this.lastReadMs = now;
   }
 
   private observe(record: StoredRecord): void {
     const { version, value } = record;
-    const node = record.key.slice(BEAT_PREFIX.length);
+    const node = record.key.slice(HEARTBEAT_PREFIX.length);
     const known = this.sessions.get(node);
     if (known && known.version >= version) return;
     const { life, isLeaving, atMs = 0 } = JSON.parse(value.toString('utf8')) as Heartbeat;
--- a/test/coordination/service/membership/configuration-while-reads-are-old.test.ts
+++ b/test/coordination/service/membership/configuration-while-reads-are-old.test.ts
@@ -99,7 +99,7 @@
     expect([...statuses]).not.to.include(STATUS_NOT_FOUND);
   });
 
-  it('is not denied with certainty by a node whose question for it alone is not answered', async () => {
+  it('is not denied with certainty by a node whose long poll for it alone is not answered', async () => {
     system.store.silentTable = TABLE.operator;
     const path = addRoute(2);
     const node = system.nodes[0] as ServiceNodeProcess;
--- a/test/coordination/service/membership/peer-addresses.test.ts
+++ b/test/coordination/service/membership/peer-addresses.test.ts
@@ -98,7 +98,7 @@
     expect(peers[0]?.fleetSize).to.equal(NODES - 5);
   });
 
-  it('are offered with those first that have served, and those last that have not', () => {
+  it('are ranked: peers that served first, those that failed last', () => {
     peers[0]?.note(address(1), false);
     peers[0]?.note(address(3), true);
     expect(peers[0]?.likeliest(3)).to.deep.equal([3, 2, 4].map(address));
--- a/test/coordination/service/membership/peer-configuration.test.ts
+++ b/test/coordination/service/membership/peer-configuration.test.ts
@@ -1,4 +1,4 @@
-/** What a node that the store does not serve learns from others. */
+/** What a node that does not reach the store learns from others. */
 import { expect } from 'chai';
 import { PeerConfiguration } from '../../../../src/coordination/service/membership/peer-configuration.js';
 import type { PeerConfigurationAnswer } from '../../../../src/protocol/service/configuration-peer.js';
@@ -6,7 +6,7 @@
 
 const LONG_MS = 10_000;
 
-describe('a node that the store does not serve', () => {
+describe('a node that does not reach the store', () => {
   let clock: ManualClock;
   let controller: AbortController;
   let isInReach: boolean;
@@ -53,7 +53,7 @@
     await clock.advance(ms);
   }
 
-  it('asks one node after the other until one is served, and is certain by its word for a while', async () => {
+  it('asks one peer after the other until one reaches the store, and is confirmed by it for a while', async () => {
     await run(0);
     expect(asked).to.deep.equal(['a', 'b']);
     expect(peer.isConfirmed).to.equal(true);
@@ -62,21 +62,21 @@
     expect(peer.isConfirmed).to.equal(false);
   });
 
-  it('takes a newer configuration', async () => {
+  it('takes over a newer configuration', async () => {
     answers = { a: { kind: 'newer', value: Buffer.from('record') }, b: { kind: 'same' } };
     await run(0);
     expect(taken).to.deep.equal(['record']);
     expect(asked).to.deep.equal(['a']);
   });
 
-  it('asks nobody while the store serves it', async () => {
+  it('asks no peer while the store reports changes to it', async () => {
     isInReach = true;
     await run(LONG_MS);
     expect(asked).to.deep.equal([]);
     expect(peer.isConfirmed).to.equal(false);
   });
 
-  it('asks others when the store serves it and tells of no changes, and does not count as turned away', async () => {
+  it('asks peers when the store answers and reports no changes, and does not count as rejected', async () => {
     isInReach = true;
     isFollowed = false;
     answers = { a: { kind: 'newer', value: Buffer.from('record') } };
@@ -90,7 +90,7 @@
     expect(asked.length).to.equal(before);
   });
 
-  it('counts as turned away at the second turn, not after a pause of its own that ends before', async () => {
+  it('counts as rejected in the second round, not after a process pause that ends before', async () => {
     await run(0);
     expect(turnedAway).to.equal(0);
     isInReach = true;
@@ -102,7 +102,7 @@
     expect(turnedAway).to.equal(1);
   });
 
-  it('never counts as turned away while no node is served', async () => {
+  it('never counts as rejected while no peer reaches the store', async () => {
     answers = { a: { kind: 'unavailable' }, b: { kind: 'unavailable' } };
     await run(LONG_MS);
     expect(turnedAway).to.equal(0);
--- a/test/coordination/service/membership/replica-announcements.test.ts
+++ b/test/coordination/service/membership/replica-announcements.test.ts
@@ -1,4 +1,4 @@
-/** What announcements make known of replicas whose lives follow each other under one id, and of zones out of use. */
+/** Announcements: incarnations that follow each other under one id, and evacuated zones. */
 import { expect } from 'chai';
 import { err, ok, type Result } from 'neverthrow';
 import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
@@ -11,7 +11,7 @@
 import { ManualClock } from '../../../support/manual-clock.js';
 import { replicaWith } from '../../../support/replicas.js';
 
-const BEAT_MS = 1_000;
+const HEARTBEAT_MS = 1_000;
 const BORN_MS = 1_790_000_000_000;
 
 describe('announcements of replicas', () => {
@@ -41,7 +41,7 @@
           },
         } as AnnouncementFormat,
         directory,
-        heartbeatMs: () => BEAT_MS,
+        heartbeatMs: () => HEARTBEAT_MS,
         isFollowed: () => isFollowed,
         metrics,
         logger: { record: (record) => lines.push(JSON.stringify(record)) },
@@ -66,7 +66,7 @@
   const known = () => directory.get('r1') as ReplicaState;
   const isUsed = () => directory.availableOf('s').length === 1;
 
-  it('keep what is known while the same life is announced again', () => {
+  it('keep the state of a replica while the same incarnation is announced again', () => {
     announce();
     const state = known();
     state.noteSuccess(40);
@@ -75,7 +75,7 @@
     expect(state.averageMs).to.equal(40);
   });
 
-  it('keep what is known of a life whose announcement was gone for a while', () => {
+  it('keep the state of an incarnation whose announcement was absent for a while', () => {
     announce();
     const state = known();
     state.inFlight = 2;
@@ -87,7 +87,7 @@
     expect(state.isLeaving).to.equal(false);
   });
 
-  it('end what was believed of a life when a later one is announced, and what ran there', () => {
+  it('end the state of an incarnation when a later one is announced, and what ran there', () => {
     announce({ modelVersions: new Map([['m', 3]]) });
     const former = known();
     former.noteSuccess(40);
@@ -108,7 +108,7 @@
     expect(lines.at(-1)).to.contain('started again');
   });
 
-  it('end a life that was absent when a later one is announced', () => {
+  it('end an absent incarnation when a later one is announced', () => {
     announce();
     const former = known();
     announceBytes(undefined);
@@ -117,45 +117,45 @@
     expect(former.hasRestarted).to.equal(true);
   });
 
-  it('are not undone by the late word of a former life: the living one writes again within a beat', async () => {
+  it('are not undone by a late write of an earlier incarnation: the running one writes again within a heartbeat', async () => {
     announce();
     announce({ startedAtMs: BORN_MS + 500, isDraining: true });
     const living = known();
     announce({ modelVersions: new Map([['m', 9]]) });
     expect(isUsed()).to.equal(false);
-    await clock.advance(BEAT_MS);
+    await clock.advance(HEARTBEAT_MS);
     announce({ startedAtMs: BORN_MS + 500, isDraining: true });
-    await clock.advance(10 * BEAT_MS);
+    await clock.advance(10 * HEARTBEAT_MS);
     expect(known()).to.equal(living);
     expect(living.versionOf('m')).to.equal(0);
     expect(isUsed()).to.equal(false);
   });
 
-  it('tell a life that began with an earlier time of day: its word stays', async () => {
+  it('replace the known incarnation by one with an earlier time of day once its record stays', async () => {
     announce();
     const former = known();
     announce({ startedAtMs: BORN_MS - 60_000 });
     expect(isUsed(), 'neither is used before it is settled').to.equal(false);
-    await clock.advance(2 * BEAT_MS);
+    await clock.advance(2 * HEARTBEAT_MS);
     expect(isUsed()).to.equal(false);
-    await clock.advance(2 * BEAT_MS);
+    await clock.advance(2 * HEARTBEAT_MS);
     expect(isUsed()).to.equal(true);
     expect(known().replica.startedAtMs).to.equal(BORN_MS - 60_000);
     expect(former.hasRestarted).to.equal(true);
   });
 
-  it('settle nothing while changes would not be heard', async () => {
+  it('settle nothing while changes would not be known', async () => {
     announce();
     isFollowed = false;
     announce({ startedAtMs: BORN_MS - 60_000 });
-    await clock.advance(9 * BEAT_MS);
+    await clock.advance(9 * HEARTBEAT_MS);
     expect(isUsed()).to.equal(false);
     isFollowed = true;
-    await clock.advance(4 * BEAT_MS);
+    await clock.advance(4 * HEARTBEAT_MS);
     expect(isUsed()).to.equal(true);
   });
 
-  it('that name no replica take away the one that was known, until its own next word', () => {
+  it('that name no replica remove the known one, until its own next record', () => {
     announce();
     const state = known();
     announceBytes(Buffer.from('bad'));
@@ -166,7 +166,7 @@
     expect(isUsed()).to.equal(true);
   });
 
-  it('without the moment of a start name no replica where one was told', () => {
+  it('without the moment of a start name no replica where one was announced before', () => {
     announce();
     announce({ startedAtMs: undefined });
     expect(isUsed()).to.equal(false);
@@ -174,7 +174,7 @@
     expect(isUsed()).to.equal(true);
   });
 
-  it('of replicas that never tell when they started are taken as they come', () => {
+  it('of replicas that never announce when they started are applied in order of arrival', () => {
     announce({ startedAtMs: undefined });
     const state = known();
     announce({ startedAtMs: undefined, slots: 9 });
@@ -183,7 +183,7 @@
     expect(known()).to.not.equal(state);
   });
 
-  it('leave replicas of a zone out of use alone until it is in use again', () => {
+  it('keep requests from replicas of an evacuated zone until the evacuation ends', () => {
     announce();
     directory.setEvacuated('z', true);
     expect(isUsed()).to.equal(false);
--- a/test/coordination/service/membership/session-monitor.test.ts
+++ b/test/coordination/service/membership/session-monitor.test.ts
@@ -9,11 +9,11 @@
 
 const SELF = { node: 'node-1', life: 'life-1' };
 const HOLDER = { node: 'node-2', life: 'life-2' };
-/** Time after its last beat in which a holder that stopped must count as lost, milliseconds. */
+/** Time after its last heartbeat in which a holder that stopped must count as lost, milliseconds. */
 const LOSS_MS = 1_600;
 /** Time between two beats, milliseconds. */
 const BEAT_MS = 250;
-/** Time by which a beat may come late while its holder is at work, milliseconds. */
+/** Time by which a heartbeat may be late while its holder runs, milliseconds. */
 const HICCUP_MS = 700;
 const SEED = 481_340;
 
@@ -27,12 +27,12 @@
   },
 };
 
-/** A store with one beat; transactions are counted and left without an answer. */
+/** A store with one heartbeat; transactions are counted and left without an answer. */
 class BeatStore {
   readonly transactions: RecordTransaction[] = [];
   beats = 1;
   looks = 0;
-  /** When the newest beat was written, on the store's clock. */
+  /** When the newest heartbeat was written, on the store's clock. */
   private beatAtMs = 0;
 
   usualAnswerMs = () => 0;
@@ -58,7 +58,7 @@
 }
 
 for (const [looks, chance] of Object.entries(CHANCES))
-  describe(`beats of holders, looks ${looks}`, () => {
+  describe(`heartbeats of holders, reads ${looks}`, () => {
     let clock: ManualClock;
     let store: BeatStore;
     let controller: AbortController;
@@ -94,7 +94,7 @@
       expect(store.transactions.length).to.be.at.most(4);
     });
 
-    it('show a holder at work, and its loss soon after they stop, whenever that is', async () => {
+    it('show a running holder, and its loss soon after they stop, whenever that is', async () => {
       for (let workMs = 2_000; workMs < 2_500; workMs += 10) {
         await beatFor(workMs);
         expect(monitor.isLost(HOLDER, 0)).to.equal(false);
@@ -115,7 +115,7 @@
     });
   });
 
-describe('looks at the beats in a large fleet', () => {
+describe('reads of heartbeats in a large fleet', () => {
   const FLEET = 200;
   /** Looks that all nodes together make in a second at most, whatever their number. */
   const ALL_LOOKS_PER_SECOND = 40;
@@ -151,16 +151,16 @@
     }
   }
 
-  it('are few for each node while holders are at work', async () => {
+  it('are few for each node while holders run', async () => {
     await beatFor(LONG_MS);
     expect(store.looks / (LONG_MS / 1000)).to.be.at.most(ALL_LOOKS_PER_SECOND / FLEET);
     expect(monitor.isLost(HOLDER, 0)).to.equal(false);
   });
 
-  it('come often once a beat is old, until the loss is certain', async () => {
+  it('are frequent once a heartbeat is suspect, until the loss is certain', async () => {
     await beatFor(LONG_MS);
     const looks = store.looks;
-    await until('the old beat is found', async () => {
+    await until('the old heartbeat is found', async () => {
       await clock.advance(BEAT_MS);
       return store.looks > looks;
     });
@@ -169,7 +169,7 @@
     expect(monitor.isLost(HOLDER, 0)).to.equal(true);
   });
 
-  it('come often as soon as this node holds something itself', async () => {
+  it('are frequent as soon as this node holds something itself', async () => {
     await beatFor(LONG_MS);
     const looks = store.looks;
     isHolder = true;
@@ -178,7 +178,7 @@
     expect(store.looks - looks).to.be.at.least(2);
   });
 
-  it('are made when a job is given away, so that its owner is known to be at work', async () => {
+  it('are made when a job is handed over, so that its owner is known to run', async () => {
     await beatFor(LONG_MS);
     await clock.advance(BEAT_MS);
     store.beat(clock.now());
