--- a/src/coordination/service/usage/usage-accounting.ts
+++ b/src/coordination/service/usage/usage-accounting.ts
@@ -1,4 +1,7 @@
-/** Usage accounting of one node: counting, keeping the counts, and reporting them while this node holds the duty. */
+/**
+ * Usage accounting of one node: counting requests per tenant, storing the counts, and reporting them while
+ * this node leads that task.
+ */
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
@@ -51,25 +54,27 @@
     });
   }
 
-  /** Keeps counts and reports until `signal` is aborted. */
+  /** Stores counts and reports until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this.writer.run(signal), this.reporter.run(signal)]);
   }
 
-  /** Takes what was read of duties; takes the duty of reporting when it is free and `mayHold`. */
-  observe(records: readonly StoredRecord[], mayHold: boolean): void {
+  /**
+   * Notes the lease records that were read; acquires the lease of reporting when it is free and `mayLead`.
+   */
+  observe(records: readonly StoredRecord[], mayLead: boolean): void {
     this.lease.observe(
       records,
-      mayHold && this.reporter.wantsLeadership && this.services.store.isAnswering(),
+      mayLead && this.reporter.wantsLeadership && this.services.store.isAnswering(),
     );
   }
 
-  /** Writes what is counted and not kept yet; gives up at the abort. */
+  /** Stores counts that are not stored yet; stops at the abort. */
   flush(signal: AbortSignal): Promise<void> {
     return this.writer.flush(signal);
   }
 
-  /** Brings the gauges up to date. */
+  /** Sets the gauges. */
   measure(): void {
     this.services.metrics.usageLost.set({}, this.counter.lostRequests);
   }
--- a/src/coordination/service/usage/usage-counter.ts
+++ b/src/coordination/service/usage/usage-counter.ts
@@ -1,13 +1,17 @@
 /**
- * Counts requests of tenants in the windows in which they began to run. A request counts from the moment at which it is sent
- * to a replica, so that it is counted even if this process ends while the replica works; it no longer counts when the replica
- * says that it did not run it.
+ * Counts requests of tenants in the windows in which they began to run. A request counts from the moment at
+ * which it is sent to a replica, so that it is counted even if this process ends meanwhile; it no longer
+ * counts when the replica reports that it did not run it. Counts are in memory until `UsageWriter` has stored
+ * them.
  */
 import { ConditionVariable } from '../../../common/condition-variable.js';
 import type { TenantCounts } from '../../../protocol/service/usage.js';
 import type { UsageWindows } from './usage-window.js';
 
-/** Windows that are remembered: counts that the store could not take for longer are lost, and said so. */
+/**
+ * Windows kept in memory. Counts of older ones that the store has not accepted are dropped and added to
+ * `lostRequests`. Chosen, not measured.
+ */
 const MAX_WINDOWS = 120;
 
 /** Counts of one window. */
@@ -20,15 +24,15 @@
 /** What was counted in a window, at one moment. */
 export interface WindowSnapshot {
   readonly counts: TenantCounts;
-  /** Stands for this state of the window. */
+  /** Identifies this state of the window. */
   readonly changes: number;
 }
 
 /** The counters of one process. */
 export class UsageCounter {
-  /** Told of each change. */
+  /** Notified of each change. */
   readonly changed = new ConditionVariable();
-  /** Requests in windows that were given up because the store did not take them. */
+  /** Requests in windows that were dropped because the store did not accept them. */
   lostRequests = 0;
   private readonly windows = new Map<number, CountedWindow>();
 
@@ -52,7 +56,7 @@
     return { counts: Object.fromEntries([...counts].filter(([, count]) => count > 0)), changes };
   }
 
-  /** Forgets a window whose counts are kept elsewhere. */
+  /** Drops a window whose counts are stored. */
   forget(window: number): void {
     this.windows.delete(window);
   }
@@ -62,11 +66,11 @@
     entry.counts.set(tenant, (entry.counts.get(tenant) ?? 0) + count);
     entry.changes += 1;
     this.windows.set(window, entry);
-    if (this.windows.size > MAX_WINDOWS) this.giveUpOldest();
+    if (this.windows.size > MAX_WINDOWS) this.dropOldest();
     this.changed.notifyAll();
   }
 
-  private giveUpOldest(): void {
+  private dropOldest(): void {
     const oldest = Math.min(...this.windows.keys());
     for (const count of this.windows.get(oldest)?.counts.values() ?? []) this.lostRequests += count;
     this.windows.delete(oldest);
--- a/src/coordination/service/usage/usage-reporter.ts
+++ b/src/coordination/service/usage/usage-reporter.ts
@@ -1,7 +1,11 @@
 /**
- * Reports usage as the one holder of a duty. What is reported of a window is written into the store before it is sent, so
- * that any successor sends the very same; it is decided as soon as every node has closed the window, and else as late as a
- * report in time allows.
+ * Reports usage, as a singleton task. The report of a window is decided, that is stored, before it is sent,
+ * so that any successor sends the very same; it is decided as soon as every node has closed the window, at
+ * the latest when it must be sent to be in time.
+ *
+ * Owns: the progress of this leadership. Relies on: the lease (a confirmation for each report), the store,
+ * the usage collector. While the store fails, nothing is decided; while the collector fails, reports are
+ * retried, and then the lease is released.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -12,30 +16,50 @@
 import type { UsageWindows } from './usage-window.js';
 import { EARLIER_WINDOWS, missingNodes, sumOf } from './window-counts.js';
 
-/** All reports are acts on one thing: two holders keep apart whatever window they report. */
+/**
+ * All reports are actions on one target: two leaders keep the handover guard whichever window they report.
+ */
 const TARGET = 'usage';
-const PASS_MS = 300;
-/** A window is looked at from this time after its end, milliseconds: nodes close it a moment after its end. */
-const FIRST_LOOK_MS = 400;
-/** Left between the decision and the time at which the report is due, for sending it, milliseconds. */
+/** Interval of passes while this node leads, milliseconds. Chosen, not measured. */
+const PASS_INTERVAL_MS = 300;
+/**
+ * Time after its end at which a window is first checked, milliseconds: nodes close it a moment after its end.
+ * Chosen, not measured.
+ */
+const FIRST_CHECK_MS = 400;
+/**
+ * Time between the latest decision and the time at which the report is due, milliseconds: for sending it.
+ * Chosen, not measured.
+ */
 const SENDING_MS = 2_500;
 const SEND_TIMEOUT_MS = 2_000;
-/** Distance of two reports, so that a backlog does not use up the rate that all duties share, milliseconds. */
+/**
+ * Pause between two reports, so that a backlog does not use up the rate that all nodes share, milliseconds.
+ * Chosen, not measured.
+ */
 const BETWEEN_REPORTS_MS = 50;
+/** Pause after a failed report, milliseconds. Chosen, not measured. */
 const RETRY_MS = 250;
-/** Reports without success after which the duty is given back: another node may be reached by the other side. */
+/**
+ * Failed reports in a row after which the lease is released: another node may reach the collector. Chosen,
+ * not measured.
+ */
 const MAX_FAILURES = 4;
-/** How long a node that has given the duty back does not want it, milliseconds. */
+/**
+ * Time for which a node that has released the lease does not acquire it, milliseconds. Chosen, not measured.
+ */
 const REST_MS = 15_000;
-/** Windows that a new holder catches up with at most. */
+/** Most windows that a new leader reports late. Chosen, not measured. */
 const MAX_BACKLOG = 200;
-/** Reported windows whose counts and reports are kept. */
+/**
+ * Windows before the last reported one whose counts are kept, for `missingNodes`, and whose reports are kept.
+ */
 const KEPT_COUNTS = EARLIER_WINDOWS;
 const KEPT_REPORTS = 60;
 /** Missing nodes that a log line names. */
 const SHOWN_NODES = 5;
 
-/** What the duty works with. */
+/** What reporting works with. */
 export interface UsageReporterServices {
   readonly repository: UsageRepository;
   readonly lease: LeaderLease;
@@ -48,12 +72,13 @@
   readonly logger: DecisionLogger;
 }
 
-/** Where a holder stands. */
+/** Progress of one leadership. */
 interface Progress {
+  /** Epoch of the lease that it belongs to. */
   readonly epoch: number;
-  /** Decided, not yet taken; the oldest first. */
+  /** Decided and not yet accepted, the oldest first. */
   readonly unreported: StoredReport[];
-  /** The next window to decide on. */
+  /** The next window to decide. */
   nextWindow: number;
 }
 
@@ -65,7 +90,7 @@
 
   constructor(private readonly services: UsageReporterServices) {}
 
-  /** Whether this node takes the duty if it is free. */
+  /** Whether this node may acquire the lease: not for `REST_MS` after failed reports. */
   get wantsLeadership(): boolean {
     return monotonicMs() >= this.restsUntilMs;
   }
@@ -76,7 +101,7 @@
     while (!signal.aborted) {
       await lease.untilHeld(signal);
       if (lease.isHeld) await this.pass(signal);
-      await sleep(PASS_MS, signal);
+      await sleep(PASS_INTERVAL_MS, signal);
     }
   }
 
@@ -86,13 +111,13 @@
     await this.sendAll(progress, signal);
     const { windows } = this.services;
     while (!signal.aborted && this.services.lease.isHeld) {
-      if (windows.sinceEndMs(progress.nextWindow) < FIRST_LOOK_MS) return;
+      if (windows.sinceEndMs(progress.nextWindow) < FIRST_CHECK_MS) return;
       if (!(await this.decide(progress))) return;
       if (!(await this.sendAll(progress, signal))) return;
     }
   }
 
-  /** Where this holder stands; read anew with each taking of the duty. */
+  /** Progress of this leadership, read from the store once per epoch; `undefined` when the store fails. */
   private async currentProgress(): Promise<Progress | undefined> {
     const { lease, repository, windows } = this.services;
     const { epoch } = lease;
@@ -107,15 +132,14 @@
     return this.progress;
   }
 
-  /** Decides on the next window if it may be decided on now. Returns whether it is decided. */
+  /** Decides the next window if it may be decided now. Returns whether it is decided. */
   private async decide(progress: Progress): Promise<boolean> {
     const { repository, windows, dueMs, nodeName } = this.services;
     const window = progress.nextWindow;
     const counts = await repository.countsOf(window - EARLIER_WINDOWS, window);
     if (counts.isErr()) return false;
     const missing = missingNodes(counts.value, window);
-    const isLate = windows.sinceEndMs(window) >= dueMs - SENDING_MS;
-    if (missing.length > 0 && !isLate) return false;
+    if (!mayDecide(missing, windows.sinceEndMs(window), dueMs)) return false;
     const decided = await repository.decide(window, sumOf(counts.value, window), nodeName);
     if (decided.isErr()) return false;
     progress.nextWindow = window + 1;
@@ -124,7 +148,7 @@
     return true;
   }
 
-  /** Sends what is decided, the oldest first. Returns whether nothing is left. */
+  /** Sends decided reports, the oldest first. Returns whether none is left. */
   private async sendAll({ unreported }: Progress, signal: AbortSignal): Promise<boolean> {
     for (let report = unreported[0]; report !== undefined; report = unreported[0]) {
       if (signal.aborted || !(await this.send(report))) return false;
@@ -134,7 +158,10 @@
     return true;
   }
 
-  /** Sends one report under a fresh confirmation of the lease. Returns whether it was taken. */
+  /**
+   * Sends one report under a fresh confirmation of the lease. Returns whether it was accepted. A repeat
+   * changes nothing.
+   */
   private async send(report: StoredReport): Promise<boolean> {
     const { lease, sink, nodeName, repository } = this.services;
     if (!lease.mayActOn(TARGET)) return false;
@@ -196,6 +223,14 @@
   }
 }
 
+/**
+ * Whether a window may be decided: no node may still add to it, or the report must be sent now. Times in
+ * milliseconds.
+ */
+export function mayDecide(missing: readonly string[], sinceEndMs: number, dueMs: number): boolean {
+  return missing.length === 0 || sinceEndMs >= dueMs - SENDING_MS;
+}
+
 function total(counts: TenantCounts): number {
   return Object.values(counts).reduce((all, count) => all + count, 0);
 }
--- a/src/coordination/service/usage/usage-window.ts
+++ b/src/coordination/service/usage/usage-window.ts
@@ -1,4 +1,4 @@
-/** Windows of time in which usage is counted: window k begins k lengths after the start of 1970. */
+/** Numbered windows of time in which usage is counted: window k begins k lengths after the start of 1970. */
 
 /** Windows of one length. */
 export class UsageWindows {
@@ -8,12 +8,12 @@
     private readonly lengthMs: number,
   ) {}
 
-  /** The window that it is now. */
+  /** The window that contains the present. */
   get current(): number {
     return Math.floor(this.now() / this.lengthMs);
   }
 
-  /** Time since the end of a window, milliseconds; below 0 while it lasts. */
+  /** Time since the end of a window, milliseconds; negative while it lasts. */
   sinceEndMs(window: number): number {
     return this.now() - (window + 1) * this.lengthMs;
   }
--- a/src/coordination/service/usage/usage-writer.ts
+++ b/src/coordination/service/usage/usage-writer.ts
@@ -1,23 +1,30 @@
 /**
- * Writes what this process counts into the store: at once after a request was sent, but no more often than the store bears
- * of all nodes together, and once more when a window is over. A node whose counts of a window are closed has nothing to add
- * to it, so that the report need not wait for longer.
+ * Stores what this process counts: soon after a request was sent, limited by the rate that the store bears of
+ * all nodes together, and once more when a window is over, which closes it. A node that has closed a window
+ * has nothing to add to it, so that its report need not wait for longer. Writes are repeated until the store
+ * answers; `closedUpTo` only rises.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { UsageRepository, UsageSource } from '../../../state/service/usage/index.js';
 import type { UsageCounter } from './usage-counter.js';
 import type { UsageWindows } from './usage-window.js';
 
-/** Least time between two writes of a node for each node of the fleet: 200 writes a second of all together, milliseconds. */
+/**
+ * Least time between two writes of a node, per node of the fleet, milliseconds: 200 writes a second of all
+ * together.
+ */
 const SPACING_PER_NODE_MS = 5;
-/** A window is closed this long after its end, so that requests sent at its end are in, milliseconds. */
+/**
+ * Time after its end at which a window is closed, milliseconds; requests sent at its end are counted by then.
+ * Chosen, not measured.
+ */
 const CLOSE_DELAY_MS = 150;
-/** Windows before the current one that a new process closes for the one that ran here before. */
+/** Windows before the current one that a new process closes for its predecessor on this node. */
 const CLOSED_AT_START = 2;
-/** Windows after which what was counted is no longer asked for. */
-const REMEMBERED_WINDOWS = 12;
+/** Windows after which counts are no longer requested by any reporter. Chosen, not measured. */
+const KEPT_WINDOWS = 12;
 
-/** What the store has of a window. */
+/** A window as stored. */
 interface WrittenWindow {
   version: number;
   /** State of the counter that was written. */
@@ -54,7 +61,9 @@
     }
   }
 
-  /** Writes what is not written yet, without pauses. Resolves when all of it is in the store, or at the abort. */
+  /**
+   * Stores what is not stored yet, without pauses. Resolves when all of it is in the store, or at the abort.
+   */
   async flush(signal: AbortSignal): Promise<void> {
     for (let window = this.changedWindow(); window !== undefined; window = this.changedWindow()) {
       if (signal.aborted) return;
@@ -66,7 +75,7 @@
     return this.fleetSize() * SPACING_PER_NODE_MS;
   }
 
-  /** A window that must be written: one whose counts have changed, or one that must be closed. */
+  /** The next window to write: one whose counts have changed, or one to close. */
   private nextWindow(): number | undefined {
     const changed = this.changedWindow();
     if (changed !== undefined) return changed;
@@ -117,7 +126,7 @@
   }
 
   private forgetOld(): void {
-    const oldest = this.windows.current - REMEMBERED_WINDOWS;
+    const oldest = this.windows.current - KEPT_WINDOWS;
     this.closedUpTo = Math.max(this.closedUpTo, oldest);
     for (const window of this.written.keys()) {
       if (window >= oldest) continue;
--- a/src/coordination/service/usage/window-counts.ts
+++ b/src/coordination/service/usage/window-counts.ts
@@ -1,13 +1,14 @@
-/** What is known of a window before it is reported: its sums, and which nodes may still have something to add. */
+/** What is stored of a window before it is decided: its sums, and which nodes may still add to it. */
 import type { TenantCounts } from '../../../protocol/service/usage.js';
 import type { StoredCount } from '../../../state/service/usage/index.js';
 
-/** Windows before one that tell which nodes are at work. */
+/** Windows before one whose closing shows which nodes run. Chosen, not measured; see `missingNodes`. */
 export const EARLIER_WINDOWS = 2;
 
 /**
- * Nodes that have not closed a window and may still add to it: those that closed one of the `EARLIER_WINDOWS` before it. A
- * node that is cut off for a while is waited for, one that is gone for good holds up two windows and then none.
+ * Nodes that may still add to a window: those that closed one of the `EARLIER_WINDOWS` before it and not this
+ * one. A node that is cut off for a while is waited for; one that is gone for good delays two windows and
+ * then none.
  */
 export function missingNodes(counts: readonly StoredCount[], window: number): string[] {
   const closers = (from: number, to: number) =>
--- a/src/state/service/usage/usage-record.ts
+++ b/src/state/service/usage/usage-record.ts
@@ -1,4 +1,7 @@
-/** Records of usage: what each process has counted in a window, and what was decided to report of it. */
+/**
+ * Stored records of usage: what each process has counted in a window, and what was decided to report. Names
+ * of fields stay.
+ */
 import { spread } from '../../../common/spread.js';
 import type { RecordAddress } from '../../../protocol/record-store.js';
 import type { TenantCounts } from '../../../protocol/service/usage.js';
@@ -7,8 +10,9 @@
 export const REPORT_TABLE = 'usage-reports';
 
 /**
- * Partitions of counts, over which nodes are spread, and the one of reports. A partition takes a few hundred writes a second in
- * turn; in one with the beats and leases of all nodes, counts would hold these up.
+ * Partitions of counts, over which nodes are spread, and the one of reports. A partition executes 300 writes
+ * a second, one by one: in one with the heartbeats and leases of all nodes, counts would delay these
+ * (docs/design/shifted.md).
  */
 export const COUNT_PARTITIONS: readonly string[] = ['usage-0', 'usage-1', 'usage-2', 'usage-3'];
 export const REPORT_PARTITION = 'usage-reports';
@@ -16,7 +20,7 @@
 /** Digits of a window in a key, so that keys sort by window. */
 const WINDOW_DIGITS = 12;
 
-/** Who has counted: one life of one node's process. */
+/** Who has counted: one incarnation (`life`) of one node. */
 export interface UsageSource {
   readonly node: string;
   readonly life: string;
@@ -32,7 +36,7 @@
 /** What is reported of a window. The counts never change once they are written. */
 export interface ReportRecord {
   readonly counts: TenantCounts;
-  /** Whether the report was taken. */
+  /** Whether the collector has accepted the report. */
   readonly isReported: boolean;
   /** Node that decided. */
   readonly decidedBy: string;
--- a/src/state/service/usage/usage-repository.ts
+++ b/src/state/service/usage/usage-repository.ts
@@ -1,7 +1,7 @@
 /**
- * Usage in the record store. A process overwrites its own counts of a window under the condition that they are as it last
- * wrote them, so that a write that is carried out late never undoes a newer one. A report is written once and for all before
- * it is sent, so that every holder of the duty sends the same.
+ * Usage in the record store. A process overwrites its own counts of a window on the condition that they are
+ * as it last wrote them, so that a late write never undoes a newer one. A report is written once, before it
+ * is sent, so that every leader sends the same.
  */
 import { err, ok, Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
@@ -26,18 +26,19 @@
   windowOfKey,
 } from './usage-record.js';
 
-/** Records that one transaction removes at most. */
+/** Most records removed in one transaction, below the store's limit of 100 entries. */
 const REMOVED_TOGETHER = 90;
-/** Longest effort for one change of a report, milliseconds. */
+/** Longest time for settling one change of a report, milliseconds. Chosen, not measured. */
 const REPORT_EFFORT_MS = 2_000;
 
-/** Access to usage. */
+/** Access to stored usage. */
 export class UsageRepository {
   constructor(private readonly store: RecordStore) {}
 
   /**
-   * Overwrites what `source` has counted in a window; `version` is that of its last write, 0 before the first. Repeats the
-   * write until its outcome is certain. Resolves to the new version; a conflict means that the window is cleared already.
+   * Overwrites what `source` has counted in a window; `version` is that of its last write, 0 before the
+   * first. Repeats the write until its outcome is certain. Resolves to the new version; a conflict means that
+   * the window is already cleared.
    */
   async saveCounts(
     window: number,
@@ -49,7 +50,7 @@
     return this.replace(countAddress(window, source), record, version, Number.POSITIVE_INFINITY, signal);
   }
 
-  /** What all processes have counted so far in the windows from `first` to `last`. */
+  /** Counts of all processes in the windows from `first` to `last`, both included. */
   async countsOf(first: number, last: number): Promise<Result<StoredCount[], StateError>> {
     const [from, until] = [windowKey(first), windowKey(last + 1)];
     const found = await Promise.all(
@@ -58,13 +59,13 @@
     return Result.combine(found).map((parts) => parts.flatMap(({ records }) => records.map(toCount)));
   }
 
-  /** All reports that are kept, in the order of their windows. */
+  /** All stored reports, in the order of their windows. */
   async reports(): Promise<Result<StoredReport[], StateError>> {
     const found = await readRange(this.store, REPORT_TABLE, REPORT_PARTITION);
     return found.map(({ records }) => records.map(toReport));
   }
 
-  /** Decides what is reported of a window. Resolves to what another node has decided, if one was first. */
+  /** Decides the report of a window. Resolves to the decision of another node, if that was first. */
   async decide(
     window: number,
     counts: TenantCounts,
@@ -79,13 +80,16 @@
     return existing ? ok(toReport(existing)) : err(error);
   }
 
-  /** Notes that a report was taken. */
+  /** Notes that a report was accepted. */
   async markReported({ window, version, ...record }: StoredReport): Promise<Result<number, StateError>> {
     const deadlineMs = monotonicMs() + REPORT_EFFORT_MS;
     return this.replace(reportAddress(window), { ...record, isReported: true }, version, deadlineMs);
   }
 
-  /** Removes counts of windows before `countsBefore` and reports of windows before `reportsBefore`. */
+  /**
+   * Removes counts of windows before `countsBefore`, reports before `reportsBefore`. What a failure leaves,
+   * the next call removes.
+   */
   async removeOld(countsBefore: number, reportsBefore: number): Promise<void> {
     for (const partition of COUNT_PARTITIONS)
       await this.removeRange(COUNT_TABLE, partition, windowKey(countsBefore));
--- a/test/coordination/service/usage/usage.test.ts
+++ b/test/coordination/service/usage/usage.test.ts
@@ -8,7 +8,7 @@
 const WINDOW_MS = 1_000;
 const DUE_MS = 5_000;
 /** Time that the tests' nodes keep between two holders, milliseconds. */
-const APART_MS = 1_000;
+const HANDOVER_GUARD_MS = 1_000;
 const KEYS = ['large-key-1', 'large-key-2', 'small-key-1'];
 
 describe('usage of tenants', () => {
@@ -73,7 +73,7 @@
     await send(nodes, 60);
     await untilReported();
     expectNoGaps();
-    expect(reportBreaches(system.usage.reports, APART_MS)).to.deep.equal([]);
+    expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
     expect(errors()).to.be.at.most(AT_EDGES);
     const total = system.usage.reports.reduce(
       (sum, { counts }) => sum + (counts.large ?? 0) + (counts.small ?? 0),
@@ -82,7 +82,7 @@
     expect(total).to.equal(60);
   });
 
-  it('is written beside the beats and leases of nodes, not among them', async () => {
+  it('is written beside the heartbeats and leases of nodes, not among them', async () => {
     await untilReported();
     await send(nodes, 6);
     await untilReported();
@@ -105,7 +105,7 @@
     expect(total).to.equal(30);
   });
 
-  it('goes on when the holder is killed, with the lease time between the two', async () => {
+  it('goes on when the leader is killed, with the handover guard between the two', async () => {
     await untilReported();
     await send(nodes, 20);
     const killed = holder();
@@ -116,7 +116,7 @@
     );
     await untilReported();
     expectNoGaps();
-    expect(reportBreaches(system.usage.reports, APART_MS)).to.deep.equal([]);
+    expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
     expect(errors()).to.be.at.most(AT_EDGES);
   });
 
@@ -129,7 +129,7 @@
     await send(nodes, 20);
     await untilReported();
     expectNoGaps();
-    expect(reportBreaches(system.usage.reports, APART_MS)).to.deep.equal([]);
+    expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
     expect(errors()).to.be.at.most(AT_EDGES);
   });
 
@@ -141,10 +141,10 @@
       const windows = system.usage.reports.slice(before).map(({ window }) => window);
       return windows.some((window, at) => windows.indexOf(window) !== at);
     });
-    expect(reportBreaches(system.usage.reports, APART_MS)).to.deep.equal([]);
+    expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
   });
 
-  it('waits for the counts of a node that the store turned away for a while', async () => {
+  it('waits for the counts of a node that the store rejected for a while', async () => {
     await untilReported();
     const away = nodes.find((node) => node !== holder()) as ServiceNodeProcess;
     away.proxy.set('cut');
@@ -157,7 +157,7 @@
     expect(errors()).to.be.at.most(AT_EDGES);
   });
 
-  it('is not reported by a holder that was frozen between its decision and its report', async () => {
+  it('is not reported by a leader that was paused between its decision and its report', async () => {
     await untilReported();
     const frozen = holder();
     system.usage.delayMs = 0;
@@ -170,11 +170,11 @@
     await send(nodes, 10);
     await untilReported();
     expectNoGaps();
-    expect(reportBreaches(system.usage.reports, APART_MS)).to.deep.equal([]);
+    expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
     expect(errors()).to.be.at.most(AT_EDGES);
   });
 
-  it('is given to another node by one that the other side does not answer', async () => {
+  it('is handed to another node by one that the collector does not answer', async () => {
     await untilReported();
     const first = holder();
     system.usage.mode = 'busy';
@@ -184,6 +184,6 @@
     system.usage.mode = 'answering';
     await untilReported();
     expectNoGaps();
-    expect(reportBreaches(system.usage.reports, APART_MS)).to.deep.equal([]);
+    expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
   });
 });
--- a/test/coordination/service/usage/window-counts.test.ts
+++ b/test/coordination/service/usage/window-counts.test.ts
@@ -11,7 +11,7 @@
 });
 
 describe('the counts of a window', () => {
-  it('are complete once every node that was at work has closed it', () => {
+  it('are complete once every running node has closed it', () => {
     const counts = [closed(5, 'a'), closed(5, 'b'), closed(6, 'a')];
     expect(missingNodes(counts, 6)).to.deep.equal(['b']);
     expect(missingNodes([...counts, { ...closed(6, 'b'), isClosed: false }], 6)).to.deep.equal(['b']);
