--- a/src/protocol/service/configuration-peer.ts
+++ b/src/protocol/service/configuration-peer.ts
@@ -1,24 +1,28 @@
-/** The configuration as one node asks another for it, over the port that only nodes reach. */
+/** Wire format in which one node asks another for its configuration, over the port that only nodes reach. */
 import type { HttpClient } from '../../transport/http-client.js';
 
-/** Path of the question, and its parameter: the version that the asking node has. */
+/** Path, and its query parameter: the version that the asking node has. */
 export const CONFIGURATION_PATH = '/configuration';
 export const NEWER_THAN = 'newer-than';
 
-/** What another node says. */
+/** Answer of a peer. */
 export type PeerConfigurationAnswer =
   /** The operator's record, as the store has it. */
   | { readonly kind: 'newer'; readonly value: Buffer }
-  /** There is none that is newer, by a node that the store serves. */
+  /** There is no newer one, by a node that reaches the store. */
   | { readonly kind: 'same' }
-  /** The node does not answer, or is not served by the store either. */
+  /** The peer does not answer, or does not reach the store either. */
   | { readonly kind: 'unavailable' };
 
 const STATUS_NEWER = 200;
 const STATUS_SAME = 204;
+/** Milliseconds. Chosen, not measured: several peers are asked one after the other. */
 const CALL_TIMEOUT_MS = 800;
 
-/** Asks the node at `address` (`IP:PORT`) for a configuration that is newer than `version`. */
+/**
+ * Asks the node at `address` (`IP:PORT`) for a configuration newer than `version`. Never rejects; a repeat is
+ * safe.
+ */
 export async function askForConfiguration(
   http: HttpClient,
   address: string,
--- a/src/protocol/service/service-settings.ts
+++ b/src/protocol/service/service-settings.ts
@@ -8,7 +8,7 @@
 
 /** How usage of tenants is reported. */
 export interface UsageSettings {
-  /** `IP:PORT` of whoever takes the reports. */
+  /** `IP:PORT` of the usage collector. */
   readonly address: string;
   /** Length of a window. */
   readonly windowMs: number;
@@ -24,7 +24,7 @@
   readonly zoneRegions: ReadonlyMap<string, string>;
   readonly ingress: ListenAddress;
   readonly readiness: ListenAddress;
-  /** Port at which other nodes of the fleet are answered, at the host of `ingress`; 0 takes a free one. */
+  /** Port for peers, at the host of `ingress`; 0 takes a free one. */
   readonly peerPort: number;
   /** `IP:PORT` of the store. */
   readonly storeAddress: string;
@@ -34,15 +34,15 @@
   readonly stopGraceMs: number;
   /** Time from the store's acknowledgement of a configuration until no node acts on an older one. */
   readonly configurationBoundMs: number;
-  /** Two holders of one duty never act on one replica within this time. */
+  /** Handover guard: leaders on two machines never act on one target within this time. */
   readonly leaseMs: number;
-  /** How often a replica writes its announcement. */
+  /** Interval of a replica's heartbeats. */
   readonly replicaHeartbeatMs: number;
   /** How long results stay readable after a job was submitted. */
   readonly resultRetentionMs: number;
   /** `undefined` where no usage is reported. */
   readonly usage: UsageSettings | undefined;
-  /** Processor that the process may use, in cores. */
+  /** Processor share of the process, in cores. */
   readonly processorCores: number;
   /** Memory that the process may use, bytes. */
   readonly memoryBytes: number;
--- a/src/protocol/service/usage.ts
+++ b/src/protocol/service/usage.ts
@@ -1,4 +1,4 @@
-/** Usage of tenants, as it is reported to whoever accounts for it: one report for each window of time. */
+/** Usage of tenants, as it is reported to the usage collector: one report for each window of time. */
 import type { Result } from 'neverthrow';
 import type { TransportError } from '../../transport/transport-error.js';
 
@@ -17,10 +17,10 @@
   readonly fencingToken: number;
 }
 
-/** What became of a report that was answered. */
+/** Outcome of a report that was answered. `taken` means accepted. */
 export type ReportOutcome = 'taken' | 'rate-limited' | 'fenced-off' | 'rejected';
 
-/** Takes reports. An exact repeat changes nothing. No call is ever repeated by the client. */
+/** Client of the usage collector. An exact repeat changes nothing; the client itself never repeats a call. */
 export interface UsageSink {
   report(
     report: UsageReport,
--- a/src/state/service/configuration/index.ts
+++ b/src/state/service/configuration/index.ts
@@ -1,2 +1,3 @@
-export { RoutingSnapshot, RoutingTable, TargetSplitter } from './routing-table.js';
+export { RoutingSnapshot, RoutingTable } from './routing-table.js';
+export { TargetSplitter } from './target-splitter.js';
 export { fingerprintOf } from './tenant-directory.js';
--- /dev/null
+++ b/src/state/service/configuration/target-splitter.ts
@@ -0,0 +1,42 @@
+/**
+ * Splits requests among the targets of a route by weight: smooth weighted round robin, so that shares hold
+ * even over few requests. A route whose targets or weights change is split anew.
+ */
+import type { Route, RouteTarget } from '../../../protocol/service/routing-configuration.js';
+
+/**
+ * Most splits kept; beyond, all are dropped and begin anew. Chosen, not measured: above any configuration's
+ * routes.
+ */
+const MAX_SPLITS = 1_000;
+
+/** The splits of one process. */
+export class TargetSplitter {
+  private readonly credits = new Map<string, Map<string, number>>();
+
+  /** The target of the next request; `undefined` when the route has none. */
+  next(route: Route): RouteTarget | undefined {
+    if (route.targets.length <= 1) return route.targets[0];
+    const credits = this.creditsOf(route);
+    let best: RouteTarget | undefined;
+    let total = 0;
+    for (const target of route.targets) {
+      total += target.weight;
+      const credit = (credits.get(target.service) ?? Math.random() * target.weight) + target.weight;
+      credits.set(target.service, credit);
+      if (target.weight > 0 && (!best || credit > (credits.get(best.service) ?? 0))) best = target;
+    }
+    if (best) credits.set(best.service, (credits.get(best.service) ?? 0) - total);
+    return best;
+  }
+
+  private creditsOf(route: Route): Map<string, number> {
+    const key = `${route.name} ${route.targets.map((target) => `${target.service}=${target.weight}`).join()}`;
+    const existing = this.credits.get(key);
+    if (existing) return existing;
+    if (this.credits.size > MAX_SPLITS) this.credits.clear();
+    const created = new Map<string, number>();
+    this.credits.set(key, created);
+    return created;
+  }
+}
--- a/src/state/service/configuration/tenant-directory.ts
+++ b/src/state/service/configuration/tenant-directory.ts
@@ -2,19 +2,19 @@
 import { createHash } from 'node:crypto';
 import type { Tenant } from '../../../protocol/service/routing-configuration.js';
 
-/** Who a caller is, by what it shows. */
+/** Who a caller is, by its `Authorization` header. */
 export type CallerIdentity =
   | { readonly kind: 'tenant'; readonly tenant: Tenant }
-  /** Shows nothing. */
+  /** Has no header. */
   | { readonly kind: 'anonymous' }
-  /** Shows a key that no tenant has, or something that is no key. */
+  /** Has a key of no tenant, or a header that holds no key. */
   | { readonly kind: 'unknown' };
 
 const ANONYMOUS: CallerIdentity = { kind: 'anonymous' };
 const UNKNOWN: CallerIdentity = { kind: 'unknown' };
 /** RFC 6750: the scheme in any case, blanks, and the token. */
 const BEARER = /^bearer +(\S+)$/i;
-/** Hexadecimal digits of a key's hash that stand for it in logs. */
+/** Hexadecimal digits of a key's SHA-256 hash that identify it in logs. Chosen, not measured. */
 const FINGERPRINT_DIGITS = 8;
 
 /** The key in an `Authorization` header; `undefined` when it holds none. */
@@ -22,14 +22,14 @@
   return BEARER.exec(authorization.trim())?.[1];
 }
 
-/** Stands for what a caller shows in log lines, where no key may appear; `none` when it shows nothing. */
+/** Identifies a caller's header in log lines, where no key may appear; `none` without a header. */
 export function fingerprintOf(authorization: string | undefined): string {
   if (authorization === undefined) return 'none';
   const shown = keyOf(authorization) ?? authorization;
   return createHash('sha256').update(shown).digest('hex').slice(0, FINGERPRINT_DIGITS);
 }
 
-/** The tenants of one configuration. A key that stands with several tenants belongs to the first. */
+/** The tenants of one configuration. A key of several tenants belongs to the first. */
 export class TenantDirectory {
   private readonly byKey = new Map<string, Tenant>();
 
@@ -38,7 +38,7 @@
       for (const key of tenant.apiKeys) if (!this.byKey.has(key)) this.byKey.set(key, tenant);
   }
 
-  /** Who shows this `Authorization` header. */
+  /** The caller that has this `Authorization` header. */
   identify(authorization: string | undefined): CallerIdentity {
     if (authorization === undefined) return ANONYMOUS;
     const key = keyOf(authorization);
--- a/test/coordination/service/jobs/item-run.test.ts
+++ b/test/coordination/service/jobs/item-run.test.ts
@@ -8,7 +8,7 @@
   type ItemServices,
 } from '../../../../src/coordination/service/jobs/item-run.js';
 import type { JobItem, PartialText } from '../../../../src/protocol/service/batch-job.js';
-import { RoutingTable, TargetSplitter } from '../../../../src/state/service/configuration/routing-table.js';
+import { RoutingTable, TargetSplitter } from '../../../../src/state/service/configuration/index.js';
 
 const OLDEST_VERSION = 3;
 
