--- /dev/null
+++ b/src/node/service/peer-endpoint.ts
@@ -0,0 +1,89 @@
+/**
+ * HTTP endpoint for peers: forwarded requests, the configuration, and crash reports. Only nodes reach its
+ * port.
+ */
+import type { IncomingMessage, ServerResponse } from 'node:http';
+import { setImmediate } from 'node:timers/promises';
+import { CONFIGURATION_PATH, NEWER_THAN } from '../../protocol/service/configuration-peer.js';
+import {
+  CRASH_REPORTS_PATH,
+  MAX_MESSAGE_BYTES,
+  parseCrashReports,
+} from '../../protocol/service/crash-report-peer.js';
+import {
+  DISPATCH_PATH,
+  MAX_DISPATCH_BYTES,
+  parseDispatch,
+  renderDispatchOutcome,
+} from '../../protocol/service/dispatch-peer.js';
+import { callerGone, type HttpServer, readRequestBody, sendJson } from '../../transport/http-server.js';
+import type { ServiceNode } from './service-node.js';
+
+/**
+ * Turns of the event loop between reading a peer's request and dispatching it. After a process pause the
+ * request may have waited in the socket buffer, followed by the end of its connection, which is read in the
+ * next turn: its caller has left, and it must not be sent. Two were enough in 6 of 6 runs of the test; one
+ * more is a spare. Costs well below a millisecond.
+ */
+const READ_AHEAD_TURNS = 3;
+
+async function turnsOfEventLoop(count: number): Promise<void> {
+  for (let turns = 0; turns < count; turns += 1) await setImmediate();
+}
+
+/** Answers peers on behalf of one node. */
+export class PeerEndpoint {
+  constructor(private readonly node: ServiceNode) {}
+
+  /** Adds the routes to the server of the peer port. */
+  register(server: HttpServer): void {
+    server.route('POST', DISPATCH_PATH, (request, response) =>
+      this.node.track(() => this.dispatch(request, response)),
+    );
+    server.route('GET', CONFIGURATION_PATH, async (request, response) =>
+      this.answerConfiguration(request, response),
+    );
+    server.route('POST', CRASH_REPORTS_PATH, (request, response) =>
+      this.exchangeCrashReports(request, response),
+    );
+  }
+
+  private answerConfiguration(request: IncomingMessage, response: ServerResponse): void {
+    const { originalUrl } = request as { originalUrl?: string };
+    const url = new URL(originalUrl ?? request.url ?? '/', 'http://peer');
+    const version = Number(url.searchParams.get(NEWER_THAN) ?? 0);
+    const answer = this.node.configurationFor(Number.isFinite(version) ? version : 0);
+    if (answer.kind === 'newer') response.writeHead(200).end(answer.value);
+    else response.writeHead(answer.kind === 'same' ? 204 : 503).end();
+  }
+
+  private async exchangeCrashReports(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    const body = await readRequestBody(request, MAX_MESSAGE_BYTES);
+    const reports = body && parseCrashReports(body);
+    if (reports) sendJson(response, 200, this.node.exchangeCrashReports(reports));
+    else sendJson(response, 400, { error: 'no reports' });
+  }
+
+  /** The head of the answer acknowledges the request, long before its outcome follows as the body. */
+  private async dispatch(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    // A body that ends early means that the peer has left; nothing was accepted, and nobody reads the 400.
+    const body = await readRequestBody(request, MAX_DISPATCH_BYTES).catch(() => undefined);
+    const framed = body && parseDispatch(body);
+    if (!framed) {
+      sendJson(response, 400, { error: 'no request' });
+      return;
+    }
+    const gone = callerGone(response);
+    await turnsOfEventLoop(READ_AHEAD_TURNS);
+    if (gone.aborted) return;
+    const outcome = this.node.dispatchForPeer(framed, gone);
+    if (!outcome) {
+      sendJson(response, 503, { error: 'this node is leaving' });
+      return;
+    }
+    response.writeHead(200, { 'content-type': 'application/octet-stream' });
+    response.flushHeaders();
+    const { message, body: answer } = await outcome;
+    if (!response.destroyed) response.end(renderDispatchOutcome(message, answer));
+  }
+}
--- a/src/node/service/service-process.ts
+++ b/src/node/service/service-process.ts
@@ -1,40 +1,31 @@
-/** The process of a serving node: its listeners, its signals, and what it measures of itself. */
+/**
+ * The process of a serving node: its listeners, its signals, and what it measures of itself.
+ *
+ * Relies on: the node for everything else. A request that fails within the node is answered 500 and logged;
+ * an uncaught exception is logged and ends the process, SIGTERM and SIGINT drain the node first.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { setImmediate } from 'node:timers/promises';
 import { monotonicMs } from '../../common/clock.js';
 import type { StandardOutputLogger } from '../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
-import { CONFIGURATION_PATH, NEWER_THAN } from '../../protocol/service/configuration-peer.js';
-import {
-  CRASH_REPORTS_PATH,
-  MAX_MESSAGE_BYTES,
-  parseCrashReports,
-} from '../../protocol/service/crash-report-peer.js';
-import {
-  DISPATCH_PATH,
-  MAX_DISPATCH_BYTES,
-  parseDispatch,
-  renderDispatchOutcome,
-} from '../../protocol/service/dispatch-peer.js';
 import type { ServiceSettings } from '../../protocol/service/service-settings.js';
-import { callerGone, HttpServer, readRequestBody, sendJson } from '../../transport/http-server.js';
+import { HttpServer, sendJson } from '../../transport/http-server.js';
+import { PeerEndpoint } from './peer-endpoint.js';
 import type { ServiceNode } from './service-node.js';
 
+/** Limits of the callers' listener. Chosen, not measured. */
 const MAX_HEADER_BYTES = 64 * 1024;
 const REQUEST_TIMEOUT_MS = 60_000;
+/** Interval of measurements of the event loop's delay, milliseconds. Chosen, not measured. */
 const PULSE_MS = 500;
-/** A pulse that comes this much late is logged: the process stood still, milliseconds. */
-const STANDSTILL_MS = 400;
-/**
- * Turns of the event loop between reading another node's request and dispatching it. After a process pause the request may have lain in the
- * socket buffer for long, followed by the end of its connection, which is read in the next turn: its caller has left, and it must not be sent.
- * Two were enough in 6 of 6 runs of the test; one more is a spare. Costs well below a millisecond.
- */
-const READ_AHEAD_TURNS = 3;
+/** Delay of a measurement above which a process pause is logged, milliseconds. Chosen, not measured. */
+const LOGGED_PAUSE_MS = 400;
 const MILLISECONDS_PER_SECOND = 1000;
-/** Kept longer than callers may reuse an idle connection, milliseconds. */
+/** Kept longer than callers may reuse an idle connection, milliseconds. Chosen, not measured. */
 const KEEP_ALIVE_MARGIN_MS = 1_000;
-/** How long an idle connection of another node is kept, milliseconds. */
+/**
+ * Time for which an idle connection of a peer is kept, milliseconds: longer than peers keep theirs (45 s).
+ */
 const PEER_KEEP_ALIVE_MS = 60_000;
 
 /** What the process works with. */
@@ -43,23 +34,19 @@
   readonly settings: () => ServiceSettings;
   readonly metrics: ServiceMetrics;
   readonly logger: StandardOutputLogger;
-  /** Path of the question whether the node is ready. */
+  /** Path of the readiness check. */
   readonly readyPath: string;
   /** Port of the metrics; none are served without it. */
   readonly metricsPort: number | undefined;
   readonly serve: (request: IncomingMessage, response: ServerResponse) => Promise<void>;
-  /** Reads the settings again and puts them in force; throws when they are wrong. */
+  /** Reloads the settings and puts them in force; throws when they are invalid. */
   readonly reload: () => { settings: ServiceSettings; unusedFields: number };
 }
 
-async function turnsOfEventLoop(count: number): Promise<void> {
-  for (let turns = 0; turns < count; turns += 1) await setImmediate();
-}
-
 /** Settings that take effect while the process runs. */
 const RELOADABLE = ['stopGraceMs', 'configurationBoundMs', 'leaseMs', 'resultRetentionMs'] as const;
 
-/** What a new reading of the settings changes, one text a setting. */
+/** What a reload has changed, one text per setting. */
 function changedSettings(before: ServiceSettings, after: ServiceSettings): string[] {
   return RELOADABLE.filter((name) => before[name] !== after[name]).map(
     (name) => `${name} ${before[name]} to ${after[name]}`,
@@ -70,7 +57,6 @@
 export class ServiceProcess {
   private readonly callers: HttpServer;
   private readonly readiness: HttpServer;
-  /** Answers other nodes. */
   private readonly peers: HttpServer;
   private lastPulseMs = monotonicMs();
 
@@ -93,15 +79,7 @@
       { ...fallbacks, notFound: async (_, response) => sendJson(response, 404, {}) },
       { keepAliveTimeoutMs: PEER_KEEP_ALIVE_MS },
     );
-    this.peers.route('POST', DISPATCH_PATH, (request, response) =>
-      this.parts.node.track(() => this.dispatchForPeer(request, response)),
-    );
-    this.peers.route('GET', CONFIGURATION_PATH, async (request, response) =>
-      this.answerPeer(request, response),
-    );
-    this.peers.route('POST', CRASH_REPORTS_PATH, (request, response) =>
-      this.exchangeCrashReports(request, response),
-    );
+    new PeerEndpoint(parts.node).register(this.peers);
   }
 
   /** Listens and serves until a signal ends the process. */
@@ -129,48 +107,6 @@
     return node.track(() => serve(request, response));
   }
 
-  /** Another node asks for a newer configuration. */
-  private answerPeer(request: IncomingMessage, response: ServerResponse): void {
-    const url = new URL(
-      (request as { originalUrl?: string }).originalUrl ?? request.url ?? '/',
-      'http://peer',
-    );
-    const version = Number(url.searchParams.get(NEWER_THAN) ?? 0);
-    const answer = this.parts.node.configurationFor(Number.isFinite(version) ? version : 0);
-    if (answer.kind === 'newer') response.writeHead(200).end(answer.value);
-    else response.writeHead(answer.kind === 'same' ? 204 : 503).end();
-  }
-
-  /** Another node, which the store does not serve, exchanges reports of requests that end replicas. */
-  private async exchangeCrashReports(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const body = await readRequestBody(request, MAX_MESSAGE_BYTES);
-    const reports = body && parseCrashReports(body);
-    if (reports) sendJson(response, 200, this.parts.node.exchangeCrashReports(reports));
-    else sendJson(response, 400, { error: 'no reports' });
-  }
-
-  /** Another node gives a request. The head of the answer says that it is taken, long before the outcome. */
-  private async dispatchForPeer(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const body = await readRequestBody(request, MAX_DISPATCH_BYTES).catch(() => undefined);
-    const framed = body && parseDispatch(body);
-    if (!framed) {
-      sendJson(response, 400, { error: 'no request' });
-      return;
-    }
-    const gone = callerGone(response);
-    await turnsOfEventLoop(READ_AHEAD_TURNS);
-    if (gone.aborted) return;
-    const outcome = this.parts.node.dispatchForPeer(framed, gone);
-    if (!outcome) {
-      sendJson(response, 503, { error: 'this node is leaving' });
-      return;
-    }
-    response.writeHead(200, { 'content-type': 'application/octet-stream' });
-    response.flushHeaders();
-    const { message, body: answer } = await outcome;
-    if (!response.destroyed) response.end(renderDispatchOutcome(message, answer));
-  }
-
   private answerReady(response: ServerResponse): void {
     const { isReady } = this.parts.node;
     sendJson(response, isReady ? 200 : 503, { ready: isReady });
@@ -213,7 +149,7 @@
     const delayMs = now - this.lastPulseMs - PULSE_MS;
     this.lastPulseMs = now;
     this.parts.metrics.loopDelay.set({}, Math.max(0, delayMs) / MILLISECONDS_PER_SECOND);
-    if (delayMs > STANDSTILL_MS)
+    if (delayMs > LOGGED_PAUSE_MS)
       this.parts.logger.record({
         event: 'process-changed',
         change: 'stood still',
