--- a/src/coordination/feeds/record-feed.ts
+++ b/src/coordination/feeds/record-feed.ts
@@ -29,10 +29,7 @@
  * rate of calls.
  */
 export const FEED_WAIT_MS = 1_200;
-/**
- * Back-off after failed calls, milliseconds; each pause is doubled, and spread by half around its length.
- * Chosen, not measured.
- */
+/** Back-off after failed calls, doubled each time and spread by half. Chosen, not measured. */
 const FIRST_PAUSE_MS = 50;
 const LONGEST_PAUSE_MS = 400;
 /** Time between two whole reads of a table that was read in part, milliseconds. Chosen, not measured. */
@@ -54,10 +51,7 @@
   /** Replaces all records; what is not in the content no longer exists. */
   replaceAll(content: T): void;
   apply(change: ChangedRecord): void;
-  /**
-   * Addresses of the known records, all in one partition; without it the feed waits until whole reads are
-   * new.
-   */
+  /** Addresses of known records, all in one partition; without it the feed waits for new whole reads. */
   knownAddresses?(): RecordAddress[];
 }
 
@@ -160,9 +154,7 @@
     return true;
   }
 
-  /**
-   * Reads a table whole that was read in part. An old read is dropped: the changes applied since are newer.
-   */
+  /** Reads a table whole that was read in part. An old read is dropped: changes applied since are newer. */
   private async complete(): Promise<void> {
     this.readAtMs = monotonicMs();
     const read = await this.handler.readAll();
@@ -202,10 +194,7 @@
     if (changes.length > 0) await this.pause(signal);
   }
 
-  /**
-   * A position that the store refuses is dropped like one whose history is lost; any other failure is
-   * transient.
-   */
+  /** A refused position is dropped like one whose history is lost; any other failure is transient. */
   private mustReadAgain({ failure, message }: RecordStoreError): boolean {
     if (failure !== 'history-lost' && failure !== 'refused') return false;
     if (failure === 'history-lost') this.lostAt = this.position;
--- a/src/coordination/service/leadership/leader-lease.ts
+++ b/src/coordination/service/leadership/leader-lease.ts
@@ -72,10 +72,7 @@
     return this.heldEpoch > 0;
   }
 
-  /**
-   * Fencing token of this holding; it rises with each change of the holder, and is 0 while the lease is not
-   * held.
-   */
+  /** Fencing token: rises with each change of the holder; 0 while this node does not hold the lease. */
   get epoch(): number {
     return this.heldEpoch;
   }
@@ -97,10 +94,7 @@
     if (!this.isHeld && wantsLease && !this.isAcquiring) void this.acquireIfAllowed();
   }
 
-  /**
-   * Releases the lease, so that a successor need not wait for this node's loss. If the write fails, the
-   * successor waits for it.
-   */
+  /** Releases the lease. If the write fails, a successor waits until this node counts as lost. */
   async resign(): Promise<void> {
     if (!this.isHeld || !this.known) return;
     const { content, version } = this.known;
@@ -195,9 +189,7 @@
     this.report('taken', `${reason}, ${others.length} targets must wait`);
   }
 
-  /**
-   * Whether the record was written; one without an answer counts as not, and the next scan shows the truth.
-   */
+  /** Whether the record was written. Without an answer it counts as not; the next scan shows which. */
   private async write(version: number, content: LeaseContent): Promise<boolean> {
     const value = Buffer.from(JSON.stringify(content), 'utf8');
     const outcome = await this.store.transact({
--- a/src/coordination/service/leadership/lease-record.ts
+++ b/src/coordination/service/leadership/lease-record.ts
@@ -1,7 +1,4 @@
-/**
- * The stored record of a leader lease. It lies in the sessions' table, so that one scan reads leases and
- * heartbeats.
- */
+/** The stored record of a leader lease, in the sessions' table: one scan reads leases and heartbeats. */
 import type { RecordAddress, StoredRecord } from '../../../protocol/record-store.js';
 import type { OwnerReference } from '../../../state/service/jobs/index.js';
 import { SESSION_TABLE } from '../membership/index.js';
--- a/src/coordination/service/leadership/lease-rules.ts
+++ b/src/coordination/service/leadership/lease-rules.ts
@@ -1,7 +1,4 @@
-/**
- * Rules of leader leases: who may acquire one, how long a confirmation is valid, and what the handover guard
- * covers.
- */
+/** Rules of leader leases: acquisition, validity of a confirmation, and the handover guard. */
 import type { OwnerReference } from '../../../state/service/jobs/index.js';
 import type { LeaseContent } from './lease-record.js';
 import { ANY_TARGET, type RecentAction } from './recent-actions.js';
@@ -17,9 +14,7 @@
 /** Safety margin added to the handover guard, milliseconds. Chosen, not measured. */
 const HANDOVER_GUARD_MARGIN_MS = 250;
 
-/**
- * Validity of a confirmation, milliseconds; `answerMs` is how long an answer of the store usually takes now.
- */
+/** Validity of a confirmation; `answerMs` is the usual time of an answer of the store. Milliseconds. */
 export function confirmationValidityMs(answerMs: number): number {
   return Math.min(MAX_VALIDITY_MS, Math.max(MIN_VALIDITY_MS, Math.round(answerMs * VALIDITY_ANSWERS)));
 }
--- a/src/coordination/service/membership/announcements.ts
+++ b/src/coordination/service/membership/announcements.ts
@@ -41,10 +41,7 @@
 
 /** Partition of all announcements. */
 export const ANNOUNCED_PARTITION = '';
-/**
- * Whole reads may be older than other answers of the store; the feed drops those older than what it has
- * applied.
- */
+/** Whole reads may be older than other answers; the feed drops those older than what it has applied. */
 export const ALLOWS_OLD = true;
 
 /** The announcements of operators and trainers. */
@@ -101,10 +98,7 @@
     return this.configurationRecord;
   }
 
-  /**
-   * Takes over the operator's record of the configuration, from the store or a peer. Older versions are
-   * ignored.
-   */
+  /** Takes over the operator's record, from the store or a peer. Older versions are ignored. */
   takeConfiguration(value: Buffer): void {
     const configuration = this.format.parseConfiguration(value);
     if (!configuration) {
--- a/src/coordination/service/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -13,21 +13,13 @@
 import { type Announcement, isExpired, parseAnnouncement, SERVING_NODES } from './node-announcement.js';
 
 const TABLE = SERVING_NODES;
-/**
- * Reads between two counts of all nodes, which are large reads; the first count follows the second read.
- * Chosen, not measured.
- */
+/** Reads between two counts of all nodes, which are large reads. Chosen, not measured. */
 const READS_PER_COUNT = 12;
-/**
- * Peers whose addresses are kept. Chosen, not measured: enough that one reaches the store when a zone is cut
- * off.
- */
+/** Peers kept. Chosen, not measured: enough that one reaches the store when a zone is cut off. */
 const KEPT_PEERS = 8;
 /** Interval of announcements, milliseconds. Chosen, not measured; a third of their expiry at most. */
 const ANNOUNCE_MS = 60_000;
-/**
- * Intervals of reads, milliseconds: the first ones are shorter, while all nodes start. Chosen, not measured.
- */
+/** Intervals of reads, shorter at first, while all nodes start. Chosen, not measured. */
 const READ_MS = 10_000;
 const FIRST_READ_MS = 1_500;
 /** Share of the interval over which reads are spread. Chosen, not measured. */
@@ -58,10 +50,7 @@
     this.time = new FleetTime(store);
   }
 
-  /**
-   * Up to `count` callers' addresses (`IP:PORT`): peers that served last time, then untried ones, then the
-   * others.
-   */
+  /** Up to `count` callers' addresses (`IP:PORT`): peers that served last time first, failed ones last. */
   likeliest(count: number): string[] {
     return this.ranked()
       .slice(0, count)
@@ -91,9 +80,7 @@
     await this.store.transact({ conditions: [], writes: [], removals: [recordAddress(this.nodeName)] });
   }
 
-  /**
-   * Announces this node with its addresses (`IP:PORT`) and reads those of others until `signal` is aborted.
-   */
+  /** Announces this node's addresses (`IP:PORT`) and reads those of others until `signal` is aborted. */
   async run(address: string, signal: AbortSignal, peerAddress?: string): Promise<void> {
     await this.untilAnswered(signal);
     await Promise.all([this.announceRegularly(address, peerAddress, signal), this.refreshLoop(signal)]);
--- a/src/coordination/service/membership/replica-announcements.ts
+++ b/src/coordination/service/membership/replica-announcements.ts
@@ -19,10 +19,7 @@
 import { type FeedHandler, readPartition } from '../../feeds/index.js';
 import { ALLOWS_OLD, ANNOUNCED_PARTITION, type Announced, type AnnouncementFormat } from './announcements.js';
 
-/**
- * Heartbeats after which an unchanged record is of the running incarnation: one may be lost, and one under
- * way.
- */
+/** Heartbeats after which an unchanged record counts: one may be lost, and one under way. */
 const SETTLED_HEARTBEATS = 3;
 
 /** What announcements are taken over with. */
--- a/src/coordination/service/membership/session-monitor.ts
+++ b/src/coordination/service/membership/session-monitor.ts
@@ -30,10 +30,7 @@
 export const SESSION_TABLE = 'sessions';
 /** Stored; stays. */
 const HEARTBEAT_PREFIX = 'beat/';
-/**
- * Longest wait for a read that is needed now, milliseconds. Chosen, not measured: its callers' requests wait
- * for it.
- */
+/** Longest wait for a read that is needed now. Chosen, not measured: requests wait for it. */
 const REFRESH_MS = 200;
 
 /** A stored heartbeat; the names of its fields stay. */
@@ -122,10 +119,7 @@
     if (!this.roles.isHolder()) await this.holding.waitAtMost(ms, signal, this.clock);
   }
 
-  /**
-   * Reads now unless the last read is recent. Resolves within `REFRESH_MS`, also when the store does not
-   * answer.
-   */
+  /** Reads now unless the last read is recent. Resolves within `REFRESH_MS` whatever the store does. */
   async refresh(): Promise<void> {
     if (this.clock.now() - this.lastReadMs <= RECENT_POLL_MS) return;
     const controller = new AbortController();
--- a/src/coordination/service/membership/session-rules.ts
+++ b/src/coordination/service/membership/session-rules.ts
@@ -4,10 +4,7 @@
  * store all waits grow with it.
  */
 
-/**
- * Interval of a holder's heartbeats. Few write them and all nodes read them, so they are more frequent than
- * reads.
- */
+/** Interval of a holder's heartbeats: few write them and all read them, so shorter than `POLL_MS`. */
 export const HEARTBEAT_MS = 250;
 /** Interval of reads of holders, suspicious nodes, and all nodes of a small fleet. */
 const POLL_MS = 500;
@@ -18,9 +15,7 @@
  * proportion, so that all together read as often as these would: 32 a second. Chosen, not measured.
  */
 const FREQUENT_POLLERS = 16;
-/**
- * Unanswered heartbeats after which the next one waits: lost answers must not delay it. Chosen, not measured.
- */
+/** Unanswered heartbeats above which none is sent. Chosen, not measured: a lost answer must not delay it. */
 export const MAX_OPEN_HEARTBEATS = 4;
 /**
  * Observed time without a new heartbeat after which a holder is lost. Between one and two intervals of reads:
@@ -28,10 +23,7 @@
  */
 const LOSS_MS = 900;
 const LOSS_ANSWERS = 4;
-/**
- * Time between two reads above which nothing in between counts as observed: two intervals of reads and their
- * spread.
- */
+/** Time between two reads that still counts as observed: two intervals of reads and their spread. */
 const GAP_MS = 1_100;
 /** Age on the store's clock up to which a heartbeat shows a running process: two heartbeats and one read. */
 const FRESH_MS = 2 * HEARTBEAT_MS + POLL_MS;
--- a/src/coordination/service/usage/usage-accounting.ts
+++ b/src/coordination/service/usage/usage-accounting.ts
@@ -1,7 +1,4 @@
-/**
- * Usage accounting of one node: counting requests per tenant, storing the counts, and reporting them while
- * this node leads that task.
- */
+/** Usage accounting of one node: counts per tenant, their storage, and reports while this node leads. */
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
@@ -59,9 +56,7 @@
     await Promise.all([this.writer.run(signal), this.reporter.run(signal)]);
   }
 
-  /**
-   * Notes the lease records that were read; acquires the lease of reporting when it is free and `mayLead`.
-   */
+  /** Notes the lease records that were read; acquires the free lease of reporting if `mayLead`. */
   observe(records: readonly StoredRecord[], mayLead: boolean): void {
     this.lease.observe(
       records,
--- a/src/coordination/service/usage/usage-counter.ts
+++ b/src/coordination/service/usage/usage-counter.ts
@@ -8,10 +8,7 @@
 import type { TenantCounts } from '../../../protocol/service/usage.js';
 import type { UsageWindows } from './usage-window.js';
 
-/**
- * Windows kept in memory. Counts of older ones that the store has not accepted are dropped and added to
- * `lostRequests`. Chosen, not measured.
- */
+/** Windows kept in memory; older ones are dropped and added to `lostRequests`. Chosen, not measured. */
 const MAX_WINDOWS = 120;
 
 /** Counts of one window. */
--- a/src/coordination/service/usage/usage-reporter.ts
+++ b/src/coordination/service/usage/usage-reporter.ts
@@ -16,44 +16,26 @@
 import type { UsageWindows } from './usage-window.js';
 import { EARLIER_WINDOWS, missingNodes, sumOf } from './window-counts.js';
 
-/**
- * All reports are actions on one target: two leaders keep the handover guard whichever window they report.
- */
+/** All reports are actions on one target: the handover guard covers every window. */
 const TARGET = 'usage';
 /** Interval of passes while this node leads, milliseconds. Chosen, not measured. */
 const PASS_INTERVAL_MS = 300;
-/**
- * Time after its end at which a window is first checked, milliseconds: nodes close it a moment after its end.
- * Chosen, not measured.
- */
+/** Time after its end at which a window is first checked: nodes close it before. Chosen, not measured. */
 const FIRST_CHECK_MS = 400;
-/**
- * Time between the latest decision and the time at which the report is due, milliseconds: for sending it.
- * Chosen, not measured.
- */
+/** Time left for sending between the latest decision and the due time. Chosen, not measured. */
 const SENDING_MS = 2_500;
 const SEND_TIMEOUT_MS = 2_000;
-/**
- * Pause between two reports, so that a backlog does not use up the rate that all nodes share, milliseconds.
- * Chosen, not measured.
- */
+/** Pause between reports: a backlog must not use up the rate that all share. Chosen, not measured. */
 const BETWEEN_REPORTS_MS = 50;
 /** Pause after a failed report, milliseconds. Chosen, not measured. */
 const RETRY_MS = 250;
-/**
- * Failed reports in a row after which the lease is released: another node may reach the collector. Chosen,
- * not measured.
- */
+/** Failures in a row that release the lease: another node may reach the collector. Chosen, not measured. */
 const MAX_FAILURES = 4;
-/**
- * Time for which a node that has released the lease does not acquire it, milliseconds. Chosen, not measured.
- */
+/** Time for which a node that has released the lease does not acquire it. Chosen, not measured. */
 const REST_MS = 15_000;
 /** Most windows that a new leader reports late. Chosen, not measured. */
 const MAX_BACKLOG = 200;
-/**
- * Windows before the last reported one whose counts are kept, for `missingNodes`, and whose reports are kept.
- */
+/** Windows before the last reported one whose counts (for `missingNodes`) and reports are kept. */
 const KEPT_COUNTS = EARLIER_WINDOWS;
 const KEPT_REPORTS = 60;
 /** Missing nodes that a log line names. */
@@ -158,10 +140,7 @@
     return true;
   }
 
-  /**
-   * Sends one report under a fresh confirmation of the lease. Returns whether it was accepted. A repeat
-   * changes nothing.
-   */
+  /** Sends a report under a fresh confirmation. Returns whether it was accepted; a repeat is safe. */
   private async send(report: StoredReport): Promise<boolean> {
     const { lease, sink, nodeName, repository } = this.services;
     if (!lease.mayActOn(TARGET)) return false;
@@ -223,10 +202,7 @@
   }
 }
 
-/**
- * Whether a window may be decided: no node may still add to it, or the report must be sent now. Times in
- * milliseconds.
- */
+/** Whether a window may be decided: no node may add to it, or it must be sent now. Milliseconds. */
 export function mayDecide(missing: readonly string[], sinceEndMs: number, dueMs: number): boolean {
   return missing.length === 0 || sinceEndMs >= dueMs - SENDING_MS;
 }
--- a/src/coordination/service/usage/usage-writer.ts
+++ b/src/coordination/service/usage/usage-writer.ts
@@ -9,15 +9,9 @@
 import type { UsageCounter } from './usage-counter.js';
 import type { UsageWindows } from './usage-window.js';
 
-/**
- * Least time between two writes of a node, per node of the fleet, milliseconds: 200 writes a second of all
- * together.
- */
+/** Least time between two writes of a node, per node of the fleet: 200 writes a second together. */
 const SPACING_PER_NODE_MS = 5;
-/**
- * Time after its end at which a window is closed, milliseconds; requests sent at its end are counted by then.
- * Chosen, not measured.
- */
+/** Time after its end at which a window is closed, all its requests counted. Chosen, not measured. */
 const CLOSE_DELAY_MS = 150;
 /** Windows before the current one that a new process closes for its predecessor on this node. */
 const CLOSED_AT_START = 2;
@@ -61,9 +55,7 @@
     }
   }
 
-  /**
-   * Stores what is not stored yet, without pauses. Resolves when all of it is in the store, or at the abort.
-   */
+  /** Stores what is not stored yet, without pauses. Resolves when all is stored, or at the abort. */
   async flush(signal: AbortSignal): Promise<void> {
     for (let window = this.changedWindow(); window !== undefined; window = this.changedWindow()) {
       if (signal.aborted) return;
--- a/src/coordination/service/weights/load-commander.ts
+++ b/src/coordination/service/weights/load-commander.ts
@@ -132,10 +132,7 @@
     return { model, newest: this.services.versions.newestOf(model), replicas };
   }
 
-  /**
-   * The end of a load is seen with a delay; the next load does not wait for that, but begins when a load
-   * usually ends.
-   */
+  /** The end of a load is seen late; the next load begins when a load usually ends. */
   private isProbablyLoading(state: ReplicaState): boolean {
     const sinceMs = this.loading.get(state)?.sinceMs;
     return sinceMs !== undefined && monotonicMs() - sinceMs < this.times.usualMs;
--- a/src/coordination/service/weights/load-execution.ts
+++ b/src/coordination/service/weights/load-execution.ts
@@ -22,15 +22,9 @@
 const MODE: LoadMode = 'retain';
 /** Longest wait for a report or the answer to a command, milliseconds. Chosen, not measured. */
 const CALL_TIMEOUT_MS = 800;
-/**
- * Time after which a load whose end was not seen is planned again, milliseconds. Chosen, not measured:
- * several usual loads.
- */
+/** Time after which a load whose end was not seen is planned again. Chosen, not measured. */
 const LOAD_TIMEOUT_MS = 4_000;
-/**
- * Time after which a replica that is idle without the version counts as not loading, milliseconds. Chosen,
- * not measured.
- */
+/** Time after which an idle replica without the version counts as not loading. Chosen, not measured. */
 const IDLE_TIMEOUT_MS = LOAD_TIMEOUT_MS / 2;
 
 /** Outcomes after which the replica may be loading. */
--- a/src/coordination/service/weights/load-timing.ts
+++ b/src/coordination/service/weights/load-timing.ts
@@ -1,24 +1,13 @@
-/**
- * How long loads take, and when a loading replica is asked whether it has finished. All times in
- * milliseconds.
- */
+/** How long loads take, and when a loading replica is asked for a report. Times in milliseconds. */
 
 /** Loads whose times are kept. Chosen, not measured: enough that one that met no contention is among them. */
 const KEPT_LOADS = 8;
-/**
- * Interval between reports while the usual time of a load is unknown, or a load takes twice as long. Chosen,
- * not measured.
- */
+/** Interval of reports while the usual time is unknown or long exceeded. Chosen, not measured. */
 const REPORT_INTERVAL_MS = 350;
-/**
- * Share of the usual time after which the first report is requested, and the interval afterwards. Chosen, not
- * measured.
- */
+/** Share of the usual time before the first report, and the interval after it. Chosen, not measured. */
 const FIRST_REPORT_FRACTION = 0.9;
 const NEXT_REPORT_MS = 60;
-/**
- * Multiple of the usual time up to which reports are requested at the short interval. Chosen, not measured.
- */
+/** Multiple of the usual time up to which the short interval applies. Chosen, not measured. */
 const FREQUENT_REPORTS_FACTOR = 2;
 
 /** The times of recent loads. */
--- a/src/coordination/service/weights/weight-plan.ts
+++ b/src/coordination/service/weights/weight-plan.ts
@@ -36,10 +36,7 @@
 const SPARE_FACTOR = 1.5;
 const SPARE_REPLICAS = 2;
 
-/**
- * Replicas that a model's work can use: infinite while `requests`, those of its largest recent job, is 0
- * (unknown).
- */
+/** Replicas that a model can use; infinite while `requests` of its largest recent job is 0 (unknown). */
 export function usefulReplicas(requests: number, slots: number): number {
   if (requests === 0) return Number.POSITIVE_INFINITY;
   return Math.ceil((requests / Math.max(1, slots)) * SPARE_FACTOR) + SPARE_REPLICAS;
@@ -58,10 +55,7 @@
   return plan;
 }
 
-/**
- * Replicas for each model: the same small number for all, the rest by the highest demand per replica, up to
- * `most`.
- */
+/** Replicas for each model: the same small number for all, the rest by demand per replica, up to `most`. */
 export function shareReplicas(count: number, models: readonly PlannedModel[]): Map<string, number> {
   const equal = Math.max(1, Math.min(REDUNDANT_SHARE, Math.floor(count / models.length)));
   const shares = new Map(models.map(({ model }) => [model, equal]));
--- a/src/node/service/drain.ts
+++ b/src/node/service/drain.ts
@@ -1,16 +1,10 @@
 /** When the steps of a node's drain end. All times in milliseconds on the monotonic clock. */
 import { monotonicMs, sleep } from '../../common/clock.js';
 
-/**
- * Shares of the time until the process is killed, both chosen, not measured: the second half is for handing
- * jobs over.
- */
+/** Shares of the time until the process is killed. Chosen, not measured: time is left to hand jobs over. */
 const FINISH_JOBS_FRACTION = 0.5;
 const FINISH_REQUESTS_FRACTION = 0.9;
-/**
- * Time within which load balancers stop sending callers to a node that reports itself not ready. Chosen, not
- * measured: a few readiness checks.
- */
+/** Time until load balancers have seen that a node is not ready. Chosen, not measured. */
 const MOVE_AWAY_MS = 3_000;
 const DRAIN_POLL_MS = 50;
 
--- a/src/node/service/job-parts.ts
+++ b/src/node/service/job-parts.ts
@@ -82,29 +82,20 @@
     repository: JobRepository,
     cache: ResultCache,
   ): JobOwnership {
-    const { routing, directory, versions, client, metrics, logger, parseSubmission, store } = this.context;
-    return new JobOwnership(
-      {
-        routing,
-        splitter,
-        placement: this.placement,
-        directory,
-        versions,
-        client,
-        endCheck: crashCheck,
-        quarantine,
-        lengths: new SampleLengths(),
-        scorer: new SampleScorer(routing, relay),
-        metrics,
-        logger,
-        repository,
-        cache,
-        parseSubmission,
-        store,
-        sessions,
-        retentionMs: () => this.context.settings().resultRetentionMs,
-      },
-      this.context.self,
-    );
+    const { context, placement } = this;
+    const services = {
+      ...context,
+      splitter,
+      placement,
+      endCheck: crashCheck,
+      quarantine,
+      lengths: new SampleLengths(),
+      scorer: new SampleScorer(context.routing, relay),
+      repository,
+      cache,
+      sessions,
+      retentionMs: () => context.settings().resultRetentionMs,
+    };
+    return new JobOwnership(services, context.self);
   }
 }
--- a/src/node/service/load-parts.ts
+++ b/src/node/service/load-parts.ts
@@ -6,20 +6,12 @@
 
 /** `ownership` knows what the jobs of each model have lately required. */
 export function createLoadCommander(
-  { routing, directory, versions, client, metrics, logger, self }: NodeContext,
+  context: NodeContext,
   lease: LeaderLease,
   ownership: JobOwnership,
 ): LoadCommander {
-  return new LoadCommander({
-    routing,
-    directory,
-    versions,
-    client,
-    lease,
-    demandOf: (model) => ownership.demandOf(model),
-    requestsOf: (model) => ownership.requestsOf(model),
-    nodeName: self.node,
-    metrics,
-    logger,
-  });
+  const nodeName = context.self.node;
+  const demandOf = (model: string) => ownership.demandOf(model);
+  const requestsOf = (model: string) => ownership.requestsOf(model);
+  return new LoadCommander({ ...context, lease, nodeName, demandOf, requestsOf });
 }
--- a/src/node/service/node-feeds.ts
+++ b/src/node/service/node-feeds.ts
@@ -60,19 +60,13 @@
       services.sessions.pauseUnlessHolder(changePauseMs(services.peers.fleetSize), signal);
     const follow = <T>(handler: FeedHandler<T>) =>
       new RecordFeed(store, handler, observer, pause) as RecordFeed<unknown>;
-    // A cycle: the handler asks how fresh its own feed is, at the earliest when that feed has brought a
-    // record.
-    const replicaFeed: RecordFeed<unknown> = follow(
-      new ReplicaAnnouncements({
-        store,
-        format,
-        directory,
-        heartbeatMs: () => settings().replicaHeartbeatMs,
-        isFollowed: () => isFeedFollowed(this.freshnessOf(replicaFeed)),
-        metrics,
-        logger,
-      }),
-    );
+    // A cycle: the handler asks how fresh its own feed is, at the earliest when that feed has brought a record.
+    const replicas = new ReplicaAnnouncements({
+      ...context,
+      heartbeatMs: () => settings().replicaHeartbeatMs,
+      isFollowed: () => isFeedFollowed(this.freshnessOf(replicaFeed)),
+    });
+    const replicaFeed = follow(replicas);
     this.operators = new OperatorAnnouncements(store, format, routing, versions, directory, metrics, logger);
     this.operatorFeed = follow(this.operators);
     const jobs = new SharedTable(services.ownership, {
@@ -87,9 +81,7 @@
     for (const feed of this.feeds) void feed.run(signal);
   }
 
-  /**
-   * Age of the feed of the operators' table, milliseconds; infinite before its first answer about changes.
-   */
+  /** Age of the operators' feed, milliseconds; infinite before its first answer about changes. */
   get operatorAgeMs(): number {
     return this.operatorFeed.ageMs;
   }
--- a/src/node/service/peer-endpoint.ts
+++ b/src/node/service/peer-endpoint.ts
@@ -1,7 +1,4 @@
-/**
- * HTTP endpoint for peers: forwarded requests, the configuration, and crash reports. Only nodes reach its
- * port.
- */
+/** HTTP endpoint for peers, on a port of their own: forwarded requests, configuration, crash reports. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { setImmediate } from 'node:timers/promises';
 import { CONFIGURATION_PATH, NEWER_THAN } from '../../protocol/service/configuration-peer.js';
--- a/src/node/service/readiness.ts
+++ b/src/node/service/readiness.ts
@@ -17,9 +17,7 @@
  */
 const CHANGE_PAUSE_PER_NODE_MS = 5;
 const LONGEST_CHANGE_PAUSE_MS = 1_000;
-/**
- * Time that the answer to a long poll may take beyond the time for which it is held. Chosen, not measured.
- */
+/** Time of a long poll's answer beyond the time for which it is held. Chosen, not measured. */
 const FEED_ANSWER_MS = 500;
 
 /** Inputs of readiness. */
@@ -51,10 +49,7 @@
   return Math.min(LONGEST_CHANGE_PAUSE_MS, fleetSize * CHANGE_PAUSE_PER_NODE_MS);
 }
 
-/**
- * Age that a feed reaches in normal operation: one long poll held to its end, its answer, and the pause
- * before it.
- */
+/** Age that a feed reaches normally: a long poll held to its end, its answer, the pause before it. */
 function usualFeedAgeMs(fleetSize: number): number {
   return FEED_WAIT_MS + FEED_ANSWER_MS + changePauseMs(fleetSize);
 }
--- a/src/node/service/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -184,10 +184,7 @@
     this.controller.abort();
   }
 
-  /**
-   * Stops accepting work, finishes or hands over what is open, and stops. Resolves when the process may end;
-   * a second call resolves at once.
-   */
+  /** Finishes or hands over what is open. Resolves when the process may end; a second call at once. */
   async drain(): Promise<void> {
     if (this.isDraining) return;
     this.isDraining = true;
--- a/src/node/service/service-process.ts
+++ b/src/node/service/service-process.ts
@@ -23,9 +23,7 @@
 const MILLISECONDS_PER_SECOND = 1000;
 /** Kept longer than callers may reuse an idle connection, milliseconds. Chosen, not measured. */
 const KEEP_ALIVE_MARGIN_MS = 1_000;
-/**
- * Time for which an idle connection of a peer is kept, milliseconds: longer than peers keep theirs (45 s).
- */
+/** Time for which an idle connection of a peer is kept: longer than peers keep theirs (45 s). */
 const PEER_KEEP_ALIVE_MS = 60_000;
 
 /** What the process works with. */
--- a/src/node/service/singleton-tasks.ts
+++ b/src/node/service/singleton-tasks.ts
@@ -19,10 +19,7 @@
 /** Names of the tasks in stored keys and logs: commanding loads, and reporting usage. */
 const LOAD_COMMANDS_TASK = 'weight-orders';
 const USAGE_TASK = 'usage';
-/**
- * Longest final attempt to store counted usage, milliseconds. Chosen, not measured: a few answers of a slow
- * store.
- */
+/** Longest final attempt to store counted usage. Chosen, not measured. */
 const FLUSH_MS = 1_500;
 
 /** The singleton tasks as one node takes part in them. */
@@ -95,17 +92,13 @@
   }
 
   private createUsage(settings: UsageSettings, peers: PeerAddresses): UsageAccounting {
-    const { store, self, metrics, logger, createUsageSink } = this.context;
-    const lease = this.createLease(USAGE_TASK);
+    const sink = this.context.createUsageSink(settings);
     return new UsageAccounting({
+      ...this.context,
       settings,
-      sink: createUsageSink(settings),
-      store,
+      sink,
       peers,
-      lease,
-      self,
-      metrics,
-      logger,
+      lease: this.createLease(USAGE_TASK),
     });
   }
 }
--- a/src/protocol/record-store.ts
+++ b/src/protocol/record-store.ts
@@ -45,10 +45,7 @@
   readonly until?: string;
   /** Most records to return. Default: the store's own limit. */
   readonly limit?: number;
-  /**
-   * Accepts an answer older than one that the process had before the call. Default: such a read fails as
-   * `stale`.
-   */
+  /** Accepts an answer older than one before the call. Default: such a read fails as `stale`. */
   readonly allowsOld?: boolean;
 }
 
--- a/src/protocol/service/configuration-peer.ts
+++ b/src/protocol/service/configuration-peer.ts
@@ -19,10 +19,7 @@
 /** Milliseconds. Chosen, not measured: several peers are asked one after the other. */
 const CALL_TIMEOUT_MS = 800;
 
-/**
- * Asks the node at `address` (`IP:PORT`) for a configuration newer than `version`. Never rejects; a repeat is
- * safe.
- */
+/** Asks the node at `address` (`IP:PORT`) for a configuration newer than `version`. Never rejects. */
 export async function askForConfiguration(
   http: HttpClient,
   address: string,
--- a/src/state/service/configuration/routing-table.ts
+++ b/src/state/service/configuration/routing-table.ts
@@ -1,7 +1,4 @@
-/**
- * The configuration in force, indexed by host and path prefix. It is never replaced by an older version,
- * whichever source that has.
- */
+/** The configuration in force, indexed by host and path prefix. Versions only rise. */
 import type { Replica } from '../../../protocol/service/replica.js';
 import type {
   CallerLimits,
@@ -83,10 +80,7 @@
     return this.engineSlots.get(replica.service) || replica.slots;
   }
 
-  /**
-   * Slow start: requests a second that a new replica of a service gets from all callers; `undefined` for no
-   * limit.
-   */
+  /** Slow start: requests a second to a new replica from all callers; `undefined` for no limit. */
   slowStartPerSecondOf(service: string): number | undefined {
     return this.services.get(service)?.slowStartPerSecond;
   }
--- a/src/state/service/configuration/target-splitter.ts
+++ b/src/state/service/configuration/target-splitter.ts
@@ -4,10 +4,7 @@
  */
 import type { Route, RouteTarget } from '../../../protocol/service/routing-configuration.js';
 
-/**
- * Most splits kept; beyond, all are dropped and begin anew. Chosen, not measured: above any configuration's
- * routes.
- */
+/** Most splits kept; beyond, all begin anew. Chosen, not measured. */
 const MAX_SPLITS = 1_000;
 
 /** The splits of one process. */
--- a/src/state/service/store/instrumented-store.ts
+++ b/src/state/service/store/instrumented-store.ts
@@ -144,9 +144,7 @@
     return answer;
   }
 
-  /**
-   * One failure while other calls are answered changes nothing: a partition may be down, or one answer lost.
-   */
+  /** A failure while other calls are answered changes nothing: a partition may be down, an answer lost. */
   private noteHealth(failure: string | undefined): void {
     const usualMs = this.usualAnswerMs();
     if (!this.isAnswering()) this.health.sendIfTaken('failed', failure ?? 'no answer');
--- a/src/state/service/store/overdue-calls.ts
+++ b/src/state/service/store/overdue-calls.ts
@@ -16,15 +16,9 @@
 const SHORTEST_WAIT_MS = 150;
 /** Weight of the newest answer in the moving average of answer times. Chosen, not measured. */
 const AVERAGE_WEIGHT = 0.25;
-/**
- * Wait after which a call is late, and the interval of checks while calls are late, milliseconds. Chosen, not
- * measured.
- */
+/** Wait after which a call is late, and the interval of checks from then on. Chosen, not measured. */
 const CHECK_MS = 100;
-/**
- * Interval of probes while calls are late, milliseconds: five of the store's reads a second. Chosen, not
- * measured.
- */
+/** Interval of probes while calls are late. Chosen, not measured. */
 const PROBE_MS = 200;
 
 /** A call under way. */
--- a/src/state/service/store/settled-transaction.ts
+++ b/src/state/service/store/settled-transaction.ts
@@ -13,10 +13,7 @@
 } from '../../../protocol/record-store.js';
 import { StateError } from '../../state-error.js';
 
-/**
- * Back-off between repeats, milliseconds; doubled each time, spread by half around its length. Chosen, not
- * measured.
- */
+/** Back-off between repeats, doubled each time and spread by half. Chosen, not measured. */
 const FIRST_PAUSE_MS = 20;
 const LONGEST_PAUSE_MS = 300;
 
--- a/src/state/service/usage/usage-record.ts
+++ b/src/state/service/usage/usage-record.ts
@@ -1,7 +1,4 @@
-/**
- * Stored records of usage: what each process has counted in a window, and what was decided to report. Names
- * of fields stay.
- */
+/** Stored records of usage: counts of each process, and decided reports. Names of fields stay. */
 import { spread } from '../../../common/spread.js';
 import type { RecordAddress } from '../../../protocol/record-store.js';
 import type { TenantCounts } from '../../../protocol/service/usage.js';
--- a/src/state/service/usage/usage-repository.ts
+++ b/src/state/service/usage/usage-repository.ts
@@ -86,10 +86,7 @@
     return this.replace(reportAddress(window), { ...record, isReported: true }, version, deadlineMs);
   }
 
-  /**
-   * Removes counts of windows before `countsBefore`, reports before `reportsBefore`. What a failure leaves,
-   * the next call removes.
-   */
+  /** Removes counts and reports of windows before these. What a failure leaves, the next call removes. */
   async removeOld(countsBefore: number, reportsBefore: number): Promise<void> {
     for (const partition of COUNT_PARTITIONS)
       await this.removeRange(COUNT_TABLE, partition, windowKey(countsBefore));
--- a/src/state/store/current-records.ts
+++ b/src/state/store/current-records.ts
@@ -18,9 +18,7 @@
   readonly version: number;
 }
 
-/**
- * Reads the records at `addresses`, all of one partition, with one write call per hundred. A repeat is safe.
- */
+/** Reads the records at `addresses`, all of one partition: one write call per hundred. Safe to repeat. */
 export async function readCurrent(
   store: RecordStore,
   addresses: readonly RecordAddress[],
--- a/src/state/store/read-range.ts
+++ b/src/state/store/read-range.ts
@@ -12,10 +12,7 @@
   readonly isOld: boolean;
 }
 
-/**
- * Reads from `from` (included, default the start) to `until` (excluded, default the end); `allowsOld` as in
- * `RecordRange`.
- */
+/** Reads a range over all its pages; parameters as in `RecordRange`. Safe to repeat. */
 export async function readRange(
   store: RecordStore,
   table: string,
