--- a/src/coordination/service/usage/usage-reporter.ts
+++ b/src/coordination/service/usage/usage-reporter.ts
@@ -203,7 +203,7 @@
 }
 
 /** Whether a window may be decided: no node may add to it, or it must be sent now. Milliseconds. */
-export function mayDecide(missing: readonly string[], sinceEndMs: number, dueMs: number): boolean {
+function mayDecide(missing: readonly string[], sinceEndMs: number, dueMs: number): boolean {
   return missing.length === 0 || sinceEndMs >= dueMs - SENDING_MS;
 }
 
--- a/src/node/service/node-feeds.ts
+++ b/src/node/service/node-feeds.ts
@@ -60,7 +60,7 @@
       services.sessions.pauseUnlessHolder(changePauseMs(services.peers.fleetSize), signal);
     const follow = <T>(handler: FeedHandler<T>) =>
       new RecordFeed(store, handler, observer, pause) as RecordFeed<unknown>;
-    // A cycle: the handler asks how fresh its own feed is, at the earliest when that feed has brought a record.
+    // A cycle: the handler asks how fresh its own feed is, but not before that feed has brought a record.
     const replicas = new ReplicaAnnouncements({
       ...context,
       heartbeatMs: () => settings().replicaHeartbeatMs,
--- a/src/state/service/store/instrumented-store.ts
+++ b/src/state/service/store/instrumented-store.ts
@@ -52,7 +52,7 @@
 }
 
 /** Whether a store that was silent for `silentMs` still counts as answering; both in milliseconds. */
-export function countsAsAnswering(silentMs: number, usualAnswerMs: number): boolean {
+function countsAsAnswering(silentMs: number, usualAnswerMs: number): boolean {
   return silentMs < Math.max(SILENCE_MS, usualAnswerMs * SILENCE_ANSWERS);
 }
 
