--- /dev/null
+++ b/src/coordination/service/jobs/item-services.ts
@@ -0,0 +1,45 @@
+/** What the items of a node's jobs share, and what an item needs of its job. */
+import type { DecisionLogger } from '../../../common/decision-logger.js';
+import type { ServiceMetrics } from '../../../common/service-metrics.js';
+import type { JobSpecification } from '../../../protocol/service/batch-job.js';
+import type { ReplicaClient } from '../../../protocol/service/replica.js';
+import type { RoutingTable, TargetSplitter } from '../../../state/service/configuration/index.js';
+import type {
+  ReplicaDirectory,
+  ReplicaState,
+  WeightVersions,
+} from '../../../state/service/replicas/index.js';
+import type { CrashCheck } from '../dispatch/index.js';
+import type { Placement, SampleLengths, SampleScorer } from '../generation/index.js';
+import type { RequestQuarantine } from '../requests/index.js';
+
+/** Dependencies of items. */
+export interface ItemServices {
+  readonly routing: RoutingTable;
+  readonly splitter: TargetSplitter;
+  readonly placement: Placement;
+  readonly client: ReplicaClient;
+  readonly crashCheck: CrashCheck;
+  readonly quarantine: RequestQuarantine;
+  readonly scorer: SampleScorer;
+  readonly lengths: SampleLengths;
+  readonly directory: ReplicaDirectory;
+  readonly versions: WeightVersions;
+  readonly metrics: ServiceMetrics;
+  readonly logger: DecisionLogger;
+}
+
+/** The job that an item belongs to. */
+export interface ItemJob {
+  readonly jobId: string;
+  readonly host: string;
+  readonly path: string;
+  /** Tenant that the job belongs to, if any. */
+  readonly tenant: string | undefined;
+  readonly specification: JobSpecification;
+  /** Time of acceptance on the monotonic clock, milliseconds. */
+  readonly acceptedAtMs: number;
+  /** Replica at which each group was placed last. */
+  readonly groupReplicas: Map<string, ReplicaState>;
+  readonly signal: AbortSignal;
+}
--- a/src/coordination/service/jobs/job-calls.ts
+++ b/src/coordination/service/jobs/job-calls.ts
@@ -1,4 +1,10 @@
-/** Calls of submitters about batch jobs: submit, read results by position, read an item's body, end. */
+/**
+ * Calls of submitters about batch jobs: submit, read results by position, read an item's body, end.
+ *
+ * Relies on the store, and on peers while the store rejects this node (`job-forwarding.ts`). Every call may be repeated: a
+ * job is accepted once, results keep their positions, and an ended job stays ended. `unknown` means that a submission may
+ * have been accepted; repeating it tells.
+ */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { JobSpecification } from '../../../protocol/service/batch-job.js';
@@ -10,21 +16,27 @@
   ReadOutcome,
   SubmissionOutcome,
 } from '../../../protocol/service/job-calls.js';
-import type { ResultCache } from '../../../state/service/jobs/index.js';
-import { belongsTo, type JobHead, type JobRepository } from '../../../state/service/jobs/index.js';
+import {
+  belongsTo,
+  type JobHead,
+  type JobRepository,
+  type ResultCache,
+  type SubmittedJob,
+} from '../../../state/service/jobs/index.js';
+import type { StateError } from '../../../state/state-error.js';
 import type { JobForwarding } from './job-forwarding.js';
 import type { JobOwnership } from './job-ownership.js';
 import type { SubmissionParser } from './job-run.js';
 
-/** Longest effort to accept a job, milliseconds. */
+/** Longest effort to accept and to end a job, milliseconds. Chosen, not measured. */
 const ACCEPT_EFFORT_MS = 3_000;
 const END_EFFORT_MS = 3_000;
-/** How often the store is asked for results while a reader waits, milliseconds. */
+/** Interval of reading the store while a reader waits, milliseconds. Chosen, not measured. */
 const RESULT_POLL_MS = 120;
-/** Bytes of one page of results at most. */
+/** Most bytes of a page of results from memory. Chosen, not measured: about what one transaction of the store holds. */
 const PAGE_BYTES = 900_000;
 
-/** What the calls work with. */
+/** Dependencies of the calls. */
 export interface JobCallServices {
   readonly repository: JobRepository;
   readonly ownership: JobOwnership;
@@ -32,18 +44,31 @@
   readonly parseSubmission: SubmissionParser;
   readonly logger: DecisionLogger;
   readonly forwarding: JobForwarding;
-  /** Whether the store answers this node; when it does not, readers are sent elsewhere at once. */
+  /** Whether the store answers this node; if not, calls that need it fail at once and go to peers. */
   readonly isStoreAnswering: () => boolean;
 }
 
+function toSubmitted(submission: JobSubmission, tenant: string | undefined): SubmittedJob {
+  const { jobId, host, path, body, specification } = submission;
+  const { model, items } = specification;
+  const tokens = items.reduce((sum, item) => sum + item.tokens, 0);
+  return { jobId, host, path, tenant, model, tokens, total: items.length, submission: body };
+}
+
+/** `invalid`: the identifier is another tenant's. Only a failure without effect promises that nothing of the job runs. */
+function outcomeOfFailure({ failure, effect }: StateError): SubmissionOutcome {
+  if (failure === 'invalid') return 'foreign';
+  return effect === 'none' ? 'not-accepted' : 'unknown';
+}
+
 /** The calls of one node. */
 export class JobCalls {
-  /** The submission that was read last: its items are often asked for one after the other. */
+  /** The submission that was read last: its items are often read one after the other. */
   private lastSpecification: { jobId: string; specification: JobSpecification } | undefined;
 
   constructor(private readonly services: JobCallServices) {}
 
-  /** Accepts a job once, however often it is submitted. */
+  /** Accepts a job once, however often it is submitted. A retry is safe. */
   async submit(submission: JobSubmission, caller: JobCaller): Promise<SubmissionOutcome> {
     const startedAt = monotonicMs();
     const { jobId } = submission;
@@ -64,7 +89,7 @@
     return outcome;
   }
 
-  /** Results from `position` on; waits up to `waitMs` for the first one. */
+  /** Results from `position` on; waits up to `waitMs` milliseconds for the first one. */
   async read(
     jobId: string,
     position: number,
@@ -105,7 +130,7 @@
     return outcome;
   }
 
-  /** Ends a job; `unavailable` when it is not certain that it is ended. */
+  /** Ends a job; `unavailable` when it is not certain that it is ended. A retry is safe. */
   async end(jobId: string, caller: JobCaller): Promise<EndOutcome> {
     const startedAt = monotonicMs();
     const { isForwarded, credential } = caller;
@@ -125,7 +150,7 @@
     return outcome;
   }
 
-  /** Whether a call that another node passes on is answered at once, so that the next one is asked. */
+  /** Whether a forwarded call fails at once, so that its node asks the next peer. */
   private isHopeless({ isForwarded }: JobCaller): boolean {
     return isForwarded && !this.services.isStoreAnswering();
   }
@@ -143,17 +168,17 @@
     tenant: string | undefined,
     deadlineMs: number,
   ): Promise<SubmissionOutcome> {
-    const { jobId, host, path, body, specification } = submission;
+    const { jobId, specification } = submission;
     const known = this.services.ownership.known(jobId);
     if (known && !belongsTo(known, tenant)) return 'foreign';
     if ((known?.record.total ?? 0) > 0) return 'accepted';
-    const { model, items } = specification;
-    const tokens = items.reduce((sum, item) => sum + item.tokens, 0);
-    const job = { jobId, host, path, tenant, model, tokens, total: items.length, submission: body };
-    const owner = await this.services.ownership.ownerForNext(model);
-    const accepted = await this.services.repository.accept(job, owner, deadlineMs);
-    if (accepted.isErr() && accepted.error.failure === 'invalid') return 'foreign';
-    if (accepted.isErr()) return accepted.error.effect === 'none' ? 'not-accepted' : 'unknown';
+    const owner = await this.services.ownership.ownerForNext(specification.model);
+    const accepted = await this.services.repository.accept(
+      toSubmitted(submission, tenant),
+      owner,
+      deadlineMs,
+    );
+    if (accepted.isErr()) return outcomeOfFailure(accepted.error);
     const { head, isNew } = accepted.value;
     if (isNew) this.services.ownership.adopt(head, specification);
     else this.services.ownership.note(head);
--- a/src/coordination/service/jobs/job-forwarding.ts
+++ b/src/coordination/service/jobs/job-forwarding.ts
@@ -1,17 +1,22 @@
-/** Passes calls about jobs on from a node that the store does not serve to others that it may serve. */
+/**
+ * Forwards calls about jobs from a node that the store rejects to peers that it may serve.
+ *
+ * Relies on the addresses of peers, ranked by their last answers. Where no peer carries the call out, the caller gets the
+ * joined outcomes: a submission is `not-accepted` only if every node says so.
+ */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { JobPeer } from '../../../protocol/service/job-calls.js';
 import type { PeerAddresses } from '../membership/index.js';
 
-/** Nodes that are asked for one call at most. */
+/** Most peers asked for one call. Chosen, not measured: bounds what an outage of the store adds to the load of nodes. */
 const MAX_PEERS = 4;
-/** Time after which the next node is asked while the one before has not answered, milliseconds. */
-const PATIENCE_MS = 250;
-/** How often a call that waits for the store looks whether it is still in reach, milliseconds. */
-const WATCH_MS = 100;
+/** Time after which the next peer is asked while the one before has not answered, milliseconds. Chosen, not measured. */
+const NEXT_PEER_MS = 250;
+/** Interval of checks whether the store still answers while a call waits for it, milliseconds. Chosen, not measured. */
+const STORE_CHECK_MS = 100;
 
-/** What forwarding works with. */
+/** Dependencies of forwarding. */
 export interface ForwardingServices {
   readonly peer: JobPeer;
   readonly peers: PeerAddresses;
@@ -19,32 +24,32 @@
   readonly logger: DecisionLogger;
 }
 
-/** A call as this node and as another one can carry it out. */
+/** A call, as this node and as a peer carries it out. */
 export interface ForwardedCall<Outcome> {
   readonly name: 'submit' | 'read' | 'item' | 'end';
   readonly jobId: string;
-  /** Whether another node passes the call on: then it is carried out here or not at all. */
+  /** Whether another node forwarded the call: then it is not forwarded again. */
   readonly isForwarded: boolean;
   readonly here: () => Promise<Outcome>;
   readonly there: (peer: JobPeer, address: string) => Promise<Outcome>;
-  /** Whether nothing better can be had of another node. */
+  /** Whether no other node could give a better outcome. */
   readonly isFinal: (outcome: Outcome) => boolean;
-  /** Joins the outcomes of this node and of others, none of them final. */
+  /** Joins the outcomes of this node and of peers, none of them final. */
   readonly join: (outcomes: readonly Outcome[]) => Outcome;
 }
 
-/** Carries calls out here while the store is in reach, and at other nodes when it is not. */
+/** Carries calls out here while the store answers, and at peers when it does not. */
 export class JobForwarding {
   constructor(private readonly services: ForwardingServices) {}
 
   /**
-   * Tries here first; other nodes are asked when the store is or falls out of reach meanwhile. What was begun here is waited
-   * for before the answer says anything that is not final.
+   * Tries here first; peers are asked when the store does not answer or stops answering meanwhile. What was begun here is
+   * awaited before any outcome is returned that is not final.
    */
   async run<Outcome>(call: ForwardedCall<Outcome>): Promise<Outcome> {
     const here = call.here();
     if (call.isForwarded) return here;
-    const first = await this.untilOutOfReach(here);
+    const first = await this.untilUnreachable(here);
     if (first !== undefined && (call.isFinal(first) || this.services.isStoreAnswering())) return first;
     const outcomes = await this.askPeers(call);
     const final = outcomes.find(call.isFinal);
@@ -53,35 +58,35 @@
     return call.isFinal(own) ? own : call.join([own, ...outcomes]);
   }
 
-  /** The outcome, or `undefined` as soon as the store is out of reach. */
-  private async untilOutOfReach<Outcome>(here: Promise<Outcome>): Promise<Outcome | undefined> {
+  /** The outcome, or `undefined` as soon as the store does not answer. */
+  private async untilUnreachable<Outcome>(here: Promise<Outcome>): Promise<Outcome | undefined> {
     const controller = new AbortController();
-    const outOfReach = async () => {
+    const unreachable = async () => {
       while (!controller.signal.aborted && this.services.isStoreAnswering())
-        await sleep(WATCH_MS, controller.signal);
+        await sleep(STORE_CHECK_MS, controller.signal);
       return undefined;
     };
-    const first = await Promise.race([here, outOfReach()]);
+    const first = await Promise.race([here, unreachable()]);
     controller.abort();
     return first;
   }
 
-  /** Asks one node after the other until one carries the call out; the outcomes so far. */
+  /** Asks one peer after the other until one gives a final outcome; the outcomes so far. */
   private async askPeers<Outcome>(call: ForwardedCall<Outcome>): Promise<Outcome[]> {
     const outcomes: Outcome[] = [];
-    let done = () => {};
+    let finish = () => {};
     const isDone = new Promise<void>((resolve) => {
-      done = resolve;
+      finish = resolve;
     });
     const asked: Promise<void>[] = [];
     for (const address of this.services.peers.likeliest(MAX_PEERS)) {
       const ask = async () => {
         const outcome = await this.ask(call, address);
         outcomes.push(outcome);
-        if (call.isFinal(outcome)) done();
+        if (call.isFinal(outcome)) finish();
       };
       asked.push(ask());
-      await Promise.race([isDone, Promise.all(asked), sleep(PATIENCE_MS)]);
+      await Promise.race([isDone, Promise.all(asked), sleep(NEXT_PEER_MS)]);
       if (outcomes.some(call.isFinal)) return outcomes;
     }
     await Promise.race([isDone, Promise.all(asked)]);
--- a/src/coordination/service/jobs/job-ownership.ts
+++ b/src/coordination/service/jobs/job-ownership.ts
@@ -1,10 +1,11 @@
 /**
- * Ownership of jobs. Every node follows the heads of all jobs. The node that accepts a job gives it to the owner of the
- * model's job before, which has connections to the replicas and knows their work, or keeps it. A job whose owner is
- * lost, or has handed it back, is claimed in a transaction on its head, so that one node gets it. A new process on the
- * owner's machine knows that its former self is dead and claims at once.
+ * Ownership of jobs. Every node follows the heads of all jobs (`job-heads.ts`). The node that accepts a job gives it to the
+ * owner of the model's job before, which has connections to the replicas and knows their load, or keeps it.
+ *
+ * Owns: the runs of this node's jobs. Relies on heartbeats to tell lost owners (`SessionMonitor`) and on the store for claims
+ * (`job-claims.ts`). Whatever an owner writes is conditional on the head, so that a replaced owner lists nothing.
  */
-import { monotonicMs, sleep } from '../../../common/clock.js';
+import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { ChangedRecord, RecordStore } from '../../../protocol/record-store.js';
@@ -18,18 +19,17 @@
 } from '../../../state/service/jobs/index.js';
 import type { FeedHandler } from '../../feeds/index.js';
 import type { SessionMonitor } from '../membership/index.js';
+import { JobClaims } from './job-claims.js';
+import { JobHeads } from './job-heads.js';
 import { JobRun, type JobRunEnd, type JobRunServices } from './job-run.js';
+import { isOwnedBy, removalDelayMs, removesEnded } from './ownership-policy.js';
 
-const CLAIM_EFFORT_MS = 3_000;
-/** Nodes claim within this time of each other, so that one mostly comes first, milliseconds. */
-const CLAIM_SPREAD_MS = 150;
+/** Longest effort to hand a job back, milliseconds. Chosen, not measured: a job that is not handed back is claimed later. */
 const RELEASE_EFFORT_MS = 1_000;
-/** How long a process goes on beating after its last job, so that the next one may be given to it, milliseconds. */
+/** Time for which a process sends heartbeats after its last job, milliseconds, to be given the next one. Chosen, not measured. */
 const WARM_MS = 10_000;
-/** Time over which the demand for a model is counted, milliseconds. */
-const DEMAND_MS = 30_000;
 
-/** What the owner works with. */
+/** Dependencies of job ownership. */
 export interface JobOwnerServices extends JobRunServices {
   readonly store: RecordStore;
   readonly repository: JobRepository;
@@ -43,13 +43,11 @@
 /** All jobs that this node knows, and those that it runs. */
 export class JobOwnership implements FeedHandler<readonly JobHead[]> {
   readonly table = JOB_TABLE;
-  private readonly heads = new Map<string, JobHead>();
-  /** Observed time at which each head was learnt, milliseconds. */
-  private readonly learntAtMs = new Map<string, number>();
+  private readonly heads: JobHeads;
+  private readonly claims: JobClaims;
   private readonly runs = new Map<string, JobRun>();
-  private readonly claiming = new Set<string>();
-  /** Jobs whose runs were given up while the store did not serve this node. */
-  private readonly givenUp = new Set<string>();
+  /** Jobs whose runs were cancelled while the store rejected this node. */
+  private readonly cancelled = new Set<string>();
   private isLeaving = false;
   private lastOwnedMs = Number.NEGATIVE_INFINITY;
 
@@ -57,8 +55,16 @@
     private readonly services: JobOwnerServices,
     private readonly self: OwnerReference,
   ) {
-    services.sessions.onPoll(() => {
-      this.claimLost();
+    const { repository, sessions, store } = services;
+    const heads = new JobHeads(() => store.nowMs());
+    const isLeaving = () => this.isLeaving;
+    const report = (head: JobHead, change: string, detail: string) => this.report(head, change, detail);
+    const onClaimed = (head: JobHead) => this.note(head);
+    const refresh = (jobId: string) => this.refresh(jobId);
+    this.heads = heads;
+    this.claims = new JobClaims({ repository, sessions, heads, isLeaving, report, onClaimed, refresh }, self);
+    sessions.onPoll(() => {
+      for (const head of this.heads.open) if (!this.isMine(head)) this.claims.consider(head);
       void this.resume();
     });
   }
@@ -70,9 +76,7 @@
 
   /** Items of the jobs run here that are not finished. */
   get openItems(): number {
-    let count = 0;
-    for (const run of this.runs.values()) count += run.openItems;
-    return count;
+    return [...this.runs.values()].reduce((sum, run) => sum + run.openItems, 0);
   }
 
   /** Age of the oldest job run here, milliseconds; 0 without one. */
@@ -80,53 +84,40 @@
     return Math.max(0, ...[...this.runs.values()].map((run) => run.ageMs));
   }
 
-  /** Whether this node runs jobs or ran one lately, so that others may give it the next. */
+  /** Whether this node runs jobs or ran one within `WARM_MS`, so that others may give it the next. */
   get isWarm(): boolean {
     return this.runs.size > 0 || monotonicMs() - this.lastOwnedMs < WARM_MS;
   }
 
   /**
-   * Who should run the next job of a model: the owner of the newest one if it is at work, else this node. `null` leaves
-   * the job to whoever claims it first.
+   * Who should run the next job of a model: the owner of the newest one while its heartbeat is fresh, else this node. `null`
+   * leaves the job to the node that claims it first.
    */
   async ownerForNext(model: string): Promise<OwnerReference | null> {
-    const owner = this.newestOf(model)?.record.owner;
+    const owner = this.heads.newestOf(model)?.record.owner;
     if (owner) await this.services.sessions.refresh();
     if (owner && this.services.sessions.isFresh(owner)) return owner;
     return this.isLeaving ? null : this.self;
   }
 
-  /** Whether jobs of others are open. */
+  /** Whether jobs of other owners are open. */
   get hasForeignJobs(): boolean {
-    for (const head of this.heads.values())
-      if (head.record.state === 'open' && head.record.owner?.life !== this.self.life) return true;
-    return false;
+    return this.heads.open.some((head) => !this.isMine(head));
   }
 
   /** Owners of open jobs. */
   get owners(): OwnerReference[] {
-    const owners: OwnerReference[] = [];
-    for (const { record } of this.heads.values())
-      if (record.state === 'open' && record.owner) owners.push(record.owner);
-    return owners;
+    return this.heads.owners;
   }
 
-  /** Tokens of the jobs of a model that were accepted lately. */
+  /** Tokens of the recent jobs of a model. */
   demandOf(model: string): number {
-    const sinceMs = this.services.store.nowMs() - DEMAND_MS;
-    let tokens = 0;
-    for (const { record } of this.heads.values())
-      if (record.model === model && record.acceptedAtMs >= sinceMs) tokens += record.tokens;
-    return tokens;
+    return this.heads.demandOf(model);
   }
 
-  /** Items of the largest job of a model that was accepted lately; 0 without one. */
+  /** Items of the largest recent job of a model; 0 without one. */
   requestsOf(model: string): number {
-    const sinceMs = this.services.store.nowMs() - DEMAND_MS;
-    let largest = 0;
-    for (const { record } of this.heads.values())
-      if (record.model === model && record.acceptedAtMs >= sinceMs) largest = Math.max(largest, record.total);
-    return largest;
+    return this.heads.requestsOf(model);
   }
 
   /** Whether this node runs the job and has read what was listed before. */
@@ -139,7 +130,7 @@
     return this.heads.get(jobId);
   }
 
-  /** Takes a job that this node has just accepted. */
+  /** Adds a job that this node has just accepted, and runs it if it is the owner. */
   adopt(head: JobHead, specification: JobSpecification): void {
     const known = this.heads.get(head.jobId);
     if (known && known.version > head.version) return;
@@ -149,13 +140,9 @@
     this.note(head);
   }
 
-  /** Takes a head that was read or written outside the feed. */
+  /** Notes a head, also one that was read or written outside the feed; an older one is ignored. */
   note(head: JobHead): void {
-    const known = this.heads.get(head.jobId);
-    if (known && known.version >= head.version) return;
-    this.heads.set(head.jobId, head);
-    this.learntAtMs.set(head.jobId, this.services.sessions.observedTimeMs);
-    this.reconcile(head);
+    if (this.heads.set(head, this.services.sessions.observedTimeMs)) this.reconcile(head);
   }
 
   async readAll() {
@@ -165,7 +152,7 @@
 
   replaceAll(content: readonly JobHead[]): void {
     const present = new Set(content.map((head) => head.jobId));
-    for (const jobId of [...this.heads.keys()]) if (!present.has(jobId)) this.forget(jobId);
+    for (const jobId of this.heads.ids) if (!present.has(jobId)) this.forget(jobId);
     for (const head of content) this.note(head);
   }
 
@@ -178,21 +165,21 @@
     if (head) this.note(head);
   }
 
-  /** Hands all jobs back, with the texts so far, so that other nodes go on at once. */
+  /** Hands all jobs back, with their texts, so that other nodes claim them at once. */
   async handOver(): Promise<void> {
     this.isLeaving = true;
     await Promise.all([...this.runs.values()].map((run) => this.release(run)));
   }
 
   /**
-   * Stops what runs here, for others are served by the store and this node is not: they take its jobs over once they miss its
-   * beats, and need the replicas' slots. It goes on with jobs that are still its own when the store serves it again.
+   * Cancels all runs because the store rejects this node while it serves others: they claim its jobs once its heartbeats are
+   * missing, and need the replicas' slots. Jobs that are still its own when the store serves it again are resumed.
    */
   cancelRuns(): void {
     for (const run of this.runs.values()) {
       if (run.isStopped) continue;
       this.report(run.head, 'given up', 'the store serves other nodes, not this one');
-      this.givenUp.add(run.head.jobId);
+      this.cancelled.add(run.head.jobId);
       run.stop();
     }
   }
@@ -202,26 +189,17 @@
     this.isLeaving = true;
   }
 
-  private newestOf(model: string): JobHead | undefined {
-    let newest: JobHead | undefined;
-    for (const head of this.heads.values())
-      if (head.record.model === model && head.record.acceptedAtMs >= (newest?.record.acceptedAtMs ?? 0))
-        newest = head;
-    return newest;
-  }
-
   private isMine(head: JobHead): boolean {
-    return head.record.state === 'open' && head.record.owner?.life === this.self.life;
+    return isOwnedBy(head.record, this.self);
   }
 
   private forget(jobId: string): void {
-    this.heads.delete(jobId);
-    this.learntAtMs.delete(jobId);
+    this.heads.remove(jobId);
     this.runs.get(jobId)?.stop();
     this.services.cache.forget(jobId);
   }
 
-  /** Brings what runs here into line with a head. */
+  /** Starts, stops, claims, hands back or removes a job as its new head requires. */
   private reconcile(head: JobHead): void {
     const run = this.runs.get(head.jobId);
     if (run && (!this.isMine(head) || run.head.record.epoch !== head.record.epoch)) {
@@ -229,7 +207,7 @@
       run.stop();
     }
     if (head.record.state === 'ended') this.scheduleRemoval(head);
-    else if (!this.isMine(head)) this.considerClaim(head);
+    else if (!this.isMine(head)) this.claims.consider(head);
     else if (this.isLeaving && !run) void this.handBack(head);
     else this.start(head, undefined);
   }
@@ -257,55 +235,25 @@
       this.start(newest, undefined);
   }
 
+  /** Reads a head; when that fails the feed brings it later. */
   private async refresh(jobId: string): Promise<void> {
     const found = await this.services.repository.read(jobId);
     if (found.isOk() && found.value) this.note(found.value);
   }
 
-  private claimLost(): void {
-    for (const head of this.heads.values())
-      if (head.record.state === 'open' && !this.isMine(head)) this.considerClaim(head);
-  }
-
-  /** Goes on with jobs that were given up and that nobody has taken over, now that the store answers. */
+  /** Resumes cancelled jobs that nobody has claimed, now that the store answers. */
   private async resume(): Promise<void> {
-    for (const jobId of this.givenUp) {
+    for (const jobId of this.cancelled) {
       if (this.runs.has(jobId)) continue;
-      this.givenUp.delete(jobId);
+      this.cancelled.delete(jobId);
       await this.refresh(jobId);
       const head = this.heads.get(jobId);
       if (head && this.isMine(head)) this.start(head, undefined);
     }
   }
 
-  private considerClaim(head: JobHead): void {
-    const { owner } = head.record;
-    if (this.isLeaving || this.claiming.has(head.jobId)) return;
-    if (owner === null) void this.claim(head, 'handed back');
-    else if (owner.node === this.self.node) void this.claim(head, 'my former self');
-    else if (this.isLost(head.jobId, owner)) void this.claim(head, `${owner.node} is lost`);
-  }
-
-  private isLost(jobId: string, owner: OwnerReference): boolean {
-    return this.services.sessions.isLost(owner, this.learntAtMs.get(jobId) ?? 0);
-  }
-
-  private async claim(head: JobHead, reason: string): Promise<void> {
-    this.claiming.add(head.jobId);
-    if (head.record.owner?.node !== this.self.node) await sleep(Math.random() * CLAIM_SPREAD_MS);
-    if (this.heads.get(head.jobId)?.version === head.version && !this.isLeaving) {
-      const deadline = monotonicMs() + CLAIM_EFFORT_MS;
-      const claimed = await this.services.repository.claim(head, this.self, deadline);
-      this.report(head, claimed.isOk() ? 'claimed' : `claim: ${claimed.error.failure}`, reason);
-      this.claiming.delete(head.jobId);
-      if (claimed.isOk()) this.note(claimed.value);
-      else if (claimed.error.failure === 'conflict') await this.refresh(head.jobId);
-    }
-    this.claiming.delete(head.jobId);
-  }
-
   private async release(run: JobRun): Promise<void> {
-    await run.keepTexts();
+    await run.saveTexts();
     run.stop();
     await this.handBack(run.head);
   }
@@ -315,23 +263,22 @@
     this.report(head, released.isOk() ? 'handed back' : `hand back: ${released.error.failure}`);
   }
 
-  /** The last owner removes a job once its results are no longer owed. */
+  /** Removes an ended job once its results need not be readable any more. */
   private scheduleRemoval(head: JobHead): void {
-    if (head.record.owner !== null && head.record.owner.node !== this.self.node) return;
+    if (!removesEnded(head.record, this.self)) return;
     const ageMs = this.services.store.nowMs() - head.record.acceptedAtMs;
-    const retentionMs = this.services.retentionMs();
-    const delayMs = Math.max(0, retentionMs - ageMs) + retentionMs / 4;
-    const timer = setTimeout(() => void this.services.repository.remove(head), delayMs);
-    timer.unref();
+    const delayMs = removalDelayMs(ageMs, this.services.retentionMs());
+    setTimeout(() => void this.services.repository.remove(head), delayMs).unref();
   }
 
   private report(head: JobHead, change: string, detail?: string): void {
+    const { owner, epoch } = head.record;
     this.services.logger.record({
       event: 'job-changed',
       jobId: head.jobId,
       change,
-      owner: head.record.owner ? `${head.record.owner.node}/${head.record.owner.life}` : 'none',
-      epoch: head.record.epoch,
+      owner: owner ? `${owner.node}/${owner.life}` : 'none',
+      epoch,
       recordVersion: head.version,
       detail,
     });
--- a/src/coordination/service/jobs/job-run.ts
+++ b/src/coordination/service/jobs/job-run.ts
@@ -1,4 +1,9 @@
-/** Runs one job as its owner: generates, scores and lists what is not listed yet, and keeps texts on the way. */
+/**
+ * Runs one job as its owner: generates, scores and lists what is not listed yet, longest items first.
+ *
+ * Owns: the item runs and their abort signal. Relies on the store for the submission, and stores texts for a later owner on
+ * the way. A write that shows another owner ends the run; while the store does not answer, generation continues.
+ */
 import { setMaxListeners } from 'node:events';
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import { groupBy } from '../../../common/collections.js';
@@ -12,26 +17,28 @@
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import type { JobHead, JobRepository } from '../../../state/service/jobs/index.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
-import { type ItemJob, ItemRun, type ItemServices } from './item-run.js';
+import { ItemRun } from './item-run.js';
+import type { ItemJob, ItemServices } from './item-services.js';
 import { type ListedJob, type ListerServices, ResultLister } from './result-lister.js';
 import { WantedGroups } from './wanted-groups.js';
 
-/** How often texts of running items are kept, milliseconds. */
-const KEEP_TEXTS_MS = 400;
+/** Interval of storing the texts of running items, milliseconds: what a crash of the owner loses. Chosen, not measured. */
+const SAVE_TEXTS_MS = 400;
+/** Backoff of reading the job while the store does not answer, milliseconds. Chosen, not measured. */
 const FIRST_PAUSE_MS = 50;
 const LONGEST_PAUSE_MS = 500;
 
-/** Reads a submission; an adapter knows its format. */
+/** Parses a submission; `undefined` when it is malformed. */
 export type SubmissionParser = (submission: Buffer) => JobSpecification | undefined;
 
-/** What a run works with. */
+/** Dependencies of a run. */
 export interface JobRunServices extends ItemServices, ListerServices {
   readonly repository: JobRepository;
   readonly logger: DecisionLogger;
   readonly parseSubmission: SubmissionParser;
 }
 
-/** How a run ended. */
+/** How a run ended. `unreadable`: the store has no valid submission of the job. */
 export type JobRunEnd = 'finished' | 'stopped' | 'ownership-lost' | 'unreadable';
 
 interface LoadedJob {
@@ -43,7 +50,7 @@
 /** One job under this node's ownership. */
 export class JobRun {
   private readonly controller = new AbortController();
-  /** Items without a listed result: their texts are kept, so that another owner need not make them again. */
+  /** Items without a listed result, whose texts are stored for a later owner. */
   private readonly running = new Map<string, ItemRun>();
   private readonly startedAtMs = monotonicMs();
   private loaded = false;
@@ -57,7 +64,7 @@
     setMaxListeners(0, this.controller.signal);
   }
 
-  /** Items that are not finished yet. */
+  /** Items without a listed result. */
   get openItems(): number {
     return this.running.size;
   }
@@ -67,7 +74,7 @@
     return this.storeAgeMs + monotonicMs() - this.startedAtMs;
   }
 
-  /** Whether what was listed before is known. */
+  /** Whether the results listed before have been read. */
   get isLoaded(): boolean {
     return this.loaded;
   }
@@ -77,25 +84,25 @@
     return this.controller.signal.aborted;
   }
 
-  /** Stops at once: streams are closed, nothing more is listed. */
+  /** Stops at once: streams are closed, and nothing more is listed. */
   stop(): void {
     this.controller.abort();
   }
 
-  /** Keeps the newest texts, for the next owner. */
-  async keepTexts(): Promise<void> {
+  /** Stores new texts for a later owner. After a failure they are stored with the next call. */
+  async saveTexts(): Promise<void> {
     const texts = new Map<string, PartialText>();
     for (const [id, run] of this.running) if (run.text.hasUnsaved) texts.set(id, run.text.toPartial());
     if (texts.size === 0) return;
-    const kept = await this.services.repository.contents.saveTexts(this.head, texts);
-    if (kept.isErr()) {
-      if (kept.error.failure === 'lease-lost') this.stop();
+    const saved = await this.services.repository.contents.saveTexts(this.head, texts);
+    if (saved.isErr()) {
+      if (saved.error.failure === 'lease-lost') this.stop();
       return;
     }
-    for (const id of kept.value) this.running.get(id)?.text.noteSaved(texts.get(id)?.events.length ?? 0);
+    for (const id of saved.value) this.running.get(id)?.text.noteSaved(texts.get(id)?.events.length ?? 0);
   }
 
-  /** Runs to the end of the job. Never rejects. */
+  /** Runs until all results are listed or the run is stopped. Never rejects. */
   async run(): Promise<JobRunEnd> {
     const loaded = await this.load();
     if (!loaded) return this.controller.signal.aborted ? 'stopped' : 'unreadable';
@@ -104,11 +111,11 @@
     const acceptedAtMs = monotonicMs() - this.storeAgeMs;
     const lister = this.createLister(loaded, acceptedAtMs);
     this.startItems(loaded, acceptedAtMs, lister);
-    const keeping = this.keepRegularly();
+    const saving = this.saveRegularly();
     const keptOwnership = await lister.run(loaded.specification.items.length);
     const wasStopped = this.controller.signal.aborted;
     this.stop();
-    await keeping;
+    await saving;
     if (!keptOwnership) return 'ownership-lost';
     return wasStopped ? 'stopped' : 'finished';
   }
@@ -153,21 +160,21 @@
   private async runItem(
     job: ItemJob,
     item: JobItem,
-    kept: PartialText | undefined,
+    stored: PartialText | undefined,
     list: (item: JobItem, result: JobResult) => void,
   ): Promise<void> {
-    const run = new ItemRun(this.services, job, item, kept);
+    const run = new ItemRun(this.services, job, item, stored);
     this.running.set(item.id, run);
     const result = await run.run();
     if (!result) this.services.lengths.noteUnfinished(item, run.text.eventCount);
     else if (!this.controller.signal.aborted) list(item, result);
   }
 
-  private async keepRegularly(): Promise<void> {
+  private async saveRegularly(): Promise<void> {
     const { signal } = this.controller;
     while (!signal.aborted) {
-      await sleep(KEEP_TEXTS_MS, signal);
-      if (!signal.aborted) await this.keepTexts();
+      await sleep(SAVE_TEXTS_MS, signal);
+      if (!signal.aborted) await this.saveTexts();
     }
   }
 
@@ -191,13 +198,13 @@
     });
   }
 
-  /** Available replicas of the services that the job's route leads to. */
+  /** Available replicas of the services of the job's route. */
   private replicas(): ReplicaState[] {
     const targets = this.route?.targets ?? [];
     return targets.flatMap(({ service }) => this.services.directory.availableOf(service));
   }
 
-  /** The job's route in the configuration in force. */
+  /** The job's route in the current configuration. */
   private get route(): Route | undefined {
     const { host, path } = this.head.record;
     return this.services.routing.current?.match(host, path);
@@ -208,7 +215,7 @@
     return states.reduce((sum, state) => sum + (snapshot?.slotsOf(state.replica) ?? 0), 0);
   }
 
-  /** Reads the job until the store answers; `undefined` when it is stopped or cannot be read. */
+  /** Reads the job, retrying until the store answers; `undefined` when it is stopped or unreadable. */
   private async load(): Promise<LoadedJob | undefined> {
     if (this.knownSpecification)
       return { specification: this.knownSpecification, listedIds: new Set(), texts: new Map() };
--- a/src/coordination/service/jobs/result-lister.ts
+++ b/src/coordination/service/jobs/result-lister.ts
@@ -1,9 +1,11 @@
 /**
  * Lists the results of one job: in batches, at consecutive positions, under the owner's head.
  *
- * A submitter can go on only when all groups that it waits for are whole, and it reads at most about twice a second. A
- * result that is listed alone ends a read that waits, and the last one may then lie there until the next read. So results
- * are gathered, and listed at once when the submitter has what it waits for, or when they are due.
+ * A submitter continues only when all groups that it waits for are complete, and it reads about twice a second at most. A
+ * result that is listed alone ends a waiting read, and the last one then waits for the next read. So results are gathered,
+ * and listed at once when the submitter has what it waits for, or when they are due (docs/design/rounds.md, results together).
+ *
+ * Relies on the store: a batch that it does not take is retried until the job is stopped, at the same positions.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -11,18 +13,18 @@
 import type { JobResult } from '../../../protocol/service/batch-job.js';
 import type { JobHead, JobRepository, ResultCache } from '../../../state/service/jobs/index.js';
 
-/** Results that finish within this time share a transaction, milliseconds. */
+/** Results that finish within this time share a transaction, milliseconds. Chosen, not measured. */
 const GATHER_MS = 15;
 /**
- * Longest time for which a result waits for others, milliseconds: as long as a read may wait, and twice the distance of
- * two reads, so that a read waits at the node when the last result comes.
+ * Longest time for which a result waits for others, milliseconds: as long as a read may wait, and twice the interval of
+ * reads, so that a read is waiting at the node when the last result is listed.
  */
 const LONGEST_GATHER_MS = 1_000;
-/** One effort to list a batch; it is repeated until the job is stopped. */
+/** Longest effort to list a batch before it is retried, milliseconds. Chosen, not measured. */
 const EFFORT_MS = 5_000;
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** What a lister works with. */
+/** Dependencies of a lister. */
 export interface ListerServices {
   readonly repository: JobRepository;
   readonly cache: ResultCache;
@@ -30,10 +32,10 @@
   readonly logger: DecisionLogger;
 }
 
-/** What a lister must know of its job. */
+/** What a lister needs of its job. */
 export interface ListedJob {
   readonly head: JobHead;
-  /** Positions that are taken already. */
+  /** Results that are listed already. */
   readonly listedCount: number;
   /** Time of acceptance on the monotonic clock, milliseconds. */
   readonly acceptedAtMs: number;
@@ -48,10 +50,18 @@
   readonly itemId: string;
   /** As JSON text. */
   readonly result: string;
-  /** When it is listed at the latest, on the monotonic clock. */
+  /** Latest time of listing it, on the monotonic clock, milliseconds. */
   readonly listByMs: number;
 }
 
+/**
+ * Time for which a result may wait for others, milliseconds: `GATHER_MS` for an urgent one, else `LONGEST_GATHER_MS` at most,
+ * and not beyond the time at which it is due (`untilDueMs`).
+ */
+export function gatherMs(isUrgent: boolean, untilDueMs: number): number {
+  return isUrgent ? GATHER_MS : Math.min(LONGEST_GATHER_MS, Math.max(GATHER_MS, untilDueMs));
+}
+
 /** The lister of one job. */
 export class ResultLister {
   private readonly waiting: WaitingResult[] = [];
@@ -68,15 +78,16 @@
     signal.addEventListener('abort', () => this.wake?.(), { once: true });
   }
 
-  /** Takes a result. An urgent one is listed at once, together with all that wait; others within a second. */
+  /** Adds a result. An urgent one is listed at once, together with all that wait; others within a second. */
   add(result: JobResult, isUrgent: boolean): void {
     const now = this.clock.now();
-    const listByMs = now + (isUrgent ? GATHER_MS : this.longestGatherMs(now));
+    const untilDueMs = this.job.acceptedAtMs + this.job.dueAgeMs() - now;
+    const listByMs = now + gatherMs(isUrgent, untilDueMs);
     this.waiting.push({ itemId: result.id, result: JSON.stringify(result), listByMs });
     this.wake?.();
   }
 
-  /** Lists until `total` positions are taken or the job is stopped. Returns false when ownership was lost. */
+  /** Lists until there are `total` results or the job is stopped. Resolves to false when ownership was lost. */
   async run(total: number): Promise<boolean> {
     while (this.nextPosition < total && !this.signal.aborted) {
       const listByMs = Math.min(...this.waiting.map((waiting) => waiting.listByMs));
@@ -86,13 +97,7 @@
     return true;
   }
 
-  /** Time for which a result may wait for others: not beyond the time at which it is due. */
-  private longestGatherMs(now: number): number {
-    const untilDueMs = this.job.acceptedAtMs + this.job.dueAgeMs() - now;
-    return Math.min(LONGEST_GATHER_MS, Math.max(GATHER_MS, untilDueMs));
-  }
-
-  /** Resolves when a result comes, the job is stopped, or at `timeMs` on the monotonic clock, which may be infinite. */
+  /** Resolves when a result is added, the job is stopped, or at `timeMs` on the monotonic clock, which may be infinite. */
   private async untilWoken(timeMs: number): Promise<void> {
     const controller = new AbortController();
     const woken = new Promise<void>((resolve) => {
--- a/src/coordination/service/jobs/wanted-groups.ts
+++ b/src/coordination/service/jobs/wanted-groups.ts
@@ -1,19 +1,19 @@
 /**
- * Which groups of a job its submitter still waits for. It ends the job once a number of groups are whole, those that an
- * earlier job left unfinished among them.
+ * Tells which groups of a job its submitter still waits for. It ends the job once a number of groups are complete, those
+ * that an earlier job left unfinished among them. Only an estimate: it decides when results are listed, not which.
  */
 import { groupBy } from '../../../common/collections.js';
 import type { JobItem } from '../../../protocol/service/batch-job.js';
 
 /** The groups of one job. */
 export class WantedGroups {
-  /** Items that have no result yet, by group; groups that are whole are not in it. */
+  /** Number of items without a result, by group; without complete groups. */
   private readonly openItems: Map<string, number>;
   private wantedCount: number;
   private readonly carriedOver: Set<string>;
 
   /**
-   * `desired` is the number of whole groups that the submitter waits for; `isCarriedOver` tells whether an item was left
+   * `desired` is the number of complete groups that the submitter waits for; `isCarriedOver` tells whether an item was left
    * unfinished by an earlier job.
    */
   constructor(items: readonly JobItem[], desired: number, isCarriedOver: (item: JobItem) => boolean) {
@@ -23,16 +23,16 @@
     this.carriedOver = new Set(items.filter(isCarriedOver).map(({ group }) => group));
   }
 
-  /** Whether the submitter has all that it waits for, as far as this node knows. */
+  /** Whether the submitter has all that it waits for, by the results that this node knows. */
   get areComplete(): boolean {
     return this.wantedCount <= 0 && this.carriedOver.size === 0;
   }
 
-  /** Takes note of a result. */
+  /** Notes that an item has a result. */
   note({ group }: JobItem): void {
-    const left = (this.openItems.get(group) ?? 0) - 1;
-    this.openItems.set(group, left);
-    if (left !== 0) return;
+    const remaining = (this.openItems.get(group) ?? 0) - 1;
+    this.openItems.set(group, remaining);
+    if (remaining !== 0) return;
     this.openItems.delete(group);
     this.carriedOver.delete(group);
     this.wantedCount -= 1;
--- a/src/node/service/job-parts.ts
+++ b/src/node/service/job-parts.ts
@@ -91,7 +91,7 @@
         directory,
         versions,
         client,
-        endCheck: crashCheck,
+        crashCheck,
         quarantine,
         lengths: new SampleLengths(),
         scorer: new SampleScorer(routing, relay),
--- a/src/protocol/service/batch-job.ts
+++ b/src/protocol/service/batch-job.ts
@@ -1,6 +1,6 @@
 /** Batch jobs: many generation requests that are submitted together, run later, and read by position. */
 
-/** A request whose answer's signature scores a finished sample. */
+/** A request that scores a finished sample: the signature of the response is the score. */
 export interface ScoringCall {
   readonly id: string;
   readonly host: string;
@@ -27,29 +27,29 @@
 /** A job as submitted. */
 export interface JobSpecification {
   readonly model: string;
-  /** Oldest weight version that may make an event of a sample. */
+  /** Oldest weight version that may generate an event of a sample. */
   readonly minVersion: number;
   /** Whole groups that the submitter waits for. */
   readonly desiredGroups: number;
   readonly items: readonly JobItem[];
 }
 
-/** The outcome of one item, at one position of its job, for ever. */
+/** The outcome of one item. Once listed, it keeps its position in the job. */
 export interface JobResult {
   readonly id: string;
   readonly state: 'completed' | 'dead';
   /** Data of all events in order, separated by line feeds. */
   readonly text: string;
-  /** Weight versions that made an event of the text. */
+  /** Weight versions that generated an event of the text. */
   readonly versions: readonly number[];
   readonly score: string | undefined;
 }
 
-/** A part of a text that is kept while an item runs, so that another owner can go on from it. */
+/** The text of a running item, as stored for a later owner to continue. Its field names are stored names. */
 export interface PartialText {
   readonly lastEventId: string;
   readonly events: readonly string[];
   readonly versions: readonly number[];
-  /** Whether the text is whole and only its scoring is left. */
+  /** Whether the text is complete and only has to be scored. */
   readonly isWhole: boolean;
 }
--- a/src/protocol/service/crash-report-peer.ts
+++ b/src/protocol/service/crash-report-peer.ts
@@ -1,20 +1,21 @@
 /**
- * Reports of runs under which replicas have ended, as nodes exchange them over the port that only nodes reach: TypeBox with
- * JSON. The caller sends what the store has not taken of it, and gets what the other node knows.
+ * Exchange of crash reports between nodes over the peer port, as JSON. The caller sends the reports that the store has not
+ * accepted, and gets the newest that the other node knows. A retry is safe: known reports are ignored.
  */
 import Type, { type Static } from 'typebox';
 import type { HttpClient } from '../../transport/http-client.js';
 import { Validator } from '../validation.js';
 
-/** Path of the exchange. */
+/** Path of the exchange, a wire name. */
 export const CRASH_REPORTS_PATH = '/fatal-runs';
-/** Reports in one message at most. */
+/** Most reports in one message. Chosen, not measured: with the longest texts they stay below `MAX_MESSAGE_BYTES`. */
 export const MAX_REPORTS = 500;
-/** Size of a message at most, bytes. */
+/** Largest message, bytes. */
 export const MAX_MESSAGE_BYTES = 256 * 1024;
+/** Longest key and value, characters. Chosen, not measured. */
 const MAX_TEXT = 200;
 
-/** A report as its record in the store has it: key and value. */
+/** A report as stored: key and value of its record. */
 const ReportSchema = Type.Object({
   key: Type.String({ maxLength: MAX_TEXT }),
   value: Type.String({ maxLength: MAX_TEXT }),
@@ -24,18 +25,20 @@
 const ReportsSchema = Type.Array(ReportSchema, { maxItems: MAX_REPORTS });
 const RequestSchema = Type.Object({ reports: ReportsSchema });
 const AnswerSchema = Type.Object({
-  /** Whether the store serves the other node, so that it passes on what it was told. */
+  /** Whether the store serves the other node, which then writes the reports for all. A wire name. */
   isServed: Type.Boolean(),
   reports: ReportsSchema,
 });
 export type CrashReportsAnswer = Static<typeof AnswerSchema>;
 
 const requestValidator = new Validator(RequestSchema);
-const answer = new Validator(AnswerSchema);
+const answerValidator = new Validator(AnswerSchema);
 
 const STATUS_OK = 200;
+/** Time-out of the exchange, milliseconds. Chosen, not measured. */
 const CALL_TIMEOUT_MS = 800;
 
+/** The parsed body; `undefined` when it is no JSON, which the validators reject. */
 function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
@@ -44,7 +47,7 @@
   }
 }
 
-/** The reports in a question; `undefined` when it is none. */
+/** The reports of a request; `undefined` when it is malformed. */
 export function parseCrashReports(body: Buffer): readonly CrashReportMessage[] | undefined {
   return requestValidator
     .check(parseJson(body))
@@ -69,5 +72,5 @@
     MAX_MESSAGE_BYTES,
   );
   if (response.isErr() || response.value.status !== STATUS_OK) return undefined;
-  return answer.check(parseJson(response.value.body)).unwrapOr(undefined);
+  return answerValidator.check(parseJson(response.value.body)).unwrapOr(undefined);
 }
--- a/src/protocol/service/event-stream.ts
+++ b/src/protocol/service/event-stream.ts
@@ -1,4 +1,4 @@
-/** Server-sent events, read incrementally. Chunks may be cut anywhere; an unfinished event is never reported. */
+/** Incremental parser of server-sent events. Chunks may be cut anywhere; an incomplete event is never reported. */
 
 /** One event. */
 export interface StreamEvent {
@@ -11,10 +11,10 @@
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const NO_FIELDS: Readonly<Record<string, string>> = {};
-/** An event larger than this is an error, bytes. */
+/** Largest event, bytes. Chosen, not measured: bounds the memory of a stream without line ends. */
 const MAX_EVENT_BYTES = 4 * 1024 * 1024;
 
-/** An event stream that does not follow the format. */
+/** Thrown for an event above `MAX_EVENT_BYTES`. */
 export class EventStreamError extends Error {
   override readonly name = 'EventStreamError';
 }
@@ -28,34 +28,39 @@
   return -1;
 }
 
+/** Name and value of a line; an empty name for comments and lines without a colon. */
+function parseField(rawLine: string): [name: string, value: string] {
+  const line = rawLine.endsWith('\r') ? rawLine.slice(0, -1) : rawLine;
+  const colon = line.indexOf(':');
+  if (colon <= 0) return ['', ''];
+  return [line.slice(0, colon), line.slice(line[colon + 1] === ' ' ? colon + 2 : colon + 1)];
+}
+
+/** Parses one event; `undefined` when it has no field. */
 function parseEvent(text: string): StreamEvent | undefined {
   let id = '';
   const data: string[] = [];
   let fields: Record<string, string> | undefined;
-  for (const rawLine of text.split('\n')) {
-    const line = rawLine.endsWith('\r') ? rawLine.slice(0, -1) : rawLine;
-    const colon = line.indexOf(':');
-    if (colon <= 0) continue;
-    const name = line.slice(0, colon);
-    const value = line.slice(line[colon + 1] === ' ' ? colon + 2 : colon + 1);
+  for (const line of text.split('\n')) {
+    const [name, value] = parseField(line);
     if (name === 'id') id = value;
     else if (name === 'data') data.push(value);
-    else fields = { ...fields, [name]: value };
+    else if (name !== '') fields = { ...fields, [name]: value };
   }
   if (id === '' && data.length === 0 && !fields) return undefined;
   return { id, data: data.join('\n'), fields: fields ?? NO_FIELDS };
 }
 
-/** Turns chunks into events. */
+/** Parser of one stream. */
 export class EventStreamParser {
   private rest: Buffer = Buffer.alloc(0);
 
-  /** True when bytes of an unfinished event are left over. */
+  /** Whether bytes of an incomplete event are left over. */
   get hasRemainder(): boolean {
     return this.rest.length > 0;
   }
 
-  /** Takes a chunk; returns the events that it completed. */
+  /** Adds a chunk; returns the events that it completed. Throws `EventStreamError` when an event is too large. */
   push(chunk: Buffer): StreamEvent[] {
     const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
     const events: StreamEvent[] = [];
--- a/src/protocol/service/job-calls.ts
+++ b/src/protocol/service/job-calls.ts
@@ -1,13 +1,13 @@
-/** Calls of submitters about batch jobs and their outcomes, as nodes take them and pass them on to each other. */
+/** Calls of submitters about batch jobs and their outcomes, as nodes accept them and forward them to each other. */
 import type { JobSpecification } from './batch-job.js';
 
 /** Who makes a call about jobs. */
 export interface JobCaller {
-  /** Tenant of the key that the caller shows; `undefined` without one, or where callers are not told apart. */
+  /** Tenant of the caller's key; `undefined` without one, or where there are no tenants. */
   readonly tenant: string | undefined;
-  /** What the caller shows as proof, for another node to check by itself. */
+  /** The caller's credential, for another node to check by itself. */
   readonly credential: string | undefined;
-  /** Whether another node passes the call on: then it is carried out here or not at all. */
+  /** Whether another node forwarded the call: then it is not forwarded again. */
   readonly isForwarded: boolean;
 }
 
@@ -21,15 +21,15 @@
 }
 
 /**
- * What became of a submission: `not-accepted` promises that nothing of it runs; so does `foreign`, where the identifier is
- * another tenant's.
+ * Outcome of a submission. `not-accepted` and `foreign` (the identifier is another tenant's) promise that nothing of it runs;
+ * `unknown` promises nothing: a retry tells.
  */
 export type SubmissionOutcome = 'accepted' | 'not-accepted' | 'foreign' | 'unknown';
 
-/** What became of the end of a job. */
+/** Outcome of ending a job. */
 export type EndOutcome = 'ended' | 'not-found' | 'unavailable';
 
-/** What a reader gets. */
+/** Outcome of reading results. */
 export type ReadOutcome =
   | {
       readonly kind: 'page';
@@ -41,13 +41,13 @@
   | { readonly kind: 'not-found' }
   | { readonly kind: 'unavailable' };
 
-/** What someone who asks for an item gets. */
+/** Outcome of reading an item's body. */
 export type ItemOutcome =
   | { readonly kind: 'found'; readonly body: Buffer }
   | { readonly kind: 'not-found' }
   | { readonly kind: 'unavailable' };
 
-/** Asks another node, at `IP:PORT`, in the place of a caller. That node answers by itself and passes nothing on. */
+/** Forwards calls to another node, at `IP:PORT`, with the caller's credential. That node forwards nothing. */
 export interface JobPeer {
   submit(
     address: string,
--- a/src/state/service/jobs/job-contents.ts
+++ b/src/state/service/jobs/job-contents.ts
@@ -1,6 +1,6 @@
 /**
- * What lies beside the heads of jobs: submissions, results by position, texts of running items. Whatever an owner writes is
- * conditional on the head's version.
+ * Contents of jobs beside their heads: submissions, results by position, texts of running items. Whatever an owner writes is
+ * conditional on the head's version, so that a replaced owner can write nothing.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { uniqueId } from '../../../common/identifier.js';
@@ -24,14 +24,14 @@
 } from './job-record.js';
 import type { SubmittedJob } from './submitted-job.js';
 
-/** Part of a record that values fill, so that a record with its key stays under the store's limit. */
+/** Share of a record that values fill, so that a record with its key stays under the store's limit. Chosen. */
 const FILL = 0.9;
-/** Submissions up to this size lie in records, larger ones in an object, bytes. */
+/** Submissions up to this size are stored in records, larger ones in an object, bytes: one transaction holds them. */
 const RECORD_SUBMISSION_BYTES = 500_000;
-/** Bytes and records of one transaction. */
+/** Most bytes and records of one transaction. Chosen: below the store's limits of 1 MB and 100 entries, with margin. */
 const TRANSACTION_BYTES = 600_000;
 const TRANSACTION_RECORDS = 80;
-/** Records of results in one transaction, each with a condition of its own: with the head under 100 entries. */
+/** Most records of results in one transaction, each with a condition of its own: with the head below 100 entries. */
 const RESULT_RECORDS = 48;
 
 /** Results in order of position, each as JSON text. */
@@ -46,7 +46,7 @@
   return found;
 }
 
-/** Access to what lies beside the heads. */
+/** Access to the contents of jobs. */
 export class JobContents {
   private readonly pieceBytes: number;
 
@@ -54,7 +54,7 @@
     this.pieceBytes = Math.floor(store.limits.recordBytes * FILL);
   }
 
-  /** The records of a submission, or the name of the object that now holds it. */
+  /** The records to write for a submission, or the name of the object that now holds it. */
   async storeSubmission(
     job: SubmittedJob,
   ): Promise<Result<{ writes: RecordWrite[]; object?: string }, StateError>> {
@@ -89,9 +89,9 @@
   }
 
   /**
-   * Lists results from `firstPosition` on, under the owner's head. Repeats write the same bytes at the same positions,
-   * so a lost answer does no harm. Only all records together prove that a lost transaction was done: a successor lists
-   * results of the same bytes, but may do so in another order.
+   * Lists results from `firstPosition` on, under the owner's head. A retry is safe: it writes the same bytes at the same
+   * positions. After a lost answer only all records together prove that the transaction was applied: a successor lists
+   * results of the same bytes, but maybe in another order.
    */
   async appendResults(
     head: JobHead,
@@ -117,13 +117,13 @@
       {
         deadlineMs,
         signal,
-        isApplied: (current) => areAllThere(writes, current),
+        isApplied: (current) => areAllWritten(writes, current),
       },
     );
     return outcome.map(() => undefined);
   }
 
-  /** How many of `results` fit one transaction, at least one. */
+  /** How many of `results` fit into one transaction, at least one. */
   fittingResults(results: readonly string[]): number {
     let bytes = 0;
     let records = 0;
@@ -160,7 +160,7 @@
     }
   }
 
-  /** Keeps texts of running items, under the owner's head. What does not fit is left for the next time. */
+  /** Stores texts of running items, under the owner's head; the IDs of those stored. What does not fit waits for the next call. */
   async saveTexts(
     head: JobHead,
     texts: ReadonlyMap<string, PartialText>,
@@ -183,7 +183,7 @@
     return err(new StateError(failure === 'conflict' ? 'lease-lost' : 'unavailable', effect, message));
   }
 
-  /** Texts that were kept, by item. */
+  /** Stored texts by item ID. */
   async texts(jobId: string): Promise<Result<Map<string, PartialText>, StateError>> {
     const records = await readRange(this.store, TEXT_TABLE, partitionOf(jobId), `${jobId}/`, rangeEnd(jobId));
     return records.map((found) => {
@@ -197,7 +197,7 @@
     });
   }
 
-  /** Removes everything but the head; false when some of it is left. */
+  /** Removes everything but the head; false when that failed before all was removed. */
   async removeAll({ jobId, record }: JobHead): Promise<boolean> {
     if (record.object !== undefined) await this.store.removeObject(record.object);
     for (const table of [TEXT_TABLE, SUBMISSION_TABLE, RESULT_TABLE]) {
@@ -221,13 +221,13 @@
   }
 }
 
-/** Whether each record stands as it was to be written. */
-function areAllThere(writes: readonly RecordWrite[], current: readonly StoredRecord[]): boolean {
+/** Whether each record has the value that was to be written. */
+function areAllWritten(writes: readonly RecordWrite[], current: readonly StoredRecord[]): boolean {
   const values = new Map(current.map(({ key, value }) => [key, value]));
   return writes.every(({ key, value }) => values.get(key)?.equals(value) ?? false);
 }
 
-/** Joins the chunks of results; stops before the first position that is not whole. */
+/** Joins the chunks of results; stops before the first position that is incomplete. */
 function assembleResults(records: readonly StoredRecord[], firstPosition: number): string[] {
   const results: string[] = [];
   let chunks: Buffer[] = [];
--- a/src/state/service/jobs/job-record.ts
+++ b/src/state/service/jobs/job-record.ts
@@ -1,36 +1,37 @@
-/** Records of batch jobs: their shape in the store and where each one lies. */
+/** Records of batch jobs: their shape in the store, tables and keys. */
 import { spread } from '../../../common/spread.js';
 import type { RecordAddress } from '../../../protocol/record-store.js';
 import { FOLLOWED_TABLE } from '../store/index.js';
 
-/** Tables of the product. */
+/** Tables of the store. */
 export const JOB_TABLE = FOLLOWED_TABLE;
 export const SUBMISSION_TABLE = 'job-submissions';
 export const RESULT_TABLE = 'job-results';
 export const TEXT_TABLE = 'job-texts';
 
-/** Partitions over which jobs are spread. */
+/** Partitions over which jobs are spread. Fixed: it is part of the keys. */
 const PARTITION_COUNT = 8;
 const POSITION_DIGITS = 7;
 /** Sorts after every character that keys use. */
 const AFTER_KEYS = '~';
 
-/** Who runs a job: one life of one node's process. */
+/** Who runs a job: one incarnation of one node. */
 export interface OwnerReference {
   readonly node: string;
+  /** ID of the incarnation, that is of one run of the process. A stored name. */
   readonly life: string;
 }
 
-/** The head of a job. Every write of its owner is conditional on the version of this record. */
+/** The head of a job, as stored. Every write of its owner is conditional on the version of this record. */
 export interface JobRecord {
   readonly state: 'open' | 'ended';
   /** `null` when the last owner has handed the job back. */
   readonly owner: OwnerReference | null;
-  /** Rises with each change of the owner. */
+  /** Rises with each claim. */
   readonly epoch: number;
   readonly host: string;
   readonly path: string;
-  /** Tenant that the job belongs to; absent where callers are not told apart. */
+  /** Tenant that the job belongs to; absent where there are no tenants. */
   readonly tenant?: string;
   readonly model: string;
   /** Tokens that all items may take, prompts and outputs. */
@@ -52,18 +53,18 @@
   readonly version: number;
 }
 
-/** Whether a caller of `tenant` may know of the job: others never learn that it exists. */
+/** Whether a caller of `tenant` may access the job; others must not learn that it exists. */
 export function belongsTo({ record }: JobHead, tenant: string | undefined): boolean {
   return record.tenant === undefined || record.tenant === tenant;
 }
 
-/** All partitions that jobs lie in. */
+/** All partitions of jobs. */
 export const JOB_PARTITIONS: readonly string[] = Array.from(
   { length: PARTITION_COUNT },
   (_, index) => `jobs-${index}`,
 );
 
-/** Partition of a job: all its records lie in one, so that one transaction can change them. */
+/** Partition of a job: all its records share one, so that one transaction can change them. */
 export function partitionOf(jobId: string): string {
   return JOB_PARTITIONS[spread(jobId) % PARTITION_COUNT] as string;
 }
@@ -76,7 +77,7 @@
   return { table: SUBMISSION_TABLE, partition: partitionOf(jobId), key: `${jobId}/${padded(chunk)}` };
 }
 
-/** A result larger than one record lies in several; `chunk` counts them from 0. */
+/** A result larger than one record is stored in several; `chunk` counts them from 0. */
 export function resultAddress(jobId: string, position: number, chunk: number, chunks: number): RecordAddress {
   const key = `${jobId}/${padded(position)}/${padded(chunk)}-${chunks}`;
   return { table: RESULT_TABLE, partition: partitionOf(jobId), key };
@@ -96,7 +97,7 @@
   return `${jobId}/${AFTER_KEYS}`;
 }
 
-/** What the key of a result says. */
+/** The parts of a result's key. */
 export interface ResultKey {
   readonly position: number;
   readonly chunk: number;
@@ -110,11 +111,12 @@
   return { position: Number(position), chunk: Number(chunk), chunks: Number(chunks) };
 }
 
-/** Parses a job's head; `undefined` when the bytes are none. */
+/** Parses a job's head; `undefined` for other records of the table. */
 export function parseJobRecord(value: Buffer): JobRecord | undefined {
   try {
     return JSON.parse(value.toString('utf8')) as JobRecord;
   } catch {
+    // Crash reports share the table and are no JSON.
     return undefined;
   }
 }
--- a/src/state/service/jobs/job-repository.ts
+++ b/src/state/service/jobs/job-repository.ts
@@ -1,6 +1,7 @@
 /**
- * Heads of batch jobs in the record store: acceptance, ownership, the end. Each change is one transaction that is
- * conditional on the head, so that only its owner can make it.
+ * Heads of batch jobs in the record store: acceptance, ownership, end. Each change is one transaction conditional on the
+ * head's version, so that of two writers one succeeds. A lost answer is settled by reading whether the write was applied
+ * (`settle`); where that cannot be told by the deadline, the error's effect is `unknown`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
@@ -23,13 +24,13 @@
 
 const FIRST_EPOCH = 1;
 
-/** Whether an acceptance was the first, or found the job there already. */
+/** An accepted job; `isNew` is false where it had been accepted before. */
 export interface Acceptance {
   readonly head: JobHead;
   readonly isNew: boolean;
 }
 
-/** All heads, and the version of the store from which changes continue. */
+/** All heads, and the version of the store from which the feed of changes continues. */
 export interface JobListing {
   readonly heads: readonly JobHead[];
   readonly version: number;
@@ -43,14 +44,14 @@
 
 /** Access to jobs. */
 export class JobRepository {
-  /** What lies beside the heads. */
+  /** Submissions, results and texts. */
   readonly contents: JobContents;
 
   constructor(private readonly store: RecordStore) {
     this.contents = new JobContents(store);
   }
 
-  /** Accepts a job once, for `owner` to run. A failure whose effect is `unknown` may still become an accepted job. */
+  /** Accepts a job once, for `owner` to run. A retry is safe; after an error with effect `unknown` it may be accepted. */
   async accept(
     job: SubmittedJob,
     owner: OwnerReference | null,
@@ -76,8 +77,8 @@
   }
 
   /**
-   * The head of a job, `undefined` when there is none. That there is none is proved by a condition: reads may be old, and another
-   * node may have accepted the job since.
+   * The head of a job, `undefined` when there is none. Scans may be stale, so the absence of a head is confirmed by a
+   * conditional transaction: another node may have accepted the job since.
    */
   async read(jobId: string): Promise<Result<JobHead | undefined, StateError>> {
     const page = await this.store.scan({ ...headAddress(jobId), from: jobId, limit: 1 });
@@ -103,7 +104,7 @@
     return ok({ heads, version });
   }
 
-  /** Makes `owner` the owner, if the head is still the one given. */
+  /** Makes `owner` the owner, if the head has not changed since. */
   claim(head: JobHead, owner: OwnerReference, deadlineMs: number): Promise<Result<JobHead, StateError>> {
     return this.replaceHead(head, { ...head.record, owner, epoch: head.record.epoch + 1 }, deadlineMs);
   }
@@ -114,8 +115,8 @@
   }
 
   /**
-   * Ends a job of `tenant`; `undefined` when it is another's. One that is not known is marked as ended all the same: a
-   * submission of it may still be under way without an answer.
+   * Ends a job of `tenant`; `undefined` when it is another's. An unknown job is marked as ended too: a submission of it may
+   * still be under way. A retry is safe.
    */
   async end(
     jobId: string,
@@ -123,21 +124,12 @@
     deadlineMs: number,
   ): Promise<Result<JobHead | undefined, StateError>> {
     for (;;) {
-      const found = await this.read(jobId);
-      if (found.isErr()) {
-        if (monotonicMs() > deadlineMs) return err(found.error);
-        continue;
-      }
-      if (found.value && !belongsTo(found.value, tenant)) return ok(undefined);
-      if (found.value?.record.state === 'ended') return ok(found.value);
-      const ended = found.value
-        ? await this.replaceHead(found.value, { ...found.value.record, state: 'ended' }, deadlineMs)
-        : await this.insertEnded(jobId, tenant, deadlineMs);
-      if (ended.isOk() || ended.error.failure !== 'conflict') return ended;
+      const ended = await this.tryEnd(jobId, tenant, deadlineMs);
+      if (ended !== 'retry') return ended;
     }
   }
 
-  /** Removes everything of a job whose results are no longer owed. */
+  /** Removes a job whose results need not be readable any more. After a failure the head stays, for the next process to retry. */
   async remove(head: JobHead): Promise<void> {
     if (!(await this.contents.removeAll(head))) return;
     const address = headAddress(head.jobId);
@@ -148,6 +140,23 @@
     });
   }
 
+  /** `retry` when the head could not be read before the deadline, or has changed since. */
+  private async tryEnd(
+    jobId: string,
+    tenant: string | undefined,
+    deadlineMs: number,
+  ): Promise<Result<JobHead | undefined, StateError> | 'retry'> {
+    const found = await this.read(jobId);
+    if (found.isErr()) return monotonicMs() > deadlineMs ? err(found.error) : 'retry';
+    const head = found.value;
+    if (head && !belongsTo(head, tenant)) return ok(undefined);
+    if (head?.record.state === 'ended') return ok(head);
+    const ended = head
+      ? await this.replaceHead(head, { ...head.record, state: 'ended' }, deadlineMs)
+      : await this.insertEnded(jobId, tenant, deadlineMs);
+    return ended.isErr() && ended.error.failure === 'conflict' ? 'retry' : ended;
+  }
+
   private async readNow(jobId: string): Promise<Result<JobHead | undefined, StateError>> {
     const current = await readCurrent(this.store, [headAddress(jobId)]);
     return current.map(({ records: [record] }) => record && toJobHead(record));
--- a/src/state/service/jobs/result-cache.ts
+++ b/src/state/service/jobs/result-cache.ts
@@ -1,4 +1,7 @@
-/** Results that are known to be listed. They never change, so they may be served from memory. Bounded in bytes. */
+/**
+ * Cache of listed results, bounded in bytes; the job that grew longest ago is evicted first. Listed results never change, so they
+ * are served from memory without the store. Wakes readers that wait for more.
+ */
 
 interface JobResults {
   /** Results from position 0 on. */
@@ -17,7 +20,7 @@
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Takes results that are listed from `position` on; what would leave a gap is not kept. */
+  /** Adds results that are listed from `position` on; ignored where they would leave a gap. */
   append(jobId: string, position: number, results: readonly string[]): void {
     const entry = this.jobs.get(jobId) ?? { results: [], bytes: 0 };
     if (position > entry.results.length) return;
@@ -46,7 +49,7 @@
     return page;
   }
 
-  /** Calls `listener` when results of the job come in; returns the way to stop. */
+  /** Calls `listener` when results of the job are added; returns a function that stops this. */
   listen(jobId: string, listener: Listener): () => void {
     const listeners = this.listeners.get(jobId) ?? new Set();
     listeners.add(listener);
--- a/test/coordination/service/jobs/item-run.test.ts
+++ b/test/coordination/service/jobs/item-run.test.ts
@@ -2,11 +2,8 @@
 import { expect } from 'chai';
 import type { PlacementRequest } from '../../../../src/coordination/service/generation/placement.js';
 import { SampleLengths } from '../../../../src/coordination/service/generation/sample-lengths.js';
-import {
-  type ItemJob,
-  ItemRun,
-  type ItemServices,
-} from '../../../../src/coordination/service/jobs/item-run.js';
+import { ItemRun } from '../../../../src/coordination/service/jobs/item-run.js';
+import type { ItemJob, ItemServices } from '../../../../src/coordination/service/jobs/item-services.js';
 import type { JobItem, PartialText } from '../../../../src/protocol/service/batch-job.js';
 import { RoutingTable, TargetSplitter } from '../../../../src/state/service/configuration/routing-table.js';
 
