--- a/src/node/service/job-parts.ts
+++ b/src/node/service/job-parts.ts
@@ -87,7 +87,7 @@
       ...context,
       splitter,
       placement,
-      endCheck: crashCheck,
+      crashCheck,
       quarantine,
       lengths: new SampleLengths(),
       scorer: new SampleScorer(context.routing, relay),
