--- a/src/coordination/resource/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -1,7 +1,11 @@
 /**
- * Relay of requests to application services. A request to a service that is not repeatable is dispatched once: a
- * second dispatch happens only when it is certain that no byte of the first one reached a back end, or when the
- * back end itself said that it did not admit it.
+ * Relay of requests to application services, with the retry rule: a request is dispatched again only when its
+ * service is repeatable, when no byte of it was sent, or when the back end answered that it did not admit it
+ * (`isSafeToRetry`).
+ *
+ * Relies on: `Router` (back end), `WorkGate` (checked before each dispatch). When neither allows a dispatch,
+ * or when `MAX_DISPATCHES` have failed, the caller gets the failure that says most about whether the request
+ * has run.
  */
 import type { ServerResponse } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
@@ -14,6 +18,7 @@
 import type { HeaderMap, HttpClient, IncomingResponse } from '../../../transport/http-client.js';
 import type { TransportError } from '../../../transport/transport-error.js';
 import { CoordinationError, worseOf } from '../coordination-error.js';
+import { AT_CAPACITY_RETRY_MS, rejection } from './rejection.js';
 import { isPastDeadline, type RequestContext, timeLeftMs } from './request-context.js';
 import type { Route, Router } from './router.js';
 import type { WorkGate } from './work-gate.js';
@@ -28,22 +33,29 @@
   readonly body: Buffer;
 }
 
-/** The head of a back end's answer, with its body still to be read. */
+/** The head of a back end's response; its body is not read yet. */
 export interface RelayedAnswer {
   readonly backend: BackendEntry;
   readonly response: IncomingResponse;
-  /** Must be called once the body has been read or dropped. */
+  /** Must be called when the body has been read or discarded: it ends the count as in flight. */
   readonly release: () => void;
 }
 
-/** Dispatches of a repeatable request at most. */
+/**
+ * Dispatches of a request, the first one included. Chosen, not measured: bounds the load that retries add.
+ */
 const MAX_DISPATCHES = 3;
-const AT_CAPACITY_RETRY_MS = 500;
-const NO_BACKEND_RETRY_MS = 2_000;
-/** The signal of a request ends its exchange at the deadline; the limits of the client lie this much later, milliseconds. */
+/**
+ * Time by which the client's own timeouts follow the deadline, milliseconds, so that the request's signal
+ * goes first.
+ */
 const AFTER_DEADLINE_MS = 100;
 
-/** Headers that concern one connection only, and those that this hop sets itself. */
+/**
+ * Headers of one connection, and those that this node sets itself. Those of the platform's interface differ
+ * (`platform/ingress.ts`): it drops what the `Connection` header lists, and forwards the caller's key where
+ * no tenants are declared; here the bearer token is this node's own and is never forwarded.
+ */
 const HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -60,7 +72,7 @@
   'idempotency-key',
 ]);
 
-/** Headers of a message without those of the hop. */
+/** The headers of a message that are forwarded. */
 export function endToEndHeaders(headers: Record<string, string | string[] | undefined>): HeaderMap {
   const kept: HeaderMap = {};
   for (const [name, value] of Object.entries(headers)) {
@@ -69,16 +81,23 @@
   return kept;
 }
 
-/** Header by which the time left is passed on, milliseconds. */
+/** Request header with the time until the deadline, milliseconds. */
 export const TIMEOUT_HEADER = 'x-request-timeout-ms';
-/** Header that names the request on both sides. */
+/** Request and response header with the request ID. */
 export const REQUEST_ID_HEADER = 'x-request-id';
 
-interface Attempt {
+interface FailedAttempt {
   readonly failure: CoordinationError;
   readonly mayRetry: boolean;
 }
 
+/**
+ * Whether a request whose exchange failed may be dispatched again: it is repeatable, or none of it was sent.
+ */
+function isSafeToRetry(service: ResourceOf<'Service'>, error: TransportError): boolean {
+  return service.spec.repeatable || !error.requestSent;
+}
+
 /** Relays application requests. */
 export class ApplicationRelay {
   constructor(
@@ -89,7 +108,9 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Dispatches a request; resolves at the head of the answer. */
+  /**
+   * Dispatches a request; resolves at the head of the response. The error says whether the request has run.
+   */
   async dispatch(
     context: RequestContext,
     request: ApplicationRequest,
@@ -121,10 +142,7 @@
     if (route.isErr()) {
       const { reason, inputs } = route.error;
       this.decisions.record({ kind: 'refuse', subjects, choice: 'none', reason, inputs });
-      const isFull = reason === 'at-capacity';
-      const wait = isFull ? AT_CAPACITY_RETRY_MS : NO_BACKEND_RETRY_MS;
-      const message = `no back end of ${request.service.metadata.name} may take the request`;
-      return err(new CoordinationError(isFull ? 'overloaded' : 'no-backend', 'no', message, wait));
+      return err(rejection(reason, `no back end of ${request.service.metadata.name} may take the request`));
     }
     const { backend, inputs } = route.value;
     this.decisions.record({
@@ -141,7 +159,7 @@
     context: RequestContext,
     request: ApplicationRequest,
     route: Route,
-  ): Promise<Result<RelayedAnswer, Attempt>> {
+  ): Promise<Result<RelayedAnswer, FailedAttempt>> {
     const { backend, release } = route;
     const { service } = request;
     const sent = await this.client.send({
@@ -160,33 +178,35 @@
     });
     if (sent.isErr()) {
       release();
-      return err(this.transportAttempt(context, service, backend, sent.error));
+      return err(this.noteTransportFailure(context, service, backend, sent.error));
     }
     const response = sent.value;
     if (response.headers[NOT_ADMITTED_HEADER] === 'true') {
       release();
       response.body.resume();
-      this.metrics.attempts.inc({ service: service.metadata.name, outcome: 'not-admitted' });
-      const wait = retryAfterMs(response.headers);
-      const failure = new CoordinationError(
-        'backend-refused',
-        'no',
-        `${backend.name} did not admit the request`,
-        wait,
-      );
-      return err({ failure, mayRetry: true });
+      return err(this.noteNotAdmitted(service, backend, retryAfterMs(response.headers)));
     }
     backend.noteSuccess();
     this.metrics.attempts.inc({ service: service.metadata.name, outcome: 'answered' });
     return ok({ backend, response, release });
   }
 
-  private transportAttempt(
+  private noteNotAdmitted(
+    service: ResourceOf<'Service'>,
+    backend: BackendEntry,
+    waitMs: number | undefined,
+  ): FailedAttempt {
+    this.metrics.attempts.inc({ service: service.metadata.name, outcome: 'not-admitted' });
+    const message = `${backend.name} did not admit the request`;
+    return { failure: new CoordinationError('backend-refused', 'no', message, waitMs), mayRetry: true };
+  }
+
+  private noteTransportFailure(
     context: RequestContext,
     service: ResourceOf<'Service'>,
     backend: BackendEntry,
     error: TransportError,
-  ): Attempt {
+  ): FailedAttempt {
     this.metrics.attempts.inc({ service: service.metadata.name, outcome: error.failure });
     const executed = error.requestSent ? 'unknown' : 'no';
     const message = `${backend.name}: ${error.message}`;
@@ -197,7 +217,7 @@
     backend.noteFailure(error.message);
     const code = error.requestSent ? 'outcome-unknown' : 'backend-failed';
     const failure = new CoordinationError(code, executed, message, AT_CAPACITY_RETRY_MS);
-    return { failure, mayRetry: !error.requestSent || service.spec.repeatable };
+    return { failure, mayRetry: isSafeToRetry(service, error) };
   }
 
   private noteRetry(context: RequestContext, backend: BackendEntry, failure: CoordinationError): void {
@@ -211,14 +231,14 @@
   }
 }
 
-/** Whether the end of an answer can be told from a cut: its length is declared, or it is chunked, or it has no body. */
+/** Whether a complete response can be told from a cut one: it has a length, is chunked, or has no body. */
 export function hasDeclaredEnd(response: IncomingResponse, method: string): boolean {
   const { status, headers } = response;
   if (method === 'HEAD' || status === 204 || status === 304) return true;
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
-/** Writes the head of a relayed answer. */
+/** Writes the head of a relayed response. */
 export function writeRelayedHead(
   response: ServerResponse,
   answer: IncomingResponse,
--- a/src/coordination/resource/requests/request-context.ts
+++ b/src/coordination/resource/requests/request-context.ts
@@ -1,4 +1,4 @@
-/** What goes along with a request through the node. */
+/** Context of a request in this node: identifier, principal, cancellation and deadline. */
 import { monotonicMs } from '../../../common/clock.js';
 import type { Principal } from '../../../state/resource/configuration/index.js';
 
@@ -6,7 +6,7 @@
 export interface RequestContext {
   readonly requestId: string;
   readonly principal: Principal;
-  /** Aborted when the caller has gone or the deadline has passed. */
+  /** Aborted when the caller disconnects or at the deadline. */
   readonly signal: AbortSignal;
   /** Deadline on the monotonic clock, milliseconds. */
   readonly deadlineMs: number;
@@ -21,8 +21,9 @@
 const TIMER_REASON = 'TimeoutError';
 
 /**
- * Whether the deadline has passed, by the clock or by the timer of the signal, which may go off a little earlier: on a busy
- * machine that made 8% of the answers at a deadline 502 in place of 504 (432 requests, 16 busy processes).
+ * Whether the deadline has passed, by the clock or by the timer of the signal, which may go off a little
+ * earlier: on a busy machine that made 8% of the answers at a deadline 502 in place of 504 (432 requests, 16
+ * busy processes).
  */
 export function isPastDeadline({ signal, deadlineMs }: RequestContext): boolean {
   const hasTimedOut = signal.aborted && (signal.reason as Error | undefined)?.name === TIMER_REASON;
--- a/src/coordination/resource/requests/router.ts
+++ b/src/coordination/resource/requests/router.ts
@@ -1,7 +1,11 @@
 /**
- * Routing: which back end takes a piece of work. Of the back ends that may take it, two are chosen at random
- * and the less loaded one is taken (two random choices): load figures are late, and taking the least loaded of
- * all would send every node to the same one.
+ * Routing: chooses the back end of a request. Of the eligible ones two are drawn at random and the less
+ * loaded one is chosen (power of two choices): load reports are late, and the least loaded of all would
+ * attract every node at once.
+ *
+ * Owns: the subset of back ends per service that this node uses. Relies on: the configuration in force
+ * (drain, residency, machines) and this node's `BackendRegistry` (health, load). Ejected back ends are chosen
+ * only when no other one is eligible; with none at all the request is rejected, not queued.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { Random } from '../../../common/random.js';
@@ -11,10 +15,10 @@
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { DecisionInputs } from '../../../state/resource/decision-log.js';
 
-/** What the work asks of a back end. */
+/** Requirements of a request on its back end. */
 export interface RouteQuery {
   readonly service: ResourceOf<'Service'>;
-  /** Back ends that have failed this piece of work already. */
+  /** Names of the back ends at which an earlier attempt of this request failed. */
   readonly excluded: ReadonlySet<string>;
   /** Model that an engine must have loaded. */
   readonly model?: string;
@@ -22,11 +26,11 @@
   readonly minVersion?: number;
   /** Zones allowed, beyond the service's own residency. */
   readonly residency?: readonly string[];
-  /** Take only engines with the newest version among those that may take the work. */
+  /** Choose only among the eligible engines that have the newest version. */
   readonly preferNewest?: boolean;
 }
 
-/** Why a back end may not take a piece of work. */
+/** Why a back end is not eligible; `failing` means ejected. Shown by `explain`. */
 export type Ineligibility =
   | 'excluded'
   | 'draining'
@@ -39,23 +43,32 @@
   | 'at-capacity'
   | 'failing';
 
-/** A chosen back end. `release` must be called once the work has left it. */
+/**
+ * A chosen back end. `release` must be called when the request has ended there; calling it twice is harmless.
+ */
 export interface Route {
   readonly backend: BackendEntry;
   readonly inputs: DecisionInputs;
   readonly release: () => void;
 }
 
-/** No back end could take the work. */
+/** No back end is eligible. `at-capacity`: at least one would be once requests in flight end. */
 export interface NoRoute {
   readonly reason: 'no-backend' | 'at-capacity';
   readonly inputs: DecisionInputs;
 }
 
+/**
+ * Requests in flight at a back end, from this node, when `maxInFlight` is not declared. Chosen, not measured.
+ */
 const DEFAULT_BACKEND_IN_FLIGHT = 64;
+/** Back ends in a decision record, of each sort. Chosen, not measured: bounds the record, not the choice. */
+const MAX_BACKENDS_RECORDED = 16;
 
-/** Reasons that pass by themselves as work ends. */
-const CAPACITY_REASONS: ReadonlySet<Ineligibility> = new Set(['at-capacity']);
+interface Rejection {
+  readonly backend: string;
+  readonly reason: Ineligibility;
+}
 
 /** The router of one node. */
 export class Router {
@@ -64,7 +77,7 @@
     { source: readonly BackendEntry[]; subset: readonly BackendEntry[] }
   >();
 
-  /** `subsetSize`: back ends of a service that this node knows in detail and uses. */
+  /** `subsetSize`: number of back ends of a service that this node polls and uses. */
   constructor(
     private readonly nodeId: string,
     private readonly view: ConfigView,
@@ -75,28 +88,14 @@
 
   /** Chooses a back end and counts the work as in flight there. */
   choose(query: RouteQuery): Result<Route, NoRoute> {
-    const eligible: BackendEntry[] = [];
-    const failing: BackendEntry[] = [];
-    const rejected: { backend: string; reason: Ineligibility }[] = [];
-    for (const backend of this.subset(query.service.metadata.name)) {
-      const reason = this.ineligibility(backend, query);
-      if (reason === undefined) eligible.push(backend);
-      else if (reason === 'failing') failing.push(backend);
-      else rejected.push({ backend: backend.name, reason });
-    }
-    // A back end that failed of late is better than none.
-    const candidates = eligible.length > 0 ? eligible : failing;
-    if (eligible.length > 0)
-      rejected.push(...failing.map((one) => ({ backend: one.name, reason: 'failing' as const })));
+    const { candidates, rejected } = this.classify(query);
     const inputs = describeInputs(candidates, rejected);
-    if (candidates.length === 0) {
-      const onlyCapacity = rejected.some((one) => CAPACITY_REASONS.has(one.reason));
-      return err({ reason: onlyCapacity ? 'at-capacity' : 'no-backend', inputs });
-    }
-    return ok(this.take(this.pick(candidates, query), inputs));
+    if (candidates.length > 0) return ok(this.take(this.pick(candidates, query), inputs));
+    const isAtCapacity = rejected.some((one) => one.reason === 'at-capacity');
+    return err({ reason: isAtCapacity ? 'at-capacity' : 'no-backend', inputs });
   }
 
-  /** The back ends of a service that this node uses. */
+  /** The back ends of a service that this node uses: all, or its first `subsetSize` in rendezvous order. */
   subset(service: string): readonly BackendEntry[] {
     const source = this.registry.ofService(service);
     if (source.length <= this.subsetSize) return source;
@@ -112,25 +111,44 @@
     return subset;
   }
 
-  /** Why a back end may not take the work; `undefined` when it may. */
+  /**
+   * The first reason for which a back end is not eligible, in the order of the checks; `undefined` when it
+   * is.
+   */
   ineligibility(backend: BackendEntry, query: RouteQuery): Ineligibility | undefined {
+    return (
+      this.declaredIneligibility(backend, query) ??
+      modelIneligibility(backend, query) ??
+      loadIneligibility(backend)
+    );
+  }
+
+  /** Ejected back ends are candidates only when there is no other one. */
+  private classify(query: RouteQuery): { candidates: BackendEntry[]; rejected: Rejection[] } {
+    const eligible: BackendEntry[] = [];
+    const ejected: BackendEntry[] = [];
+    const rejected: Rejection[] = [];
+    for (const backend of this.subset(query.service.metadata.name)) {
+      const reason = this.ineligibility(backend, query);
+      if (reason === undefined) eligible.push(backend);
+      else if (reason === 'failing') ejected.push(backend);
+      else rejected.push({ backend: backend.name, reason });
+    }
+    if (eligible.length === 0) return { candidates: ejected, rejected };
+    const ejections = ejected.map((one) => ({ backend: one.name, reason: 'failing' as const }));
+    return { candidates: eligible, rejected: [...rejected, ...ejections] };
+  }
+
+  private declaredIneligibility(backend: BackendEntry, query: RouteQuery): Ineligibility | undefined {
     const { spec } = backend.declaration;
     if (query.excluded.has(backend.name)) return 'excluded';
     if (spec.draining) return 'draining';
-    if (this.machineIsLeaving(spec.machine)) return 'machine-leaving';
-    if (!isAllowedZone(spec.zone, query.service.spec.residency)) return 'residency';
-    if (!isAllowedZone(spec.zone, query.residency)) return 'residency';
-    if (backend.lifecycle.current === 'quarantined') return 'quarantined';
-    const modelReason = query.model === undefined ? undefined : modelIneligibility(backend, query);
-    if (modelReason) return modelReason;
-    if (backend.inFlight >= (spec.maxInFlight ?? DEFAULT_BACKEND_IN_FLIGHT)) return 'at-capacity';
-    return backend.isEjected ? 'failing' : undefined;
-  }
-
-  private machineIsLeaving(machine: string | undefined): boolean {
-    if (machine === undefined) return false;
-    const listed = this.view.get('Machine', machine);
-    return listed !== undefined && listed.spec.state !== 'live';
+    if (isMachineLeaving(this.view, spec.machine)) return 'machine-leaving';
+    const isAllowed = [query.service.spec.residency, query.residency].every((zones) =>
+      isAllowedZone(spec.zone, zones),
+    );
+    if (!isAllowed) return 'residency';
+    return backend.lifecycle.current === 'quarantined' ? 'quarantined' : undefined;
   }
 
   private pick(candidates: readonly BackendEntry[], query: RouteQuery): BackendEntry {
@@ -155,29 +173,39 @@
   }
 }
 
-/** Whether a zone is among those allowed; no list allows every zone. */
+/**
+ * Whether the machine list has a machine in another state than `live`. A machine that is not listed stays.
+ */
+export function isMachineLeaving(view: ConfigView, machine: string | undefined): boolean {
+  const listed = machine === undefined ? undefined : view.get('Machine', machine);
+  return listed !== undefined && listed.spec.state !== 'live';
+}
+
+/** Whether a zone is among those allowed; no list, or an empty one, allows every zone. */
 export function isAllowedZone(zone: string, allowed: readonly string[] | undefined): boolean {
   return allowed === undefined || allowed.length === 0 || allowed.includes(zone);
 }
 
 function modelIneligibility(backend: BackendEntry, query: RouteQuery): Ineligibility | undefined {
+  if (query.model === undefined) return undefined;
   const state = backend.engineState;
-  if (!state || state.model !== query.model) return 'model-not-loaded';
+  if (state?.model !== query.model) return 'model-not-loaded';
   if (state.role === 'draining') return 'engine-draining';
   if (backend.version === undefined) return 'quarantined';
   if (query.minVersion !== undefined && backend.version < query.minVersion) return 'version-too-old';
   return undefined;
 }
 
-const MAX_CANDIDATES_RECORDED = 16;
+function loadIneligibility(backend: BackendEntry): Ineligibility | undefined {
+  const maxInFlight = backend.declaration.spec.maxInFlight ?? DEFAULT_BACKEND_IN_FLIGHT;
+  if (backend.inFlight >= maxInFlight) return 'at-capacity';
+  return backend.isEjected ? 'failing' : undefined;
+}
 
-function describeInputs(
-  candidates: readonly BackendEntry[],
-  rejected: readonly { backend: string; reason: string }[],
-): DecisionInputs {
-  const shown = candidates.slice(0, MAX_CANDIDATES_RECORDED);
+function describeInputs(candidates: readonly BackendEntry[], rejected: readonly Rejection[]): DecisionInputs {
+  const shown = candidates.slice(0, MAX_BACKENDS_RECORDED);
   return {
     candidates: shown.map((one) => ({ backend: one.name, load: one.load, version: one.version })),
-    rejected: rejected.slice(0, MAX_CANDIDATES_RECORDED),
+    rejected: rejected.slice(0, MAX_BACKENDS_RECORDED),
   };
 }
--- a/src/coordination/resource/requests/work-gate.ts
+++ b/src/coordination/resource/requests/work-gate.ts
@@ -1,4 +1,9 @@
-/** Whether this node may take new work at all: it serves, and its configuration is confirmed. */
+/**
+ * Work gate: whether this node may start new work at all. It may while it is not leaving and its
+ * configuration is confirmed as the newest (`FreshnessLease`); a service with `onStaleConfiguration: serve`
+ * does without the latter once the node has served. Checked at admission and again before each dispatch,
+ * since a process pause may lie between.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import type { Lifecycle } from '../../../common/lifecycle.js';
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
@@ -16,6 +21,7 @@
   stopped: {},
 } as const;
 
+/** Retry-After of a closed gate, milliseconds. Chosen, not measured. */
 const RETRY_AFTER_MS = 1_000;
 
 /** The gate of one node. */
@@ -25,7 +31,7 @@
     private readonly freshness: FreshnessLease,
   ) {}
 
-  /** Checked at admission and once more right before a dispatch. */
+  /** Error `leaving` or `configuration-not-fresh`; the request has not run, so a retry elsewhere is safe. */
   check(service?: ResourceOf<'Service'>): Result<void, CoordinationError> {
     if (this.lifecycle.current === 'leaving' || this.lifecycle.current === 'stopped') {
       return err(new CoordinationError('leaving', 'no', 'this node is leaving', RETRY_AFTER_MS));
--- a/src/coordination/resource/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -1,7 +1,7 @@
 /**
- * Weight rollout: the owner of a slice of a model's engines brings them to the target version, a bounded share
- * at a time so that serving capacity stays, and gives the drain orders. Orders carry the lease's epoch as fence:
- * an engine that has heard a later owner refuses an earlier one.
+ * Weight rollout: the owner of a slice of a model's engines brings them to the target version, a bounded
+ * share at a time so that serving capacity stays, and gives the drain orders. Orders carry the lease's epoch
+ * as fence: an engine that has heard a later owner refuses an earlier one.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
@@ -14,7 +14,7 @@
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
 import type { HeldLease } from '../../../state/resource/leases/index.js';
 import type { WorkGate } from '../requests/index.js';
-import { isAllowedZone } from '../requests/index.js';
+import { isAllowedZone, isMachineLeaving } from '../requests/index.js';
 import type { RunnableTask } from '../singleton-tasks/index.js';
 import { targetVersion } from './version-policy.js';
 
@@ -41,11 +41,9 @@
   readonly observer: LifecycleObserver;
 }
 
-/** Whether a back end is to take no new work. */
+/** Whether an engine is to refuse new requests: it is declared as draining, or its machine leaves. */
 export function shouldDrain(view: ConfigView, backend: ResourceOf<'Backend'>): boolean {
-  const { machine, draining } = backend.spec;
-  const listed = machine === undefined ? undefined : view.get('Machine', machine);
-  return draining === true || (listed !== undefined && listed.spec.state !== 'live');
+  return backend.spec.draining === true || isMachineLeaving(view, backend.spec.machine);
 }
 
 /** Whether an engine is to serve a model. */
--- a/src/state/resource/backends/admission-limits.ts
+++ b/src/state/resource/backends/admission-limits.ts
@@ -1,6 +1,12 @@
-/** Limits on the requests that a node has in flight, by service and by caller. */
+/**
+ * Limits on the requests that this node has in flight, by service and by caller. Counts are of this node
+ * alone; a caller that uses several nodes has the limit at each.
+ */
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
 
+/**
+ * Requests in flight when the service declares no limits. Chosen, not measured: a quarter for any one caller.
+ */
 const DEFAULT_MAX_IN_FLIGHT = 1_024;
 const DEFAULT_MAX_IN_FLIGHT_PER_CALLER = 256;
 
@@ -11,7 +17,7 @@
 export class AdmissionLimits {
   private readonly counts = new Map<string, number>();
 
-  /** Admits a request, or names the limit that is reached. An admitted request must be `release`d once. */
+  /** Admits a request, or returns the limit that is reached. An admitted request must be `release`d once. */
   admit(service: ResourceOf<'Service'>, identity: string): LimitReached | undefined {
     const { limits } = service.spec;
     const name = service.metadata.name;
--- a/src/state/resource/backends/backend-registry.ts
+++ b/src/state/resource/backends/backend-registry.ts
@@ -1,6 +1,10 @@
 /**
- * What this node knows of each back end: its declaration, its own report, the machine list's word, and the
- * work that this node has in flight there.
+ * Back ends as this node sees them: declaration, last report, health, requests in flight. Nothing is shared
+ * between nodes; each learns from its own polls and exchanges.
+ *
+ * Health: `unproven` until the first success; `serving`; `failing` after `FAILURES_UNTIL_FAILING` failures in
+ * a row, ejected for `EJECTION_MS` after each failure, until the next success; `quarantined` while its shards
+ * have different versions outside of a load, until a report says that they agree.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
@@ -8,7 +12,7 @@
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from '../configuration/index.js';
 
-/** Lifecycle of a back end, as one node sees it. */
+/** Health of a back end. */
 export type BackendHealth = 'unproven' | 'serving' | 'failing' | 'quarantined';
 type BackendEvent = 'answered' | 'failed' | 'mixedVersions' | 'versionsAgree';
 
@@ -19,12 +23,18 @@
   quarantined: { versionsAgree: 'serving' },
 } as const;
 
-/** Failures in a row until a back end is avoided. */
-const FAILURES_UNTIL_AVOIDED = 2;
-/** Age at which a load report counts for nothing, milliseconds. */
+/**
+ * Failures in a row until a back end is `failing`. Chosen, not measured: one may be an accident of a
+ * connection.
+ */
+const FAILURES_UNTIL_FAILING = 2;
+/**
+ * Age at which a load report has lost its weight, milliseconds (docs/design/delivery.md). Chosen, not
+ * measured.
+ */
 const REPORT_LIFETIME_MS = 5_000;
-/** How long a failing back end is passed over before it is tried again, milliseconds. */
-const AVOIDANCE_MS = 1_000;
+/** Ejection after a failure of a `failing` back end, milliseconds. Chosen, not measured. */
+const EJECTION_MS = 1_000;
 
 /** One back end. */
 export class BackendEntry {
@@ -65,19 +75,22 @@
     return versions.size === 1 ? [...versions][0] : undefined;
   }
 
-  /** Believed load: own work plus the engine's report, which counts less the older it is. */
+  /**
+   * Load in requests: own ones in flight, plus those in the last report by a weight that falls to 0 with its
+   * age.
+   */
   get load(): number {
     if (!this.report) return this.inFlight;
     const weight = Math.max(0, 1 - (monotonicMs() - this.reportedAtMs) / REPORT_LIFETIME_MS);
     return this.inFlight + weight * (this.report.running + this.report.queued);
   }
 
-  /** Whether it failed so recently that others are to be preferred. */
+  /** Whether it is not to be used while another one is eligible. */
   get isEjected(): boolean {
-    return this.lifecycle.current === 'failing' && monotonicMs() - this.failedAtMs < AVOIDANCE_MS;
+    return this.lifecycle.current === 'failing' && monotonicMs() - this.failedAtMs < EJECTION_MS;
   }
 
-  /** Takes in an engine's report. */
+  /** Records an engine's report; a report is a success as well. */
   noteReport(report: EngineState): void {
     this.report = report;
     this.reportedAtMs = monotonicMs();
@@ -99,7 +112,7 @@
   noteFailure(reason: string): void {
     this.failuresInARow += 1;
     this.failedAtMs = monotonicMs();
-    if (this.failuresInARow >= FAILURES_UNTIL_AVOIDED) this.lifecycle.sendIfTaken('failed', reason);
+    if (this.failuresInARow >= FAILURES_UNTIL_FAILING) this.lifecycle.sendIfTaken('failed', reason);
   }
 }
 
@@ -149,7 +162,7 @@
 
   private adopt(declaration: ResourceOf<'Backend'>): void {
     const known = this.entries.get(declaration.metadata.name);
-    // A new address is another process: nothing that was learnt of the old one holds.
+    // A new address is another process: the state of the old one does not apply.
     if (known && known.declaration.spec.address === declaration.spec.address) known.declaration = declaration;
     else this.entries.set(declaration.metadata.name, new BackendEntry(declaration, this.observer));
   }
