--- a/src/coordination/resource/rollouts/event-transcript.ts
+++ b/src/coordination/resource/rollouts/event-transcript.ts
@@ -1,15 +1,15 @@
 /**
- * The events of a generation as bytes. Bytes are passed on in whole events and are parsed only when the text is
- * needed: at the end of a sample, or to resume on another engine after a cut.
+ * The events of a generation as bytes. They are forwarded as whole events and are parsed only when the text
+ * is needed: at the end of a sample, or to resume at another engine after a cut.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { parseEventLine, STREAM_END } from '../../../protocol/resource/engine.js';
+import { type EngineChunk, parseEventLine, STREAM_END } from '../../../protocol/resource/engine.js';
 import type { Segment } from '../../../protocol/resource/trainer.js';
 
 const EVENT_END = Buffer.from('\n\n');
 const END_EVENT = Buffer.from(`data: ${STREAM_END}\n\n`);
 
-/** What a transcript says. */
+/** The parsed events of a transcript. `tokens` counts all parts. */
 export interface GeneratedText {
   readonly text: string;
   readonly tokens: number;
@@ -29,28 +29,23 @@
   private carry: Buffer = Buffer.alloc(0);
   private ended = false;
 
-  /** Whether the end marker has come. */
+  /** Whether the end marker was received. */
   get isComplete(): boolean {
     return this.ended;
   }
 
-  /** Whether nothing has come yet. */
+  /** Whether no event was received. */
   get isEmpty(): boolean {
     return this.parts.every((part) => part.chunks.length === 0);
   }
 
-  /** Engines that took part. */
-  engines(): string[] {
-    return this.parts.map((part) => part.engine);
-  }
-
   /** Begins the part of another engine; an unfinished event of the one before is dropped. */
   beginPart(engine: string): void {
     this.carry = Buffer.alloc(0);
     this.parts.push({ engine, chunks: [] });
   }
 
-  /** Takes received bytes; returns those that make up whole events. */
+  /** Adds received bytes; returns the whole events that they complete. */
   append(bytes: Buffer): Buffer {
     const joined = this.carry.length === 0 ? bytes : Buffer.concat([this.carry, bytes]);
     const at = joined.lastIndexOf(EVENT_END);
@@ -65,18 +60,18 @@
     return whole;
   }
 
-  /** The text and the weight versions of its tokens, as the engines reported them. */
+  /**
+   * The text and the weight versions of its tokens, as the engines reported them. Error: a malformed event.
+   */
   read(): Result<GeneratedText, string> {
     let text = '';
     let tokens = 0;
     let finishReason = '';
     const segments: Segment[] = [];
     for (const part of this.parts) {
-      for (const line of Buffer.concat(part.chunks).toString('utf8').split('\n')) {
-        const event = parseEventLine(line);
-        if (event === undefined || event === 'end') continue;
-        if (event.isErr()) return err(`${part.engine}: ${event.error}`);
-        const chunk = event.value;
+      const chunks = chunksOf(part);
+      if (chunks.isErr()) return err(chunks.error);
+      for (const chunk of chunks.value) {
         appendSegment(segments, part.engine, chunk.weight_version, tokens, chunk.tokens);
         text += chunk.text;
         tokens += chunk.tokens;
@@ -87,6 +82,17 @@
   }
 }
 
+function chunksOf(part: Part): Result<EngineChunk[], string> {
+  const chunks: EngineChunk[] = [];
+  for (const line of Buffer.concat(part.chunks).toString('utf8').split('\n')) {
+    const event = parseEventLine(line);
+    if (event === undefined || event === 'end') continue;
+    if (event.isErr()) return err(`${part.engine}: ${event.error}`);
+    chunks.push(event.value);
+  }
+  return ok(chunks);
+}
+
 function appendSegment(
   segments: Segment[],
   engine: string,
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -1,6 +1,11 @@
 /**
- * One generation: dispatched to an engine, resumed on another one when the stream is cut. Model work is
- * repeatable; what has been generated is kept and its weight versions stay with it.
+ * One generation: dispatched to an engine and, when the stream is cut, resumed at another one after the
+ * tokens received so far, which keep their weight versions. Generations are repeatable, so any failure but a
+ * rejection by the router or the gate is retried elsewhere, with `MAX_DISPATCHES` in all, until the caller
+ * disconnects or the deadline passes.
+ *
+ * Relies on: `Router`, `WorkGate` (checked before each dispatch), engines. The last failure that says most is
+ * returned.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { Metrics } from '../../../common/metrics.js';
@@ -11,11 +16,18 @@
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
 import { toTransportError } from '../../../transport/transport-error.js';
 import { CoordinationError, fromBackend, worseOf } from '../coordination-error.js';
-import type { RouteQuery, Router, WorkGate } from '../requests/index.js';
-import { isPastDeadline, type RequestContext } from '../requests/index.js';
+import {
+  AT_CAPACITY_RETRY_MS,
+  isPastDeadline,
+  type RequestContext,
+  type RouteQuery,
+  type Router,
+  rejection,
+  type WorkGate,
+} from '../requests/index.js';
 import { EventTranscript } from './event-transcript.js';
 
-/** What is to be generated. */
+/** A generation to run. `maxTokens` in tokens; `priority` 0 to 9, 9 is served first. */
 export interface GenerationRequest {
   readonly service: ResourceOf<'Service'>;
   readonly model: string;
@@ -23,23 +35,46 @@
   readonly maxTokens: number;
   readonly seed: number;
   readonly priority: number;
-  /** Tokens in one event at least; more of them cost less to relay, and a cut loses that many at most. */
+  /** Least tokens in an event; larger events cost less to relay, and a cut loses less than one event. */
   readonly eventTokens?: number;
-  /** Oldest version that may take part, asked anew before each dispatch. */
+  /** Oldest weight version allowed; evaluated before each dispatch. */
   readonly minVersion?: () => number;
   readonly residency?: readonly string[];
   readonly preferNewest?: boolean;
-  /** What the decisions can be looked up by, besides the request. */
+  /** Subjects of the decision records besides the request ID. */
   readonly subjects: readonly string[];
 }
 
-/** Takes whole events as they come; false when the receiver has gone. */
+/** Receives whole events; false when the receiver has disconnected. */
 export type EventSink = (events: Buffer) => Promise<boolean>;
 
-/** Dispatches of one generation at most, the first one included. */
+/**
+ * Dispatches of one generation, the first one included. Chosen, not measured: resumes lose little, so more
+ * than for requests.
+ */
 const MAX_DISPATCHES = 6;
-const AT_CAPACITY_RETRY_MS = 500;
-const NO_BACKEND_RETRY_MS = 2_000;
+
+/** A stream opened at an engine; `release` ends its count as in flight. */
+interface Dispatch {
+  readonly stream: EngineStream;
+  readonly backend: BackendEntry;
+  readonly release: () => void;
+}
+
+/** A dispatch, or a later part of its stream, that failed. */
+interface DispatchFailure {
+  readonly failure: CoordinationError;
+  readonly mayRetry: boolean;
+}
+
+/** One generation in progress. */
+interface Run {
+  readonly context: RequestContext;
+  readonly order: GenerationRequest;
+  readonly transcript: EventTranscript;
+  /** Engines at which an attempt failed. */
+  readonly excluded: Set<string>;
+}
 
 type StreamEnd = 'complete' | 'cut' | 'receiver-gone';
 
@@ -53,111 +88,99 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Generates to the end. On an error, what had been passed to `sink` before stands there without an end marker. */
+  /**
+   * Generates to the end. On an error, the events that `sink` received before are a prefix without an end
+   * marker; the error says whether any token was generated.
+   */
   async generate(
     context: RequestContext,
     order: GenerationRequest,
     sink: EventSink,
   ): Promise<Result<EventTranscript, CoordinationError>> {
-    const transcript = new EventTranscript();
-    const excluded = new Set<string>();
+    const run: Run = { context, order, transcript: new EventTranscript(), excluded: new Set() };
     let lastFailure: CoordinationError | undefined;
-    for (let dispatch = 0; dispatch < MAX_DISPATCHES; dispatch += 1) {
-      if (context.signal.aborted) return err(this.givenUp(context, transcript));
-      const opened = await this.dispatch(context, order, transcript, excluded);
-      if (opened.isErr()) {
-        if (!opened.error.mayRetry) return err(worseOf(lastFailure, opened.error.failure));
-        lastFailure = worseOf(lastFailure, opened.error.failure);
-        continue;
-      }
-      const { stream, backend, release } = opened.value;
-      const end = await this.relay(stream, transcript, sink).finally(release);
-      if (end === 'complete') return this.finish(order, backend, transcript);
-      if (end === 'receiver-gone' || context.signal.aborted) return err(this.givenUp(context, transcript));
-      backend.noteFailure('stream cut');
-      excluded.add(backend.name);
-      this.noteResume(context, order, backend, transcript);
-      const cut = new CoordinationError(
-        'backend-failed',
-        'unknown',
-        `${backend.name}: stream cut`,
-        AT_CAPACITY_RETRY_MS,
-      );
-      lastFailure = worseOf(lastFailure, cut);
+    for (let count = 0; count < MAX_DISPATCHES; count += 1) {
+      if (context.signal.aborted) return err(this.abandoned(context, run.transcript));
+      const dispatched = await this.dispatch(run);
+      const attempt = dispatched.isOk()
+        ? await this.follow(run, dispatched.value, sink)
+        : err(dispatched.error);
+      if (attempt.isOk()) return ok(run.transcript);
+      const { failure, mayRetry } = attempt.error;
+      lastFailure = worseOf(lastFailure, failure);
+      if (!mayRetry) return err(lastFailure);
     }
     return err(
       lastFailure ?? new CoordinationError('backend-failed', 'unknown', 'no engine finished the work'),
     );
   }
 
-  private async dispatch(
-    context: RequestContext,
-    order: GenerationRequest,
-    transcript: EventTranscript,
-    excluded: Set<string>,
-  ) {
+  /** Chooses an engine and opens a stream that resumes after the transcript. */
+  private async dispatch(run: Run): Promise<Result<Dispatch, DispatchFailure>> {
+    const { context, order, transcript } = run;
     const open = this.gate.check(order.service);
     if (open.isErr()) return err({ mayRetry: false, failure: open.error });
     const resume = readResume(transcript);
     if (resume.isErr()) return err({ mayRetry: false, failure: resume.error });
     const minVersion = order.minVersion?.();
+    const route = this.choose(run, minVersion);
+    if (route.isErr()) return err({ mayRetry: false, failure: route.error });
+    const { backend, release } = route.value;
+    const request = engineRequest(context, order, resume.value, minVersion);
+    const started = await this.engines.generate(backend.declaration.spec.address, request, context.signal);
+    if (started.isErr()) {
+      release();
+      return err(this.noteFailedDispatch(run, backend, started.error));
+    }
+    transcript.beginPart(backend.name);
+    return ok({ stream: started.value, backend, release });
+  }
+
+  private choose({ context, order, excluded }: Run, minVersion: number | undefined) {
     const route = this.router.choose({ ...routeQuery(order, excluded), minVersion });
+    const subjects = subjectsOf(context, order);
     if (route.isErr()) {
       const { reason, inputs } = route.error;
-      const isFull = reason === 'at-capacity';
-      const wait = isFull ? AT_CAPACITY_RETRY_MS : NO_BACKEND_RETRY_MS;
-      const failure = new CoordinationError(
-        isFull ? 'overloaded' : 'no-backend',
-        'no',
-        describeRejected(inputs),
-        wait,
-      );
-      this.decisions.record({
-        kind: 'refuse',
-        subjects: subjectsOf(context, order),
-        choice: 'none',
-        reason,
-        inputs,
-      });
-      return err({ mayRetry: false, failure });
+      this.decisions.record({ kind: 'refuse', subjects, choice: 'none', reason, inputs });
+      return err(rejection(reason, describeRejected(inputs)));
     }
-    const { backend, release, inputs } = route.value;
+    const { backend, inputs } = route.value;
     this.decisions.record({
       kind: 'route',
-      subjects: subjectsOf(context, order),
+      subjects,
       choice: backend.name,
       reason: 'two-random-choices',
       inputs,
     });
-    const request: EngineRequest = {
-      request_id: context.requestId,
-      model: order.model,
-      prompt: order.prompt,
-      max_tokens: order.maxTokens,
-      priority: order.priority,
-      seed: order.seed,
-      ...(order.eventTokens !== undefined ? { event_tokens: order.eventTokens } : {}),
-      ...(resume.value ? { resume: resume.value } : {}),
-      ...(minVersion !== undefined ? { min_version: minVersion } : {}),
-    };
-    const started = await this.engines.generate(backend.declaration.spec.address, request, context.signal);
-    if (started.isErr()) {
-      release();
-      return err(this.noteRefusedDispatch(context, order, backend, started.error, excluded));
+    return ok(route.value);
+  }
+
+  /** Relays the events of a dispatch until its stream ends. */
+  private async follow(
+    run: Run,
+    { stream, backend, release }: Dispatch,
+    sink: EventSink,
+  ): Promise<Result<void, DispatchFailure>> {
+    const { context, order, transcript } = run;
+    const end = await this.relay(stream, transcript, sink).finally(release);
+    if (end === 'complete') {
+      backend.noteSuccess();
+      this.metrics.attempts.inc({ service: order.service.metadata.name, outcome: 'complete' });
+      return ok(undefined);
     }
-    transcript.beginPart(backend.name);
-    return ok({ stream: started.value, backend, release });
+    if (end === 'receiver-gone' || context.signal.aborted) {
+      return err({ mayRetry: false, failure: this.abandoned(context, transcript) });
+    }
+    this.noteCut(run, backend);
+    const message = `${backend.name}: stream cut`;
+    const failure = new CoordinationError('backend-failed', 'unknown', message, AT_CAPACITY_RETRY_MS);
+    return err({ mayRetry: true, failure });
   }
 
-  private noteRefusedDispatch(
-    context: RequestContext,
-    order: GenerationRequest,
-    backend: BackendEntry,
-    error: ProtocolError,
-    excluded: Set<string>,
-  ) {
+  private noteFailedDispatch(run: Run, backend: BackendEntry, error: ProtocolError): DispatchFailure {
+    const { context, order, excluded } = run;
     this.metrics.attempts.inc({ service: order.service.metadata.name, outcome: error.failure });
-    if (context.signal.aborted) return { mayRetry: false, failure: this.givenUp(context) };
+    if (context.signal.aborted) return { mayRetry: false, failure: this.abandoned(context) };
     if (error.failure !== 'refused') backend.noteFailure(error.message);
     excluded.add(backend.name);
     this.decisions.record({
@@ -190,18 +213,9 @@
     return transcript.isComplete ? 'complete' : 'cut';
   }
 
-  private finish(order: GenerationRequest, backend: BackendEntry, transcript: EventTranscript) {
-    backend.noteSuccess();
-    this.metrics.attempts.inc({ service: order.service.metadata.name, outcome: 'complete' });
-    return ok(transcript);
-  }
-
-  private noteResume(
-    context: RequestContext,
-    order: GenerationRequest,
-    backend: BackendEntry,
-    transcript: EventTranscript,
-  ): void {
+  private noteCut({ context, order, transcript, excluded }: Run, backend: BackendEntry): void {
+    backend.noteFailure('stream cut');
+    excluded.add(backend.name);
     this.metrics.attempts.inc({ service: order.service.metadata.name, outcome: 'cut' });
     if (!transcript.isEmpty) this.metrics.resumes.inc();
     this.decisions.record({
@@ -213,7 +227,8 @@
     });
   }
 
-  private givenUp(context: RequestContext, transcript?: EventTranscript): CoordinationError {
+  /** The error when the caller disconnected or the deadline passed. */
+  private abandoned(context: RequestContext, transcript?: EventTranscript): CoordinationError {
     const executed = transcript && !transcript.isEmpty ? 'yes' : 'unknown';
     if (isPastDeadline(context))
       return new CoordinationError('deadline-passed', executed, 'the deadline has passed');
@@ -237,7 +252,26 @@
     : `no back end may take the work (${reasons.join(', ')})`;
 }
 
-/** What an engine needs to go on from where the stream was cut. */
+function engineRequest(
+  context: RequestContext,
+  order: GenerationRequest,
+  resume: EngineRequest['resume'],
+  minVersion: number | undefined,
+): EngineRequest {
+  return {
+    request_id: context.requestId,
+    model: order.model,
+    prompt: order.prompt,
+    max_tokens: order.maxTokens,
+    priority: order.priority,
+    seed: order.seed,
+    ...(order.eventTokens !== undefined ? { event_tokens: order.eventTokens } : {}),
+    ...(resume ? { resume } : {}),
+    ...(minVersion !== undefined ? { min_version: minVersion } : {}),
+  };
+}
+
+/** The text from which another engine resumes; `undefined` at the start. */
 function readResume(transcript: EventTranscript) {
   if (transcript.isEmpty) return ok(undefined);
   return transcript
--- a/src/coordination/resource/rollouts/sample-committer.ts
+++ b/src/coordination/resource/rollouts/sample-committer.ts
@@ -1,9 +1,13 @@
-/** Commits finished samples in batches, so that the platform sees few calls however many samples there are. */
+/**
+ * Batches the commits of a shard's samples, so that the number of store calls does not grow with that of the
+ * samples. A batch is retried until the store answers or the lease is lost; finished samples are kept in
+ * memory meanwhile.
+ */
 import { sleep } from '../../../common/clock.js';
 import type { HeldLease } from '../../../state/resource/leases/index.js';
-import type { CommitVerdict, FinishedSample, RolloutLedger } from '../../../state/resource/samples/index.js';
+import type { CommitVerdict, FinishedSample, SampleCommits } from '../../../state/resource/samples/index.js';
 
-/** What became of a sample that was handed in. */
+/** Outcome of a sample's commit; `lease-lost` means that another node owns the shard. */
 export type CommitOutcome = CommitVerdict | 'lease-lost';
 
 interface Entry {
@@ -11,9 +15,13 @@
   readonly settle: (outcome: CommitOutcome) => void;
 }
 
+/**
+ * Time in which further samples join a batch, milliseconds. Chosen, not measured: short beside a generation.
+ */
 const GATHER_MS = 20;
-/** The store takes 100 entries in a transaction; a sample needs up to four. */
+/** Samples in a batch: the store takes 100 entries in a transaction, and a sample needs up to four. */
 const MAX_BATCH = 24;
+/** Delay after a failed commit, milliseconds, doubled up to the maximum. Chosen, not measured. */
 const FIRST_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 2_000;
 
@@ -23,13 +31,13 @@
   private working = false;
 
   constructor(
-    private readonly ledger: RolloutLedger,
+    private readonly commits: SampleCommits,
     private readonly trainer: string,
     private readonly lease: HeldLease,
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Hands a sample in; resolves when it has won its slot or lost it. */
+  /** Queues a sample; resolves when it has won or lost its slot, or the lease is lost. */
   commit(finished: FinishedSample): Promise<CommitOutcome> {
     return new Promise((settle) => {
       this.queue.push({ finished, settle });
@@ -47,22 +55,25 @@
     this.working = false;
   }
 
-  /** Tries until the platform answers or the lease is lost; finished samples are kept meanwhile. */
   private async commitBatch(batch: readonly Entry[]): Promise<void> {
     let delayMs = FIRST_RETRY_DELAY_MS;
     for (;;) {
-      const finished = batch.map((entry) => entry.finished);
-      const verdicts = await this.ledger.commit(this.trainer, this.lease, finished);
-      if (verdicts.isOk()) {
-        for (const [index, entry] of batch.entries()) entry.settle(verdicts.value[index] ?? 'lost');
-        return;
-      }
-      if (verdicts.error.failure === 'lease-lost' || this.signal.aborted) {
-        for (const entry of batch) entry.settle('lease-lost');
+      const outcomes = await this.tryCommit(batch);
+      if (outcomes) {
+        for (const [index, entry] of batch.entries()) entry.settle(outcomes[index] ?? 'lost');
         return;
       }
       await sleep(delayMs, this.signal);
       delayMs = Math.min(2 * delayMs, MAX_RETRY_DELAY_MS);
     }
   }
+
+  /** The outcomes of a batch; `undefined` when it has to be tried again. */
+  private async tryCommit(batch: readonly Entry[]): Promise<readonly CommitOutcome[] | undefined> {
+    const finished = batch.map((entry) => entry.finished);
+    const verdicts = await this.commits.commit(this.trainer, this.lease, finished);
+    if (verdicts.isOk()) return verdicts.value;
+    const isLost = verdicts.error.failure === 'lease-lost' || this.signal.aborted;
+    return isLost ? batch.map(() => 'lease-lost') : undefined;
+  }
 }
--- a/src/node/resource/coordination-parts.ts
+++ b/src/node/resource/coordination-parts.ts
@@ -1,4 +1,4 @@
-/** The coordination layer of a node, put together. */
+/** Builds the coordination layer of a node on its state layer. */
 import { uniqueId } from '../../common/identifier.js';
 import type { Lifecycle, LifecycleObserver } from '../../common/lifecycle.js';
 import { Random } from '../../common/random.js';
@@ -22,6 +22,10 @@
 import { listSingletonTasks } from './singleton-task-list.js';
 import type { StateParts } from './state-parts.js';
 
+/**
+ * Back ends of a service that a node polls and uses, when not set. Chosen; its cost stands in
+ * docs/CAPACITY.md.
+ */
 const DEFAULT_SUBSET_SIZE = 64;
 const SEED_MODULUS = 0x7fffffff;
 
@@ -39,7 +43,7 @@
   readonly singletonTasks: SingletonTasks;
 }
 
-/** What the layer is built on. */
+/** Dependencies of the coordination layer. */
 export interface CoordinationBase {
   readonly settings: Settings;
   readonly timing: Timing;
@@ -72,7 +76,15 @@
   const generator = new Generator(router, engines, gate, decisions, observer.metrics);
   const taskParts = {
     view,
-    rollouts: { nodeId: settings.node.id, view, ledger: state.rollouts, generator, decisions, observer },
+    rollouts: {
+      nodeId: settings.node.id,
+      view,
+      ledger: state.rollouts,
+      commits: state.commits,
+      generator,
+      decisions,
+      observer,
+    },
     weights: { view, registry, engines, gate, decisions, observer },
     machineWatch: buildMachineWatch(base),
   };
--- a/src/node/resource/state-parts.ts
+++ b/src/node/resource/state-parts.ts
@@ -1,4 +1,7 @@
-/** The state layer of a node, put together. */
+/**
+ * Builds the state layer of a node: all parts share one table and one object client, limited in calls a
+ * second.
+ */
 import { uniqueId } from '../../common/identifier.js';
 import type { LifecycleObserver } from '../../common/lifecycle.js';
 import type { RecordStore } from '../../protocol/record-store.js';
@@ -11,10 +14,14 @@
 } from '../../state/resource/configuration/index.js';
 import { DecisionLog } from '../../state/resource/decision-log.js';
 import { LeaseStore } from '../../state/resource/leases/index.js';
-import { BatchLedger, ClaimStore, RolloutLedger } from '../../state/resource/samples/index.js';
+import { BatchLedger, ClaimStore, RolloutLedger, SampleCommits } from '../../state/resource/samples/index.js';
 import { RowTable, StoredObjects } from '../../state/resource/tables/index.js';
 import { peerGrant, type Settings, type Timing } from './settings.js';
 
+/**
+ * Calls a second to the store when the settings name none, for the table and the objects each. Chosen, not
+ * measured.
+ */
 const DEFAULT_CALLS_PER_SECOND = 200;
 
 /** State of a node. */
@@ -27,6 +34,7 @@
   readonly registry: BackendRegistry;
   readonly leases: LeaseStore;
   readonly rollouts: RolloutLedger;
+  readonly commits: SampleCommits;
   readonly batches: BatchLedger;
   readonly claims: ClaimStore;
   readonly decisions: DecisionLog;
@@ -57,6 +65,7 @@
     registry: new BackendRegistry(view, observer),
     leases: new LeaseStore(table, node.id, uniqueId(), timing.leaseMs),
     rollouts: new RolloutLedger(table, objects),
+    commits: new SampleCommits(table, objects),
     batches: new BatchLedger(table, objects),
     claims: new ClaimStore(table, objects),
     decisions: new DecisionLog(node.id, objects, () => view.revision),
--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -1,15 +1,19 @@
 /**
- * Delivery side of the sample ledger. A cursor stands for one batch; drawing it again, through whichever
- * node, returns the same batch, and drawing the next cursor acknowledges it. Samples are checked against the
- * staleness bound in the transaction that hands them out, which is conditional on the rows that hold the newest
- * published versions. When samples of a batch have become too old before a redelivery, the whole attempt is
- * void: they are generated again, and the cursor gets a new attempt without them.
+ * Delivery side of the sample ledger. A cursor identifies one batch: drawing it again, through any node,
+ * returns the same batch, and drawing the next cursor acknowledges it. The staleness bound is checked in the
+ * transaction that delivers, which is conditional on the rows with the newest published versions. When
+ * samples of a batch became too old before a redelivery, the whole attempt is void: they are generated again,
+ * and the cursor gets a new attempt without them.
+ *
+ * Owns no state; relies on the table (rows of `ledger-rows.ts`) and on the objects with the samples' content.
+ * A draw whose outcome stays unknown for `MAX_ROUNDS` rounds fails as `unavailable`; repeating it with the
+ * same cursor is safe.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { Batch, DrawRequest, Sample } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
 import { publishedKey, publishedVersion } from '../configuration/index.js';
-import type { Objects, Row, Table } from '../tables/index.js';
+import { type Objects, type Row, settle, type Table } from '../tables/index.js';
 import {
   type Candidate,
   cursorClash,
@@ -17,30 +21,43 @@
   type DrawState,
   type DrawTerms,
   drawTransaction,
+  isFresh,
   NO_CURSOR,
   nextCursorRow,
   type Selection,
+  selectSamples,
 } from './draw-rules.js';
 import {
   type CursorRow,
   type DeliveredRow,
-  isWithinBound,
   ledgerKeys,
   type ReadySample,
   type RolloutRow,
   type SlotRow,
 } from './ledger-rows.js';
 
-/** A draw: the batch and what was discarded on the way. */
+/** A drawn batch, and the samples that were discarded before it was found. */
 export interface DrawOutcome {
   readonly batch: Batch;
   readonly references: readonly ReadySample[];
   readonly discarded: readonly DiscardedSample[];
 }
 
-const MAX_TRIES = 12;
-/** The store takes 100 entries in a transaction; a sample that is handed out needs three. */
+/**
+ * Rounds of a draw or an acknowledgement. Chosen, not measured: a round is lost to each concurrent writer.
+ */
+const MAX_ROUNDS = 12;
+/**
+ * Samples in a batch. The store takes 100 entries in a transaction and a delivered sample needs three; the
+ * rest is for the cursor, the published versions and the rollouts.
+ */
 const MAX_SAMPLES_DRAWN = 28;
+/**
+ * Ready rows read for each wanted sample, so that a round that discards some can still fill the batch.
+ * Chosen.
+ */
+const READY_ROWS_PER_SAMPLE = 2;
+
 /** Draws, redeliveries and acknowledgements. */
 export class BatchLedger {
   constructor(
@@ -51,54 +68,67 @@
   /** Draws a batch. With nothing ready the batch is empty and the cursor stays free. */
   async draw(terms: DrawTerms, request: DrawRequest): Promise<Result<DrawOutcome, StateError>> {
     const discarded: DiscardedSample[] = [];
-    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
-      const state = await this.readState(terms, request);
-      if (state.isErr()) return err(state.error);
-      const clash = cursorClash(state.value.cursorRow, request);
-      if (clash) return err(clash);
-      const step = await this.drawOnce(terms, request, state.value);
-      if (step.isErr()) {
-        if (step.error.effect === 'none') return err(step.error);
-        continue; // The answer was lost: the next round sees what became of it.
-      }
-      if (step.value === undefined) continue; // Another writer was first.
-      discarded.push(...step.value.discarded);
-      const batch = await this.assemble(terms, request, step.value.row);
-      if (batch.isErr()) return err(batch.error);
-      if (batch.value) return ok({ batch: batch.value, references: step.value.row.samples, discarded });
-    }
-    return err(new StateError('unavailable', 'unknown', 'the draw could not be settled', 1_000));
+    return settle(MAX_ROUNDS, 'the draw could not be settled', () =>
+      this.drawRound(terms, request, discarded),
+    );
+  }
+
+  /** One round; appends what it discards to `discarded`. */
+  private async drawRound(
+    terms: DrawTerms,
+    request: DrawRequest,
+    discarded: DiscardedSample[],
+  ): Promise<Result<DrawOutcome, StateError> | undefined> {
+    const state = await this.readState(terms, request);
+    if (state.isErr()) return err(state.error);
+    const clash = cursorClash(state.value.cursorRow, request);
+    if (clash) return err(clash);
+    const step = await this.drawOnce(terms, request, state.value);
+    if (step.isErr()) return step.error.effect === 'none' ? err(step.error) : undefined;
+    if (step.value === undefined) return undefined;
+    discarded.push(...step.value.discarded);
+    const { row } = step.value;
+    const batch = await this.assemble(terms, request, row);
+    if (batch.isErr()) return err(batch.error);
+    return batch.value && ok({ batch: batch.value, references: row.samples, discarded });
   }
 
-  /** Acknowledges a batch. Repeating it is harmless. */
+  /**
+   * Acknowledges a batch. Repeating it is harmless. Error `conflict`: it is not the batch that was delivered
+   * last.
+   */
   async acknowledge(
     trainer: string,
     cursor: number,
     attempt: number,
     digest: string,
   ): Promise<Result<void, StateError>> {
-    const key = ledgerKeys.cursor(trainer);
-    for (let round = 0; round < MAX_TRIES; round += 1) {
-      const rows = await this.table.read([key]);
-      if (rows.isErr()) return err(rows.error);
-      const stored = rows.value[0];
-      const row = (stored?.value as CursorRow | undefined) ?? NO_CURSOR;
-      if (row.cursor > cursor) return ok(undefined);
-      if (row.cursor !== cursor || row.attempt !== attempt || row.digest !== digest || !stored) {
-        const message = `cursor ${cursor} attempt ${attempt} is not the batch that was handed out`;
-        return err(
-          new StateError('conflict', 'none', message, undefined, { expected: cursor, current: row.cursor }),
-        );
-      }
-      if (row.acknowledged) return ok(undefined);
-      const value: CursorRow = { ...row, acknowledged: true };
-      const written = await this.table.transact({
-        conditions: [{ key, version: stored.version }],
-        writes: [{ key, value }],
-      });
-      if (written.isOk() && written.value.committed) return ok(undefined);
+    return settle(MAX_ROUNDS, 'the acknowledgement could not be settled', () =>
+      this.acknowledgeOnce(ledgerKeys.cursor(trainer), { cursor, attempt, digest }),
+    );
+  }
+
+  private async acknowledgeOnce(
+    key: string,
+    batch: Pick<CursorRow, 'cursor' | 'attempt' | 'digest'>,
+  ): Promise<Result<void, StateError> | undefined> {
+    const rows = await this.table.read([key]);
+    if (rows.isErr()) return err(rows.error);
+    const stored = rows.value[0];
+    const row = (stored?.value as CursorRow | undefined) ?? NO_CURSOR;
+    if (row.cursor > batch.cursor) return ok(undefined);
+    if (!stored || !isSameBatch(row, batch)) {
+      const message = `cursor ${batch.cursor} attempt ${batch.attempt} is not the batch that was handed out`;
+      const versions = { expected: batch.cursor, current: row.cursor };
+      return err(new StateError('conflict', 'none', message, undefined, versions));
     }
-    return err(new StateError('unavailable', 'unknown', 'the acknowledgement could not be settled', 1_000));
+    if (row.acknowledged) return ok(undefined);
+    const value: CursorRow = { ...row, acknowledged: true };
+    const written = await this.table.transact({
+      conditions: [{ key, version: stored.version }],
+      writes: [{ key, value }],
+    });
+    return written.isOk() && written.value.committed ? ok(undefined) : undefined;
   }
 
   /** The slot row and delivery of a sample, for `explain`. */
@@ -139,12 +169,12 @@
     });
   }
 
-  /** One try. `undefined` means that a condition failed. */
+  /** The write of a round; `undefined` when a condition failed. */
   private async drawOnce(terms: DrawTerms, request: DrawRequest, state: DrawState) {
     const row = state.cursorRow ?? NO_CURSOR;
     const redelivered = row.cursor === request.cursor ? row.samples : [];
-    const fresh = redelivered.every((sample) => this.isFresh(terms, state, sample));
-    if (redelivered.length > 0 && fresh) return this.redeliver(terms, request, state, row);
+    const areFresh = redelivered.every((sample) => isFresh(terms, state, sample));
+    if (redelivered.length > 0 && areFresh) return this.redeliver(terms, request, state, row);
     const selection = await this.select(terms, request, state, redelivered);
     if (selection.isErr()) return err(selection.error);
     const { chosen, discarded } = selection.value;
@@ -156,7 +186,7 @@
     return ok(written.value.committed ? { row: next, discarded } : undefined);
   }
 
-  /** Hands a batch out again, and notes for which request. */
+  /** Delivers a batch again and stores the sequence of the request, which rejects earlier ones. */
   private async redeliver(terms: DrawTerms, request: DrawRequest, state: DrawState, row: CursorRow) {
     if (row.sequence === request.sequence) return ok({ row, discarded: [] });
     const key = ledgerKeys.cursor(terms.trainer);
@@ -169,12 +199,7 @@
     return ok(written.value.committed ? { row: next, discarded: [] } : undefined);
   }
 
-  private isFresh(terms: DrawTerms, state: DrawState, sample: ReadySample): boolean {
-    const newest = state.newest.get(sample.model) ?? 0;
-    return isWithinBound(sample.oldestVersion, newest, terms.stalenessBound);
-  }
-
-  /** Chooses samples for a batch: those of the attempt that is void and still fresh, then ready ones. */
+  /** Chooses samples for a batch: first those of the void attempt that are still fresh, then ready ones. */
   private async select(
     terms: DrawTerms,
     request: DrawRequest,
@@ -182,7 +207,10 @@
     redelivered: readonly ReadySample[],
   ): Promise<Result<Selection, StateError>> {
     const wanted = Math.min(request.maxSamples ?? terms.batchSize, terms.batchSize, MAX_SAMPLES_DRAWN);
-    const ready = await this.table.scan(ledgerKeys.readyOfTrainer(terms.trainer), 2 * wanted);
+    const ready = await this.table.scan(
+      ledgerKeys.readyOfTrainer(terms.trainer),
+      READY_ROWS_PER_SAMPLE * wanted,
+    );
     if (ready.isErr()) return err(ready.error);
     const candidates: Candidate[] = [
       ...redelivered.map((sample) => ({ sample })),
@@ -190,37 +218,25 @@
     ];
     const rollouts = await this.readRollouts(terms.trainer, candidates);
     if (rollouts.isErr()) return err(rollouts.error);
-    const chosen: Candidate[] = [];
-    const discarded: (DiscardedSample & { row?: Row })[] = [];
-    for (const candidate of candidates) {
-      const newest = state.newest.get(candidate.sample.model) ?? 0;
-      const { sample, row } = candidate;
-      if (rollouts.value.get(sample.rolloutId)?.state !== 'open') {
-        discarded.push({ sample, row, newest, reason: 'rollout-cancelled' });
-      } else if (!this.isFresh(terms, state, sample)) {
-        discarded.push({ sample, row, newest, reason: 'too-old' });
-      } else if (chosen.length < wanted) chosen.push(candidate);
-    }
-    return ok({ chosen, discarded, rolloutConditions: rollouts.value.conditions });
+    const { open, conditions } = rollouts.value;
+    const selected = selectSamples(terms, state, candidates, (id) => open.has(id), wanted);
+    return ok({ ...selected, rolloutConditions: conditions });
   }
 
   private async readRollouts(trainer: string, candidates: readonly Candidate[]) {
     const ids = [...new Set(candidates.map((one) => one.sample.rolloutId))];
     const rows = await this.table.read(ids.map((id) => ledgerKeys.rollout(trainer, id)));
     return rows.map((found) => {
-      const byKey = new Map(found.map((row) => [row.key, row]));
-      const states = new Map<string, RolloutRow | undefined>();
-      for (const id of ids) {
-        states.set(id, byKey.get(ledgerKeys.rollout(trainer, id))?.value as RolloutRow | undefined);
-      }
+      const isOpen = (row: Row) => (row.value as RolloutRow | undefined)?.state === 'open';
+      const openKeys = new Set(found.filter(isOpen).map((row) => row.key));
       return {
-        get: (id: string) => states.get(id),
+        open: new Set(ids.filter((id) => openKeys.has(ledgerKeys.rollout(trainer, id)))),
         conditions: found.map((row) => ({ key: row.key, version: row.version })),
       };
     });
   }
 
-  /** Reads the payloads; `undefined` when samples became too old meanwhile. */
+  /** Reads the content of the samples; `undefined` when some became too old meanwhile. */
   private async assemble(
     terms: DrawTerms,
     request: DrawRequest,
@@ -230,7 +246,7 @@
     if (samples.isErr()) return err(samples.error);
     const state = await this.readState(terms, request);
     if (state.isErr()) return err(state.error);
-    if (!row.samples.every((sample) => this.isFresh(terms, state.value, sample))) return ok(undefined);
+    if (!row.samples.every((sample) => isFresh(terms, state.value, sample))) return ok(undefined);
     return ok({
       cursor: row.cursor,
       attempt: row.attempt,
@@ -253,3 +269,7 @@
     return ok(references.flatMap((one) => contents.get(one.object)?.[one.position] ?? []));
   }
 }
+
+function isSameBatch(row: CursorRow, batch: Pick<CursorRow, 'cursor' | 'attempt' | 'digest'>): boolean {
+  return row.cursor === batch.cursor && row.attempt === batch.attempt && row.digest === batch.digest;
+}
--- a/src/state/resource/samples/claim-store.ts
+++ b/src/state/resource/samples/claim-store.ts
@@ -1,6 +1,8 @@
 /**
- * Claims of keyed requests to services that are not repeatable. A claim is committed before the request is
- * dispatched, so that a repeat, through whichever node, finds it and does not run the request again.
+ * Claims of requests with an Idempotency-Key to services that are not repeatable. A claim is committed before
+ * the request is dispatched, so that a repeat, through any node, finds it and does not run the request again.
+ * When the store cannot settle the claim, the request is rejected without having run; when it cannot record
+ * the response, a repeat gets `dispatched` or `unknown`, never a second run.
  *
  * Rows: `claim/{service}/{hash of identity and key}` ClaimRow; bodies of answers in `claims/{claimId}`.
  */
@@ -8,9 +10,9 @@
 import { sleep } from '../../../common/clock.js';
 import { sha256Hex, uniqueId } from '../../../common/identifier.js';
 import { StateError } from '../../state-error.js';
-import type { Objects, Table } from '../tables/index.js';
+import { type Objects, settle, type Table } from '../tables/index.js';
 
-/** The recorded answer. */
+/** The recorded response. */
 export interface RecordedAnswer {
   readonly status: number;
   readonly headers: Record<string, string>;
@@ -30,7 +32,7 @@
   readonly bodyObject?: string;
 }
 
-/** Who claims what. */
+/** A request to claim: the key is the caller's own, so it counts per service and identity. */
 export interface ClaimRequest {
   readonly service: string;
   readonly identity: string;
@@ -46,14 +48,21 @@
   readonly version: number;
 }
 
-/** What a claim came to. */
+/**
+ * `held`: dispatch it. The others are states of an earlier request with the same key, which must not run
+ * again.
+ */
 export type ClaimOutcome =
   | { readonly kind: 'held'; readonly claim: HeldClaim }
   | { readonly kind: 'answered'; readonly requestId: string; readonly answer: RecordedAnswer }
   | { readonly kind: 'dispatched'; readonly requestId: string }
   | { readonly kind: 'unknown'; readonly requestId: string };
 
-const SETTLE_TRIES = 20;
+/** Rounds in which a claim, or its end, is written. Chosen, not measured. */
+const MAX_SETTLE_ROUNDS = 20;
+/**
+ * Delay before the end of a claim is written again, milliseconds. Chosen, not measured: with 20 rounds, 5 s.
+ */
 const SETTLE_DELAY_MS = 250;
 
 function claimKey(request: ClaimRequest): string {
@@ -67,7 +76,10 @@
     private readonly objects: Objects,
   ) {}
 
-  /** Claims a request, or tells what became of an earlier one with the same key. */
+  /**
+   * Claims a request, or returns the state of an earlier one. Error `invalid`: the key was used for another
+   * request.
+   */
   async claim(request: ClaimRequest): Promise<Result<ClaimOutcome, StateError>> {
     const key = claimKey(request);
     const row: ClaimRow = {
@@ -76,25 +88,32 @@
       fingerprint: request.fingerprint,
       state: 'dispatched',
     };
-    for (let attempt = 0; attempt < SETTLE_TRIES; attempt += 1) {
-      const rows = await this.table.read([key]);
-      if (rows.isErr()) return err(rows.error);
-      const stored = rows.value[0];
-      const known = stored?.value as ClaimRow | undefined;
-      if (stored && known && known.claimId === row.claimId) return held(key, row, stored.version);
-      if (known && known.state !== 'released') return this.earlier(known, request);
-      const version = stored?.version ?? 0;
-      const written = await this.table.transact({
-        conditions: [{ key, version }],
-        writes: [{ key, value: row }],
-      });
-      if (written.isOk() && written.value.committed) return held(key, row, version + 1);
-      if (written.isErr() && written.error.effect === 'none') return err(written.error);
-    }
-    return err(new StateError('unavailable', 'unknown', 'the claim could not be settled', 1_000));
+    return settle(MAX_SETTLE_ROUNDS, 'the claim could not be settled', () =>
+      this.claimOnce(key, row, request),
+    );
+  }
+
+  private async claimOnce(
+    key: string,
+    row: ClaimRow,
+    request: ClaimRequest,
+  ): Promise<Result<ClaimOutcome, StateError> | undefined> {
+    const rows = await this.table.read([key]);
+    if (rows.isErr()) return err(rows.error);
+    const stored = rows.value[0];
+    const known = stored?.value as ClaimRow | undefined;
+    if (stored && known?.claimId === row.claimId) return held(key, row, stored.version);
+    if (known && known.state !== 'released') return this.earlier(known, request);
+    const version = stored?.version ?? 0;
+    const written = await this.table.transact({
+      conditions: [{ key, version }],
+      writes: [{ key, value: row }],
+    });
+    if (written.isErr()) return written.error.effect === 'none' ? err(written.error) : undefined;
+    return written.value.committed ? held(key, row, version + 1) : undefined;
   }
 
-  /** Records the answer. Best effort: without it a repeat is told that the outcome is unknown. */
+  /** Records the response. Best effort: without it a repeat gets `unknown` or `dispatched`. */
   async recordAnswer(claim: HeldClaim, answer: RecordedAnswer): Promise<void> {
     const bodyObject = `claims/${claim.row.claimId}`;
     const stored = await this.objects.put(bodyObject, answer.body);
@@ -108,13 +127,13 @@
     return this.settle(claim, { ...claim.row, state: 'unknown' });
   }
 
-  /** Gives the claim back: the request certainly did not run, and a repeat may. */
+  /** Releases the claim: the request certainly did not run, so a repeat may. */
   release(claim: HeldClaim): Promise<void> {
     return this.settle(claim, { ...claim.row, state: 'released' });
   }
 
   private async settle(claim: HeldClaim, row: ClaimRow): Promise<void> {
-    for (let attempt = 0; attempt < SETTLE_TRIES; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_SETTLE_ROUNDS; attempt += 1) {
       const written = await this.table.transact({
         conditions: [{ key: claim.key, version: claim.version }],
         writes: [{ key: claim.key, value: row }],
--- a/src/state/resource/samples/draw-rules.ts
+++ b/src/state/resource/samples/draw-rules.ts
@@ -1,4 +1,7 @@
-/** The rules of a draw: which cursor may be drawn, and the transaction that hands samples out or discards them. */
+/**
+ * Rules of a draw, pure: which cursor may be drawn, which samples are chosen or discarded, and the
+ * transaction that delivers them. `batch-ledger.ts` reads the inputs and commits the result.
+ */
 import { sha256Hex } from '../../../common/identifier.js';
 import type { DrawRequest } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
@@ -7,13 +10,14 @@
   type CursorRow,
   type DeliveredRow,
   EXPIRED_LIMIT,
+  isWithinBound,
   ledgerKeys,
   type ReadySample,
   type RegenerateRow,
   type SlotRow,
 } from './ledger-rows.js';
 
-/** Who draws, and under which bound. */
+/** Who draws, and under which limits. `stalenessBound` is in versions, `batchSize` in samples. */
 export interface DrawTerms {
   readonly trainer: string;
   readonly models: readonly string[];
@@ -28,7 +32,7 @@
   readonly newest: number;
 }
 
-/** What a draw is decided on. */
+/** Stored inputs of a draw. */
 export interface DrawState {
   readonly cursorRow: CursorRow | undefined;
   readonly cursorVersion: number;
@@ -38,21 +42,21 @@
   readonly publishedConditions: Transaction['conditions'];
 }
 
-/** A sample that may be handed out. */
+/** A sample that may be delivered. */
 export interface Candidate {
   readonly sample: ReadySample;
-  /** Row of the ready sample; absent for a sample of the batch that is redelivered. */
+  /** Row of the ready sample; absent for a sample of the attempt that is replaced. */
   readonly row?: Row;
 }
 
-/** What a draw hands out and what it discards. */
+/** What a draw delivers and what it discards. */
 export interface Selection {
   readonly chosen: readonly Candidate[];
   readonly discarded: readonly (DiscardedSample & { readonly row?: Row })[];
   readonly rolloutConditions: Transaction['conditions'];
 }
 
-/** Before the first draw. */
+/** The cursor row before the first draw. */
 export const NO_CURSOR: CursorRow = {
   cursor: 0,
   sequence: 0,
@@ -64,33 +68,71 @@
 };
 
 /**
- * Checks that no later request has been handled, and that the cursor is the current one, or the next one with the
- * current batch acknowledged by its attempt and digest: a trainer that holds a void attempt must not acknowledge
- * the one that replaced it.
+ * Checks that no later request has been handled, and that the cursor is the current one, or the next one with
+ * the current batch acknowledged by its attempt and digest: a trainer that holds a void attempt must not
+ * acknowledge the one that replaced it.
  */
 export function cursorClash(row: CursorRow | undefined, request: DrawRequest): StateError | undefined {
   const current = row ?? NO_CURSOR;
-  const { cursor, previous, sequence } = request;
+  const { cursor, sequence } = request;
   if (sequence < current.sequence) {
     const message = `request ${sequence} was overtaken by request ${current.sequence}`;
-    return new StateError('conflict', 'none', message, undefined, {
-      expected: sequence,
-      current: current.sequence,
-    });
+    return conflict(message, sequence, current.sequence);
   }
-  const isHandedOut = current.samples.length > 0;
-  if (cursor === current.cursor && !(current.acknowledged && isHandedOut)) return undefined;
-  const isAcknowledged =
-    current.acknowledged ||
-    !isHandedOut ||
-    (previous?.attempt === current.attempt && previous.digest === current.digest);
-  if (cursor === current.cursor + 1 && isAcknowledged) return undefined;
+  const isNext = cursor === current.cursor + 1;
+  if (isNext ? mayAdvance(current, request) : cursor === current.cursor && !isFinished(current))
+    return undefined;
   const expected = current.acknowledged ? current.cursor + 1 : current.cursor;
-  const message =
-    cursor === current.cursor + 1
-      ? `batch ${current.cursor} is not acknowledged by its newest attempt (${current.attempt})`
-      : `cursor ${cursor} cannot be drawn; the next one is ${expected}`;
-  return new StateError('conflict', 'none', message, undefined, { expected: cursor, current: expected });
+  const message = isNext
+    ? `batch ${current.cursor} is not acknowledged by its newest attempt (${current.attempt})`
+    : `cursor ${cursor} cannot be drawn; the next one is ${expected}`;
+  return conflict(message, cursor, expected);
+}
+
+function conflict(message: string, expected: number, current: number): StateError {
+  return new StateError('conflict', 'none', message, undefined, { expected, current });
+}
+
+/** Whether the batch was delivered and acknowledged. */
+function isFinished(current: CursorRow): boolean {
+  return current.acknowledged && current.samples.length > 0;
+}
+
+/**
+ * Whether the request may draw the next cursor: the current batch is empty, or acknowledged, or by this
+ * request.
+ */
+function mayAdvance(current: CursorRow, { previous }: DrawRequest): boolean {
+  if (current.acknowledged || current.samples.length === 0) return true;
+  return previous?.attempt === current.attempt && previous.digest === current.digest;
+}
+
+/** Whether a sample is within the staleness bound of its model's newest known version. */
+export function isFresh(terms: DrawTerms, state: DrawState, sample: ReadySample): boolean {
+  return isWithinBound(sample.oldestVersion, state.newest.get(sample.model) ?? 0, terms.stalenessBound);
+}
+
+/**
+ * Chooses up to `wanted` samples in the order of the candidates; discards those that are too old or of a
+ * rollout that is not open. Candidates beyond `wanted` stay ready.
+ */
+export function selectSamples(
+  terms: DrawTerms,
+  state: DrawState,
+  candidates: readonly Candidate[],
+  isOpen: (rolloutId: string) => boolean,
+  wanted: number,
+): Omit<Selection, 'rolloutConditions'> {
+  const chosen: Candidate[] = [];
+  const discarded: (DiscardedSample & { row?: Row })[] = [];
+  for (const candidate of candidates) {
+    const { sample, row } = candidate;
+    const newest = state.newest.get(sample.model) ?? 0;
+    if (!isOpen(sample.rolloutId)) discarded.push({ sample, row, newest, reason: 'rollout-cancelled' });
+    else if (!isFresh(terms, state, sample)) discarded.push({ sample, row, newest, reason: 'too-old' });
+    else if (chosen.length < wanted) chosen.push(candidate);
+  }
+  return { chosen, discarded };
 }
 
 /** The cursor row of a new batch, or of a new attempt of the current one. */
@@ -162,7 +204,7 @@
   });
 }
 
-/** The transaction that hands a selection out. */
+/** The transaction that delivers a selection. */
 export function drawTransaction(
   terms: DrawTerms,
   state: DrawState,
@@ -179,7 +221,7 @@
     ],
     writes: [],
   };
-  // With nothing chosen the cursor row changes only when it gives up samples of a void attempt.
+  // With nothing chosen the cursor row changes only when it drops the samples of a void attempt.
   if (selection.chosen.length > 0 || before.cursor === next.cursor) {
     transaction.writes.push({ key: cursorKey, value: next });
   }
--- a/src/state/resource/tables/index.ts
+++ b/src/state/resource/tables/index.ts
@@ -6,4 +6,5 @@
   type Table,
   type Transaction,
 } from './row-table.js';
+export { settle } from './settle.js';
 export { type Objects, StoredObjects } from './stored-objects.js';
--- /dev/null
+++ b/src/state/resource/tables/settle.ts
@@ -0,0 +1,27 @@
+/**
+ * Repeats a conditional write until its outcome is known. A round reads the rows anew, so that it sees an
+ * earlier write whose answer was lost; it returns `undefined` when a condition failed or the answer was lost.
+ */
+import { err, type Result } from 'neverthrow';
+import { StateError } from '../../state-error.js';
+
+/**
+ * Time after which a caller may repeat an operation that was not settled, milliseconds. Chosen, not measured.
+ */
+const UNSETTLED_RETRY_MS = 1_000;
+
+/**
+ * The first result of at most `maxRounds` rounds, else the error `unavailable` of unknown effect with
+ * `message`.
+ */
+export async function settle<T>(
+  maxRounds: number,
+  message: string,
+  round: () => Promise<Result<T, StateError> | undefined>,
+): Promise<Result<T, StateError>> {
+  for (let count = 0; count < maxRounds; count += 1) {
+    const result = await round();
+    if (result !== undefined) return result;
+  }
+  return err(new StateError('unavailable', 'unknown', message, UNSETTLED_RETRY_MS));
+}
--- a/test/state/resource/samples/ledger-properties.test.ts
+++ b/test/state/resource/samples/ledger-properties.test.ts
@@ -13,6 +13,7 @@
 import type { DrawTerms } from '../../../../src/state/resource/samples/draw-rules.js';
 import { formatSampleId } from '../../../../src/state/resource/samples/ledger-rows.js';
 import { RolloutLedger, type SlotTask } from '../../../../src/state/resource/samples/rollout-ledger.js';
+import { SampleCommits } from '../../../../src/state/resource/samples/sample-commits.js';
 import type { Table } from '../../../../src/state/resource/tables/row-table.js';
 import { FaultyStore, MemoryObjects, rowsOver } from '../../../support/faulty-platform.js';
 
@@ -37,6 +38,7 @@
   private readonly store: FaultyStore;
   private readonly table: Table;
   private readonly rollouts: RolloutLedger;
+  private readonly commits: SampleCommits;
   private readonly batches: BatchLedger;
   private readonly owners: { store: LeaseStore; lease: HeldLease | undefined }[] = [];
   private readonly delayed: DrawRequest[] = [];
@@ -53,6 +55,7 @@
     this.table = rowsOver(this.store);
     const objects = new MemoryObjects();
     this.rollouts = new RolloutLedger(this.table, objects);
+    this.commits = new SampleCommits(this.table, objects);
     this.batches = new BatchLedger(this.table, objects);
     for (const id of ['a', 'b']) {
       this.owners.push({ store: new LeaseStore(rowsOver(this.store), id, uniqueId(), 1), lease: undefined });
@@ -127,7 +130,7 @@
     const sampleId = formatSampleId({ trainer: TRAINER, ...task });
     const segments = [{ version: this.version, firstToken: 0, tokenCount: 1, engine: 'e' }];
     const sample = { sampleId, rolloutId: ROLLOUT, model: MODEL, promptIndex: task.slot, sampleIndex: 0 };
-    await this.rollouts.commit(TRAINER, lease, [
+    await this.commits.commit(TRAINER, lease, [
       {
         task,
         shard: 0,
