--- a/src/coordination/resource/singleton-tasks/singleton-tasks.ts
+++ b/src/coordination/resource/singleton-tasks/singleton-tasks.ts
@@ -1,7 +1,11 @@
 /**
- * Which node does what. Each duty (owner of a trainer's shard, owner of a slice of a model's engines, watcher of
- * the machine list) is a lease that any node may hold. The nodes first in line for a duty, by rendezvous weight
- * among the active members, try to take it; whoever holds it runs its task until the lease is lost.
+ * Singleton tasks: which node runs what one node runs for all (owner of a trainer's shard, owner of a slice
+ * of a model's engines, watcher of the machine list). Each task has a lease. The first `CANDIDATES` active
+ * members in rendezvous order try to acquire it; the holder runs the task until the lease is lost.
+ *
+ * Owns: this node's session and the running tasks. Relies on: `LeaseStore`, `NodeRegistry` (members), the
+ * configuration. While the store is not reachable nobody can acquire a lease, so tasks go on; their writes
+ * are conditional on the epoch.
  */
 import { sleep } from '../../../common/clock.js';
 import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
@@ -11,35 +15,43 @@
 import type { HeldLease, LeaseStore } from '../../../state/resource/leases/index.js';
 import type { NodeRegistry } from '../membership/index.js';
 
-/** What tells a duty's task to end. */
+/** Signals that end a task. */
 export interface TaskSignals {
   /** Start nothing new, finish what is in progress, then end. */
   readonly stop: AbortSignal;
-  /** The lease has another holder: drop everything. */
+  /** The lease has another holder: end at once, without a commit. */
   readonly lost: AbortSignal;
 }
 
-/** A duty's task while it runs. */
+/** A running task. */
 export interface RunnableTask {
-  /** Works until it is told to end. */
+  /** Runs until a signal ends it. */
   run(): Promise<void>;
-  /** Whether nothing is in progress that a change of holder would hold up. */
+  /** Whether nothing is in progress that a change of holder would delay. */
   isIdle(): boolean;
 }
 
-/** A duty. */
+/** A task that one node runs. */
 export interface SingletonTask {
   /** Name of the lease. */
   readonly name: string;
   readonly createTask: (lease: HeldLease, signals: TaskSignals) => RunnableTask;
 }
 
-/** Nodes in line for a duty that try to take it. */
+/**
+ * Nodes that try to acquire a lease. Chosen, not measured: two may fail, and calls do not grow with the
+ * fleet.
+ */
 const CANDIDATES = 3;
+/** Rounds, and so renewals, in the lease time. Chosen, not measured: three renewals in a row may fail. */
 const RENEWALS_PER_LEASE = 4;
-/** Rounds without a change of members or configuration after which duties move to the node that is first in line. */
+/**
+ * Rounds without a change of members or configuration until idle tasks move to the first candidate. Chosen.
+ */
 const ROUNDS_UNTIL_HANDOVER = 3;
-/** Tries of a node that is not first in line, one in so many rounds. */
+/**
+ * Rounds for each attempt of the other candidates. Chosen, not measured: the first one goes ahead of them.
+ */
 const SECONDARY_ROUNDS = 2;
 
 type LeaseState = 'free' | 'held';
@@ -48,7 +60,7 @@
 
 interface Candidacy {
   readonly task: SingletonTask;
-  /** Place in line, 0 for the first. */
+  /** Position in rendezvous order, 0 for the first candidate. */
   readonly rank: number;
 }
 
@@ -60,7 +72,7 @@
   readonly done: Promise<void>;
 }
 
-/** The duties of one node. */
+/** The singleton tasks of one node. */
 export class SingletonTasks {
   private readonly running = new Map<string, RunningTask>();
   private readonly lifecycles = new Map<string, Lifecycle<LeaseState, LeaseEvent>>();
@@ -70,7 +82,7 @@
   private round = 0;
   private hasSession = false;
 
-  /** `listDuties` gives the duties that the configuration asks for. */
+  /** `listTasks` returns the tasks that the configuration requires. */
   constructor(
     private readonly leases: LeaseStore,
     private readonly registry: NodeRegistry,
@@ -80,7 +92,7 @@
     private readonly listTasks: () => readonly SingletonTask[],
   ) {}
 
-  /** Renews, acquires and runs until stopped; then lets the tasks finish and releases the leases. */
+  /** Renews, acquires and runs until stopped; then waits for the tasks and releases the leases. */
   async run(signal: AbortSignal): Promise<void> {
     const intervalMs = this.leases.leaseMs / RENEWALS_PER_LEASE;
     while (!signal.aborted) {
@@ -97,7 +109,7 @@
     await releasing;
   }
 
-  /** Names of the duties that this node does now. */
+  /** Names of the tasks that this node runs. */
   names(): string[] {
     return [...this.running.keys()];
   }
@@ -109,19 +121,31 @@
     if (!isCandidate && !this.hasSession) return;
     this.hasSession = isCandidate;
     await this.renewSession();
-    for (const { task, rank } of this.candidacies) {
+    for (const candidacy of this.candidacies) {
       if (signal.aborted || !this.leases.isValid) return;
-      if (this.running.has(task.name)) continue;
-      if (rank > 0 && this.round % SECONDARY_ROUNDS !== 0) continue;
-      const acquired = await this.leases.tryAcquire(task.name);
-      if (acquired.isOk() && acquired.value) this.start(task, acquired.value);
+      if (this.shouldTry(candidacy)) await this.tryStart(candidacy.task);
     }
     this.handOver();
   }
 
+  /** The first candidate tries in each round, the others in each `SECONDARY_ROUNDS`th. */
+  private shouldTry({ task, rank }: Candidacy): boolean {
+    return !this.running.has(task.name) && (rank === 0 || this.round % SECONDARY_ROUNDS === 0);
+  }
+
   /**
-   * Gives back idle duties for which another node is first in line, once the members have been the same for a while.
-   * Without this a node that started first, or took over for a restarted one, would keep them for ever.
+   * An error is not reported: the next round tries again, and the store client logs that the store is not
+   * reachable.
+   */
+  private async tryStart(task: SingletonTask): Promise<void> {
+    const acquired = await this.leases.tryAcquire(task.name);
+    if (acquired.isOk() && acquired.value) this.start(task, acquired.value);
+  }
+
+  /**
+   * Releases idle tasks of which another node is the first candidate, once members and configuration have not
+   * changed for a while. Without this, a node that started first, or took over for a restarted one, would
+   * keep them for ever.
    */
   private handOver(): void {
     if (this.round - this.candidacySinceRound < ROUNDS_UNTIL_HANDOVER) return;
@@ -132,6 +156,10 @@
     }
   }
 
+  /**
+   * A conflict means that the row changed since it was read, e.g. by an earlier process: renewed once more
+   * from there.
+   */
   private async renewSession(): Promise<void> {
     const renewed = await this.leases.renew();
     if (renewed.isErr() && renewed.error.failure === 'conflict') await this.leases.renew();
@@ -140,7 +168,7 @@
     }
   }
 
-  /** Works out the duties that this node is in line for, when members or configuration have changed. */
+  /** Recomputes the tasks that this node is a candidate for, when members or configuration have changed. */
   private refreshCandidacies(): void {
     const memberIds = this.registry.active().map((member) => member.id);
     const key = `${this.view.revision}|${memberIds.join(',')}`;
@@ -181,7 +209,7 @@
     this.lifecycle(name).send('lost', reason);
   }
 
-  /** Ends a task; the lease is given back after the task's last commit. */
+  /** Ends a task; the lease is released after the task's last commit. */
   private async stopAndRelease(name: string): Promise<void> {
     const running = this.running.get(name);
     if (!running) return;
--- a/src/coordination/resource/weights/engine-monitor.ts
+++ b/src/coordination/resource/weights/engine-monitor.ts
@@ -1,6 +1,7 @@
 /**
- * Watches the engines that this node uses: one task for each, asking for its state. An engine that is as it should
- * be is asked rarely; one that is changing, failing, or behind the version that it is to load is asked often.
+ * Polls the state of the engines that this node uses, one task for each. A settled engine is polled rarely;
+ * one that loads, fails, or has not its target version or role is polled often. Each result is recorded at
+ * its back end: a report or a failure, from which health follows.
  */
 import { sleep } from '../../../common/clock.js';
 import type { EngineClient } from '../../../protocol/resource/engine.js';
@@ -10,15 +11,18 @@
 import { targetVersion } from './version-policy.js';
 import { shouldDrain } from './weight-rollout.js';
 
+/**
+ * Interval in which the set of polled engines follows the configuration, milliseconds. Chosen, not measured.
+ */
 const TASK_REFRESH_MS = 200;
-/** Times by which the interval is longer for an engine that is as it should be. */
+/** Factor of the interval for a settled engine (calls and bytes without and with it: docs/CAPACITY.md). */
 const SETTLED_FACTOR = 8;
 
-/** The watching of one node. */
+/** The monitor of one node. */
 export class EngineMonitor {
   private readonly tasks = new Map<BackendEntry, AbortController>();
 
-  /** `intervalMs`: time between two questions to an engine that is not settled, milliseconds. */
+  /** `intervalMs`: poll interval of an engine that is not settled, milliseconds. */
   constructor(
     private readonly view: ConfigView,
     private readonly router: Router,
@@ -26,7 +30,7 @@
     private readonly intervalMs: number,
   ) {}
 
-  /** Keeps a task for each engine until stopped. */
+  /** Runs a task for each engine until stopped. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.synchronize(signal);
@@ -59,7 +63,7 @@
     }
   }
 
-  /** Waits for the next question; a change that unsettles the engine ends a long wait early. */
+  /** Waits for the next poll; a change that unsettles the engine ends a long wait early. */
   private async pause(backend: BackendEntry, signal: AbortSignal): Promise<void> {
     for (let waited = 0; waited < SETTLED_FACTOR; waited += 1) {
       await sleep(this.intervalMs, signal);
@@ -67,7 +71,7 @@
     }
   }
 
-  /** Whether an engine serves its model's target version and its role is the declared one. */
+  /** Whether an engine serves its model's target version in its declared role. */
   private isSettled(backend: BackendEntry): boolean {
     const state = backend.engineState;
     if (!state || state.swapping || backend.lifecycle.current !== 'serving') return false;
--- a/src/coordination/resource/weights/version-policy.ts
+++ b/src/coordination/resource/weights/version-policy.ts
@@ -1,4 +1,6 @@
-/** Which version of a model is the newest, and which one is to be loaded. */
+/**
+ * Weight versions of a model: the newest published one, which bounds staleness, and the target to load. Pure.
+ */
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 
@@ -11,7 +13,7 @@
 
 const indices = new WeakMap<ConfigView, VersionIndex>();
 
-/** The versions of a model, newest first. Worked out once for each revision of the configuration. */
+/** The versions of a model, newest first, computed once for each revision of the configuration. */
 function versionsOf(view: ConfigView, model: string): readonly ResourceOf<'ModelVersion'>[] {
   let index = indices.get(view);
   if (index?.revision !== view.revision) {
@@ -36,7 +38,7 @@
   return versionsOf(view, model)[0]?.spec.version ?? 0;
 }
 
-/** Whether a version may be served. */
+/** Whether a version may be served: it has an approval, or its model requires none. */
 export function isApproved(model: ResourceOf<'Model'>, version: ResourceOf<'ModelVersion'>): boolean {
   return !model.spec.requireApproval || (version.spec.approvals?.length ?? 0) > 0;
 }
--- a/src/coordination/resource/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -1,7 +1,11 @@
 /**
- * Weight rollout: the owner of a slice of a model's engines brings them to the target version, a bounded
- * share at a time so that serving capacity stays, and gives the drain orders. Orders carry the lease's epoch
- * as fence: an engine that has heard a later owner refuses an earlier one.
+ * Weight rollout: the owner of a slice of a model's engines loads the target version into them, a bounded
+ * share at a time to keep serving capacity, and sets their roles (serving, draining). Commands carry the
+ * lease's epoch as fence: an engine that has received one of a later owner rejects those of an earlier one.
+ *
+ * Owns: commands in progress, failures in a row per engine. Relies on: reports of `EngineMonitor`, the work
+ * gate (no command under a configuration that is not confirmed). A load that fails is repeated with a growing
+ * delay.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
@@ -26,12 +30,17 @@
   failed: { ordered: 'loading' },
 } as const;
 
+/** Interval of rounds, milliseconds. Chosen, not measured. */
 const ROUND_MS = 200;
+/**
+ * Share of a slice's engines that load at a time when the model declares none. Chosen: one of three may load.
+ */
 const DEFAULT_MAX_UNAVAILABLE = 0.34;
+/** Delay after a failed load of an engine, milliseconds, doubled up to the maximum. Chosen, not measured. */
 const FIRST_RETRY_DELAY_MS = 500;
 const MAX_RETRY_DELAY_MS = 8_000;
 
-/** What the owner needs. */
+/** Dependencies of an owner. */
 export interface WeightRolloutParts {
   readonly view: ConfigView;
   readonly registry: BackendRegistry;
@@ -46,7 +55,7 @@
   return backend.spec.draining === true || isMachineLeaving(view, backend.spec.machine);
 }
 
-/** Whether an engine is to serve a model. */
+/** Whether an engine is declared for a model; without a declaration it serves any model of its service. */
 export function isAssigned(backend: BackendEntry, model: string): boolean {
   return (backend.declaration.spec.model ?? model) === model;
 }
@@ -65,12 +74,12 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Whether no order is being carried out. */
+  /** Whether no command is in progress. */
   isIdle(): boolean {
     return this.busy.size === 0;
   }
 
-  /** Works until the lease is lost or the model is gone. */
+  /** Runs until the lease is lost or the model is deleted. */
   async run(): Promise<void> {
     const { signal } = this;
     while (!signal.aborted) {
@@ -98,11 +107,11 @@
     for (const backend of engines) if (!this.busy.has(backend.name)) this.startRoleCommand(backend, signal);
     const target = targetVersion(this.parts.view, model);
     if (!target) return;
-    const share = model.spec.maxUnavailableFraction ?? DEFAULT_MAX_UNAVAILABLE;
-    const maxLoading = Math.max(1, Math.floor(engines.length * share));
-    for (const backend of engines) {
-      if (this.busy.size >= maxLoading) return;
-      if (this.busy.has(backend.name) || !needsLoad(backend, model, target)) continue;
+    const loadable = engines.filter(
+      (backend) => !this.busy.has(backend.name) && needsLoad(backend, model, target),
+    );
+    const free = Math.max(0, maxLoading(model, engines.length) - this.busy.size);
+    for (const backend of loadable.slice(0, free)) {
       this.runExclusively(backend, () => this.load(backend, target, signal));
     }
   }
@@ -112,7 +121,7 @@
     const role = shouldDrain(this.parts.view, backend.declaration) ? 'draining' : 'serving';
     if (!state || state.role === role || signal.aborted) return;
     this.runExclusively(backend, async () => {
-      const ordered = await this.order(backend, { fence: this.lease.epoch, order: 'role', role });
+      const ordered = await this.command(backend, { fence: this.lease.epoch, order: 'role', role });
       if (ordered.isErr()) return;
       this.parts.decisions.record({
         kind: 'drain',
@@ -138,14 +147,14 @@
     const { model, version, weights } = target.spec;
     const swap = this.swap(backend.name);
     swap.sendIfTaken('ordered', `version ${version}`);
-    const order: EngineCommand = {
+    const command: EngineCommand = {
       fence: this.lease.epoch,
       order: 'load',
       model,
       version,
       object: weights.object,
     };
-    const loaded = await this.order(backend, order);
+    const loaded = await this.command(backend, command);
     const isLoaded = loaded.isOk() && loaded.value.shardVersions.every((one) => one === version);
     this.noteLoad(backend, target, isLoaded, loaded.isErr() ? loaded.error : describeShards(loaded.value));
     if (isLoaded) {
@@ -159,9 +168,9 @@
     await sleep(Math.min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2 ** (failures - 1)), signal);
   }
 
-  /** Gives an order and takes the engine's answer in as its newest report. */
-  private async order(backend: BackendEntry, order: EngineCommand): Promise<Result<EngineState, string>> {
-    const answer = await this.parts.engines.order(backend.declaration.spec.address, order);
+  /** Sends a command and records the engine's response as its newest report. */
+  private async command(backend: BackendEntry, command: EngineCommand): Promise<Result<EngineState, string>> {
+    const answer = await this.parts.engines.order(backend.declaration.spec.address, command);
     if (answer.isErr()) return err(answer.error.message);
     backend.noteReport(answer.value);
     return ok(answer.value);
@@ -198,6 +207,13 @@
   }
 }
 
+/** Engines with a command in progress above which no further load is started. */
+function maxLoading(model: ResourceOf<'Model'>, engineCount: number): number {
+  const share = model.spec.maxUnavailableFraction ?? DEFAULT_MAX_UNAVAILABLE;
+  return Math.max(1, Math.floor(engineCount * share));
+}
+
+/** Whether an engine has another model or version than the target, and is not loading one. */
 function needsLoad(
   backend: BackendEntry,
   model: ResourceOf<'Model'>,
--- a/src/node/resource/coordination-parts.ts
+++ b/src/node/resource/coordination-parts.ts
@@ -57,34 +57,21 @@
 /** Builds the coordination layer. */
 export function buildCoordination(base: CoordinationBase): CoordinationParts {
   const { settings, timing, client, state, observer } = base;
-  const { view, decisions, registry } = state;
+  const { view, decisions, registry, rollouts: ledger, commits } = state;
+  const nodeId = settings.node.id;
   const random = new Random(settings.seed ?? Date.now() % SEED_MODULUS);
   const peers = new PeerClient(client, settings.access.peerToken);
   const engines = new EngineClient(client);
   const nodes = buildRegistry(base);
-  const follower = new ConfigFollower(
-    state.records,
-    state.store,
-    view,
-    state.freshness,
-    timing.holdMs,
-    observer,
-  );
-  const gate = new WorkGate(base.lifecycle, state.freshness);
+  const { records, store, freshness } = state;
+  const follower = new ConfigFollower(records, store, view, freshness, timing.holdMs, observer);
+  const gate = new WorkGate(base.lifecycle, freshness);
   const subsetSize = settings.routing?.subsetSize ?? DEFAULT_SUBSET_SIZE;
-  const router = new Router(settings.node.id, view, registry, random, subsetSize);
+  const router = new Router(nodeId, view, registry, random, subsetSize);
   const generator = new Generator(router, engines, gate, decisions, observer.metrics);
   const taskParts = {
     view,
-    rollouts: {
-      nodeId: settings.node.id,
-      view,
-      ledger: state.rollouts,
-      commits: state.commits,
-      generator,
-      decisions,
-      observer,
-    },
+    rollouts: { nodeId, view, ledger, commits, generator, decisions, observer },
     weights: { view, registry, engines, gate, decisions, observer },
     machineWatch: buildMachineWatch(base),
   };
--- a/src/node/resource/singleton-task-list.ts
+++ b/src/node/resource/singleton-task-list.ts
@@ -1,4 +1,6 @@
-/** The duties that the configuration asks for, each a lease that any node may hold. */
+/**
+ * The singleton tasks that the configuration requires: one for each shard, each slice, and the machine list.
+ */
 
 import type { MachineWatch } from '../../coordination/resource/membership/index.js';
 import { RolloutOwner, type RolloutOwnerParts } from '../../coordination/resource/rollouts/index.js';
@@ -6,7 +8,7 @@
 import { WeightRollout, type WeightRolloutParts } from '../../coordination/resource/weights/index.js';
 import type { ConfigView } from '../../state/resource/configuration/index.js';
 
-/** What the tasks need. */
+/** Dependencies of the tasks. */
 export interface SingletonTaskParts {
   readonly view: ConfigView;
   readonly rollouts: RolloutOwnerParts;
@@ -15,7 +17,7 @@
   readonly machineWatch: MachineWatch | undefined;
 }
 
-/** Lists the duties. */
+/** Lists the tasks; their names are those of their leases. */
 export function listSingletonTasks(parts: SingletonTaskParts): SingletonTask[] {
   const trainers = parts.view.list('Trainer').flatMap((trainer) => {
     const { name } = trainer.metadata;
--- a/src/state/resource/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -1,6 +1,10 @@
 /**
- * The configuration in the table service. A change is committed when one transaction has written the head,
- * the log entry of the revision, the resources, and the operation's own row.
+ * The configuration in the store. A change is committed when one transaction has written the head, the log
+ * entry of the revision, the resources, and the operation's own row, by which a repeated operation finds its
+ * outcome.
+ *
+ * Owns no state. Two writers conflict at the head: the later one reads again. A commit whose outcome stays
+ * unknown fails as `unavailable`; repeating it under the same operation ID is safe.
  *
  * Rows: `config/head` {revision}, `config/log/{revision}` ConfigEntry, `config/resource/{kind}/{name}`
  * Resource, `config/operation/{operationId}` {revision}, `published/{model}` {version}.
@@ -16,12 +20,15 @@
 } from '../../../protocol/resource/resource.js';
 import { StateError } from '../../state-error.js';
 import type { Row, Transaction } from '../tables/index.js';
-import { scanAll, type Table } from '../tables/index.js';
+import { scanAll, settle, type Table } from '../tables/index.js';
 
 const HEAD_KEY = 'config/head';
 const RESOURCE_PREFIX = 'config/resource/';
 const REVISION_DIGITS = 12;
-const MAX_COMMIT_ATTEMPTS = 8;
+/** Rounds of a commit. Chosen, not measured: a round is lost to each concurrent writer. */
+const MAX_COMMIT_ROUNDS = 8;
+/** Log entries read at a time: the page size of the store's scans. */
+const MAX_ENTRIES_READ = 1_000;
 
 const logKey = (revision: number) => `config/log/${revision.toString().padStart(REVISION_DIGITS, '0')}`;
 const rowKey = (kind: string, name: string) => `${RESOURCE_PREFIX}${resourceKey(kind, name)}`;
@@ -41,11 +48,11 @@
   readonly name: string;
   /** resourceVersion that the writer saw: 0 for none, `undefined` for any. */
   readonly expectedVersion: number | undefined;
-  /** Works out the new manifest from the stored resource; null deletes. */
+  /** Computes the new manifest from the stored resource; null deletes. */
   readonly update: (stored: Resource | undefined) => Result<Manifest | null, StateError>;
 }
 
-/** What a commit did. */
+/** Result of a commit, or of its preview. */
 export interface CommitOutcome {
   readonly revision: number;
   /** False when nothing differed and so nothing was written. */
@@ -67,7 +74,7 @@
   );
 }
 
-/** Whether a manifest asks for what is stored. The source revision alone makes no difference. */
+/** Whether a manifest declares what is stored. A new source revision alone is no difference. */
 export function sameDeclaration(stored: Resource, manifest: Manifest): boolean {
   const declared = (labels: unknown, set: unknown, spec: unknown) => stable([labels ?? {}, set ?? '', spec]);
   return (
@@ -108,15 +115,15 @@
   async entries(after: number, upTo: number): Promise<Result<ConfigEntry[], StateError>> {
     const rows = await this.table.scan(
       'config/log/',
-      Math.max(1, Math.min(1_000, upTo - after)),
+      Math.max(1, Math.min(MAX_ENTRIES_READ, upTo - after)),
       logKey(after),
     );
     return rows.map((found) => found.map((row) => row.value as ConfigEntry));
   }
 
   /**
-   * All resources. Rows may be newer than the revision that was read before them; replaying the log from there
-   * makes the view exact.
+   * All resources. Rows may be newer than the revision that was read before them; replaying the log from
+   * there makes the view exact.
    */
   async snapshot(): Promise<Result<{ revision: number; resources: Resource[] }, StateError>> {
     const head = await this.head();
@@ -136,25 +143,34 @@
     operationId: string,
     wanted: readonly WantedChange[],
   ): Promise<Result<CommitOutcome, StateError>> {
-    for (let attempt = 0; attempt < MAX_COMMIT_ATTEMPTS; attempt += 1) {
-      const rows = await this.readForCommit(operationId, wanted);
-      if (rows.isErr()) return err(rows.error);
-      const settled = rows.value.get(operationKey(operationId));
-      if (settled) return this.settledOutcome(settled, wanted, rows.value);
-      const planned = await this.plan(operationId, wanted, rows.value);
-      if (planned.isErr()) return err(planned.error);
-      if (!planned.value.outcome.changed) return ok(planned.value.outcome);
-      const result = await this.table.transact(planned.value.transaction);
-      if (result.isOk() && result.value.committed) return ok(planned.value.outcome);
-      // Either another writer was first, or the answer was lost: the next round reads the operation's row.
-      if (result.isErr() && result.error.effect === 'none' && result.error.failure !== 'conflict') {
-        return err(result.error);
-      }
-    }
-    return err(new StateError('unavailable', 'unknown', 'the commit could not be settled', 1_000));
+    return settle(MAX_COMMIT_ROUNDS, 'the commit could not be settled', () =>
+      this.commitOnce(operationId, wanted),
+    );
+  }
+
+  /**
+   * `undefined` when another writer was first or the answer was lost: the next round reads the operation's
+   * row.
+   */
+  private async commitOnce(
+    operationId: string,
+    wanted: readonly WantedChange[],
+  ): Promise<Result<CommitOutcome, StateError> | undefined> {
+    const rows = await this.readForCommit(operationId, wanted);
+    if (rows.isErr()) return err(rows.error);
+    const settled = rows.value.get(operationKey(operationId));
+    if (settled) return this.settledOutcome(settled, wanted, rows.value);
+    const planned = await this.plan(operationId, wanted, rows.value);
+    if (planned.isErr()) return err(planned.error);
+    const { outcome, transaction } = planned.value;
+    if (!outcome.changed) return ok(outcome);
+    const result = await this.table.transact(transaction);
+    if (result.isOk()) return result.value.committed ? ok(outcome) : undefined;
+    const isFinal = result.error.effect === 'none' && result.error.failure !== 'conflict';
+    return isFinal ? err(result.error) : undefined;
   }
 
-  /** Works out what a commit would do, without committing. */
+  /** The outcome that a commit would have, without committing. */
   async preview(wanted: readonly WantedChange[]): Promise<Result<CommitOutcome, StateError>> {
     const rows = await this.readForCommit('preview', wanted);
     if (rows.isErr()) return err(rows.error);
@@ -213,13 +229,7 @@
 
   /** Rows that keep, for each model, the newest published version, for the staleness check of draws. */
   private async publishedWrites(changes: ConfigEntry['changes']): Promise<Result<Transaction, StateError>> {
-    const newest = new Map<string, number>();
-    for (const change of changes) {
-      const resource = change.resource as Resource | null;
-      if (resource?.kind !== 'ModelVersion') continue;
-      const { model, version } = resource.spec;
-      newest.set(model, Math.max(version, newest.get(model) ?? 0));
-    }
+    const newest = newestVersions(changes);
     const transaction: Transaction = { conditions: [], writes: [] };
     if (newest.size === 0) return ok(transaction);
     const rows = await this.table.read([...newest.keys()].map(publishedKey));
@@ -235,6 +245,18 @@
   }
 }
 
+/** The newest version of each model among the changes. */
+function newestVersions(changes: ConfigEntry['changes']): Map<string, number> {
+  const newest = new Map<string, number>();
+  for (const change of changes) {
+    const resource = change.resource as Resource | null;
+    if (resource?.kind !== 'ModelVersion') continue;
+    const { model, version } = resource.spec;
+    newest.set(model, Math.max(version, newest.get(model) ?? 0));
+  }
+  return newest;
+}
+
 function unchanged(revision: number, resources: readonly (Resource | null)[]): Planned {
   return {
     entry: { revision, operationId: '', changes: [] },
--- a/src/state/resource/configuration/config-view.ts
+++ b/src/state/resource/configuration/config-view.ts
@@ -1,4 +1,8 @@
-/** The configuration in force on this node: resources at one revision, which only grows. */
+/**
+ * The configuration in force on this node: resources at one revision, which only grows. `ConfigFollower`
+ * feeds it from the store; readers see each revision whole. The last `HISTORY_LIMIT` entries are kept for
+ * watches, which list again beyond.
+ */
 import type { ConfigEntry } from '../../../protocol/resource/configuration-entry.js';
 import {
   type Kind,
@@ -16,7 +20,7 @@
   readonly resource: Resource | null;
 }
 
-/** Accepted revisions kept for peers and watchers that are behind. */
+/** Accepted revisions kept for peers and watches that are behind. Chosen, not measured. */
 const HISTORY_LIMIT = 4_096;
 
 type Listener = (events: readonly ConfigEvent[], revision: number) => void;
@@ -71,11 +75,6 @@
     return this.history.slice(revision + 1 - first);
   }
 
-  /** The newest entries that are kept, oldest first. */
-  newestEntries(count: number): readonly ConfigEntry[] {
-    return this.history.slice(-count);
-  }
-
   /** One resource. */
   get<K extends Kind>(kind: K, name: string): ResourceOf<K> | undefined {
     return this.resources.get(resourceKey(kind, name)) as ResourceOf<K> | undefined;
@@ -89,12 +88,7 @@
     return found.sort((a, b) => (a.metadata.name < b.metadata.name ? -1 : 1));
   }
 
-  /** Every resource. */
-  all(): Resource[] {
-    return [...this.resources.values()];
-  }
-
-  /** Calls `listener` after each change; returns how to stop that. */
+  /** Calls `listener` after each change; returns a function that unsubscribes it. */
   subscribe(listener: Listener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
--- a/src/state/resource/configuration/freshness-lease.ts
+++ b/src/state/resource/configuration/freshness-lease.ts
@@ -1,7 +1,7 @@
 /**
- * The freshness lease: until when this node may take its configuration for the newest accepted one. It is
- * extended only by answers to questions that the node itself asked, counted from the moment of asking, so
- * that a node that was paused, or whose machine was suspended, finds its lease lapsed when it goes on.
+ * Freshness lease: how long this node may treat its configuration as the newest accepted one. It is extended
+ * only by responses to the node's own calls, counted from the start of the call, so that it has expired after
+ * a process pause or a suspended machine. When it has expired, `WorkGate` rejects new work.
  */
 
 /** One lease for a node. */
@@ -16,7 +16,9 @@
     if (elapsed() <= this.ageMs()) this.sinceConfirmedMs = elapsed;
   }
 
-  /** Age of the last confirmation, milliseconds; infinite when there was none, or when it is in doubt. */
+  /**
+   * Age of the last confirmation, milliseconds; infinite when there was none, or when the clock is in doubt.
+   */
   ageMs(): number {
     return this.sinceConfirmedMs();
   }
--- a/src/state/resource/decision-log.ts
+++ b/src/state/resource/decision-log.ts
@@ -1,6 +1,7 @@
 /**
- * Decision records. The newest stand in a bounded ring in memory; all are flushed in compressed batches to
- * the object store, under `decisions/{nodeId}/{first ms}-{last ms}-{sequence}`, so that they outlive the node.
+ * Decision records. The newest are in a bounded ring in memory; all are flushed in compressed batches to the
+ * object store, under `decisions/{nodeId}/{first ms}-{last ms}-{sequence}`, so that they outlive the node.
+ * While that is not reachable, up to `PENDING_LIMIT` records wait; beyond that the oldest are dropped.
  */
 import { promisify } from 'node:util';
 import { gunzip, gzip } from 'node:zlib';
@@ -10,7 +11,7 @@
 const compress = promisify(gzip);
 const decompress = promisify(gunzip);
 
-/** Sorts of decisions. */
+/** Kinds of decisions. */
 export type DecisionKind =
   | 'route'
   | 'retry'
@@ -23,19 +24,19 @@
   | 'weights'
   | 'lease';
 
-/** What was considered, as shown to an operator. */
+/** Inputs of a decision, as shown to an operator. */
 export interface DecisionInputs {
-  /** Back ends that could take the work, with the load that was believed. */
+  /** Eligible back ends, with the load that was known. */
   readonly candidates?: readonly {
     readonly backend: string;
     readonly load: number;
     readonly version?: number;
   }[];
-  /** Back ends that were passed over, and why. */
+  /** Back ends that were not eligible, and why. */
   readonly rejected?: readonly { readonly backend: string; readonly reason: string }[];
   /** Versions that mattered: the sample's oldest, the newest published, the bound. */
   readonly staleness?: { readonly oldest: number; readonly newest: number; readonly bound: number };
-  /** Anything else, in words. */
+  /** Anything else, as text. */
   readonly note?: string;
 }
 
@@ -52,13 +53,24 @@
   readonly inputs: DecisionInputs;
 }
 
-/** What the decider gives; the rest is filled in. */
+/** A decision as its maker records it; the log adds the other fields. */
 export type Decision = Omit<DecisionRecord, 'id' | 'at' | 'node' | 'configRevision'>;
 
+/** Records kept in memory. Chosen, not measured. */
 const RING_LIMIT = 20_000;
+/**
+ * Interval of flushes, milliseconds: records of this time are lost when the process crashes. Chosen, not
+ * measured.
+ */
 const FLUSH_INTERVAL_MS = 2_000;
+/** Records that wait for the object store. Chosen, not measured: bounds memory. */
 const PENDING_LIMIT = 50_000;
+/**
+ * Time by which a record may be later than the ID that it is searched by, milliseconds. Chosen, not measured.
+ */
 const CLOCK_SLACK_MS = 10 * 60 * 1_000;
+/** Tolerance at both ends of a batch's times, milliseconds. Chosen, not measured. */
+const BATCH_TIME_MARGIN_MS = 1_000;
 
 interface TimedRecord {
   readonly atMs: number;
@@ -75,8 +87,8 @@
   return (
     first !== undefined &&
     last !== undefined &&
-    first - 1_000 <= atMs + CLOCK_SLACK_MS &&
-    last >= atMs - 1_000
+    first - BATCH_TIME_MARGIN_MS <= atMs + CLOCK_SLACK_MS &&
+    last >= atMs - BATCH_TIME_MARGIN_MS
   );
 }
 
@@ -85,7 +97,6 @@
   private ring: TimedRecord[] = [];
   private pending: TimedRecord[] = [];
   private sequence = 0;
-  private dropped = 0;
   private recorded = 0;
   private readonly startedAtMs = Date.now();
 
@@ -109,10 +120,7 @@
     this.ring.push(timed);
     this.pending.push(timed);
     if (this.ring.length > RING_LIMIT) this.ring = this.ring.slice(RING_LIMIT / 2);
-    if (this.pending.length > PENDING_LIMIT) {
-      this.pending.shift();
-      this.dropped += 1;
-    }
+    if (this.pending.length > PENDING_LIMIT) this.pending.shift();
     return record;
   }
 
@@ -121,11 +129,6 @@
     return this.ring.filter((one) => one.record.subjects.includes(subject)).map((one) => one.record);
   }
 
-  /** Records that could not be kept because the object store was away too long. */
-  get droppedCount(): number {
-    return this.dropped;
-  }
-
   /** Flushes until stopped. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
@@ -134,7 +137,7 @@
     }
   }
 
-  /** Writes what has not been written yet. Records stay pending when the object store is away. */
+  /** Writes the pending records. They stay pending when the object store is not reachable. */
   async flush(): Promise<void> {
     const batch = this.pending;
     if (batch.length === 0) return;
@@ -146,7 +149,11 @@
   }
 }
 
-/** Records about a subject in the batches that a node wrote around a time. Works when the node is gone. */
+/**
+ * Records about a subject in the batches that a node wrote around a time; works when the node has ended. Best
+ * effort: batches that cannot be read are left out, since `explain` shows what it finds and is repeated by
+ * hand.
+ */
 export async function findFlushedDecisions(
   objects: Objects,
   nodeId: string,
--- a/src/state/resource/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -1,13 +1,15 @@
 /**
- * Leases in the table service. A node keeps one session row alive; each lease names the session that holds
- * it, so that renewing costs one write for a node however many leases it holds.
+ * Leases in the store. A node renews one session row by heartbeats; each lease names the session that holds
+ * it, so that renewals cost one write a node, whatever the number of its leases.
  *
- * A taker watches the holder's session row on its own monotonic clock and takes over only when the row has
- * not changed for the whole lease time, in a transaction conditional on it. Each change of holder raises the
- * epoch. Holders are not trusted to notice that they were paused: writes made under a lease are conditional
- * on the version of its epoch row, and orders to engines carry the epoch as fence.
+ * A candidate observes the holder's session row on its own monotonic clock and acquires the lease only when
+ * the row has not changed for the whole lease time, in a transaction conditional on it. Each change of holder
+ * raises the epoch. Safety does not rest on holders noticing a process pause: writes under a lease are
+ * conditional on the version of its epoch row, and commands to engines carry the epoch as fence. When the
+ * store is not reachable, no lease changes holder.
  *
- * Rows: `session/{nodeId}` {session, beat}, `lease/{name}` {holder, session, epoch}, `lease-epoch/{name}` {epoch}.
+ * Rows: `session/{nodeId}` {session, beat}, `lease/{name}` {holder, session, epoch}, `lease-epoch/{name}`
+ * {epoch}.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
@@ -16,6 +18,7 @@
 
 interface SessionRow {
   readonly session: string;
+  /** Heartbeat number; grows with each renewal. */
   readonly beat: number;
 }
 
@@ -52,7 +55,7 @@
   private beat = 0;
   private renewedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** `leaseMs`: how long a holder may be silent before others take over, milliseconds. */
+  /** `leaseMs`: time without a heartbeat after which others may acquire a holder's leases, milliseconds. */
   constructor(
     private readonly table: Table,
     private readonly nodeId: string,
@@ -60,28 +63,32 @@
     readonly leaseMs: number,
   ) {}
 
-  /** Whether the session is certain to be unexpired. Saves work; safety rests on conditions and fences. */
+  /**
+   * Whether the session has certainly not expired. Avoids futile work; safety rests on conditions and fences.
+   */
   get isValid(): boolean {
     return monotonicMs() - this.renewedAtMs < this.leaseMs;
   }
 
   /**
-   * The lease, unless it is known to be lost. While the table cannot be reached nobody can take it either, so
-   * work under it goes on; the conditions of its writes decide in the end.
+   * The lease, unless it is known to be lost. While the store is not reachable nobody can acquire it either,
+   * so work under it goes on; the conditions of its writes decide.
    */
   get(name: string): HeldLease | undefined {
     return this.held.get(name);
   }
 
-  /** Renews the session. After a gap in which it may have lapsed, leases that were taken over are dropped. */
+  /**
+   * Renews the session. After a gap in which it may have expired, leases that were taken over are dropped.
+   */
   async renew(): Promise<Result<void, StateError>> {
-    const mayHaveLapsed = !this.isValid;
-    const renewed = await this.writeBeat();
+    const mayHaveExpired = !this.isValid;
+    const renewed = await this.writeHeartbeat();
     if (renewed.isErr()) {
       if (renewed.error.failure === 'conflict') this.held.clear();
       return renewed;
     }
-    return mayHaveLapsed ? this.dropTakenOver() : renewed;
+    return mayHaveExpired ? this.dropTakenOver() : renewed;
   }
 
   private async dropTakenOver(): Promise<Result<void, StateError>> {
@@ -95,7 +102,7 @@
     return ok(undefined);
   }
 
-  private async writeBeat(): Promise<Result<void, StateError>> {
+  private async writeHeartbeat(): Promise<Result<void, StateError>> {
     const startedAt = monotonicMs();
     const beat = this.beat + 1;
     const value: SessionRow = { session: this.session, beat };
@@ -111,7 +118,7 @@
     return this.settleRenewal(beat, startedAt);
   }
 
-  /** Finds out what became of a renewal whose answer was lost or whose condition failed. */
+  /** Reads the outcome of a renewal whose answer was lost or whose condition failed. */
   private async settleRenewal(beat: number, startedAt: number): Promise<Result<void, StateError>> {
     const rows = await this.table.read([sessionKey(this.nodeId)]);
     if (rows.isErr()) return err(rows.error);
@@ -131,7 +138,9 @@
     this.renewedAtMs = startedAt;
   }
 
-  /** Takes a lease that is free or whose holder is silent; `undefined` while another node holds it. */
+  /**
+   * Acquires a lease that is free or whose holder's session expired; `undefined` while another node holds it.
+   */
   async tryAcquire(name: string): Promise<Result<HeldLease | undefined, StateError>> {
     const known = this.get(name);
     if (known) return ok(known);
@@ -143,19 +152,15 @@
     const epochRow = byKey.get(epochKey(name));
     const value = lease?.value as LeaseRow | undefined;
     if (value?.session === this.session) return ok(this.adopt(name, value.epoch, epochRow));
-    const silent = await this.holderCondition(value);
-    if (silent.isErr()) return err(silent.error);
-    if (silent.value === undefined) return ok(undefined);
-    return this.take(name, lease, epochRow, silent.value);
-  }
-
-  /** Who holds a lease, as the table says. */
-  async holder(name: string): Promise<Result<string | undefined, StateError>> {
-    const rows = await this.table.read([leaseKey(name)]);
-    return rows.map((found) => (found[0]?.value as LeaseRow | undefined)?.holder || undefined);
+    const expired = await this.expiryConditions(value);
+    if (expired.isErr()) return err(expired.error);
+    if (expired.value === undefined) return ok(undefined);
+    return this.take(name, lease, epochRow, expired.value);
   }
 
-  /** Gives a lease back, so that another node need not wait for it to lapse. */
+  /**
+   * Releases a lease, so that another node need not wait for its expiry. Best effort: otherwise it expires.
+   */
   async release(lease: HeldLease): Promise<void> {
     this.held.delete(lease.name);
     const rows = await this.table.read([leaseKey(lease.name)]);
@@ -174,8 +179,10 @@
     this.held.delete(name);
   }
 
-  /** The conditions under which the holder may be replaced; `undefined` while it may be alive. */
-  private async holderCondition(
+  /**
+   * Conditions under which the holder may be replaced; `undefined` while its session may not have expired.
+   */
+  private async expiryConditions(
     value: LeaseRow | undefined,
   ): Promise<Result<{ key: string; version: number }[] | undefined, StateError>> {
     if (!value || value.holder === '') return ok([]);
@@ -184,7 +191,7 @@
     const row = rows.value[0];
     const version = row?.version ?? 0;
     const condition = [{ key: sessionKey(value.holder), version }];
-    // The holder came back under another session: the old one can no longer be renewed.
+    // The holder has restarted with another session: the old one can no longer be renewed.
     if ((row?.value as SessionRow | undefined)?.session !== value.session) return ok(condition);
     const seen = this.observations.get(value.holder);
     if (seen?.version !== version) {
@@ -198,7 +205,7 @@
     name: string,
     lease: Row | undefined,
     epochRow: Row | undefined,
-    holderCondition: readonly { key: string; version: number }[],
+    expiryConditions: readonly { key: string; version: number }[],
   ): Promise<Result<HeldLease | undefined, StateError>> {
     const epoch = ((epochRow?.value as { epoch: number } | undefined)?.epoch ?? 0) + 1;
     const value: LeaseRow = { holder: this.nodeId, session: this.session, epoch };
@@ -206,7 +213,7 @@
       conditions: [
         { key: leaseKey(name), version: lease?.version ?? 0 },
         { key: epochKey(name), version: epochRow?.version ?? 0 },
-        ...holderCondition,
+        ...expiryConditions,
       ],
       writes: [
         { key: leaseKey(name), value },
@@ -219,7 +226,10 @@
     return ok(this.hold(name, epoch, (epochRow?.version ?? 0) + 1));
   }
 
-  /** A lease that this session was found to hold. The rows are read one after the other: both must be of one epoch. */
+  /**
+   * A lease that this session was found to hold. The rows are read one after the other: both must be of one
+   * epoch.
+   */
   private adopt(name: string, epoch: number, epochRow: Row | undefined): HeldLease | undefined {
     const epochValue = epochRow?.value as { epoch: number } | undefined;
     return epochRow && epochValue?.epoch === epoch ? this.hold(name, epoch, epochRow.version) : undefined;
