--- a/src/coordination/service/jobs/result-lister.ts
+++ b/src/coordination/service/jobs/result-lister.ts
@@ -60,7 +60,7 @@
  * Time for which a result may wait for others, milliseconds: `GATHER_MS` for an urgent one, else
  * `LONGEST_GATHER_MS` at most, and not beyond the time at which it is due (`untilDueMs`).
  */
-export function gatherMs(isUrgent: boolean, untilDueMs: number): number {
+function gatherMs(isUrgent: boolean, untilDueMs: number): number {
   return isUrgent ? GATHER_MS : Math.min(LONGEST_GATHER_MS, Math.max(GATHER_MS, untilDueMs));
 }
 
