--- a/src/coordination/service/generation/sample-scorer.ts
+++ b/src/coordination/service/generation/sample-scorer.ts
@@ -9,6 +9,7 @@
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import type { RoutingSnapshot, RoutingTable } from '../../../state/service/configuration/index.js';
 import type { RelayOutcome, ServiceRelay } from '../requests/index.js';
+import { isRouteGone } from './route-loss.js';
 
 /** How scoring ended. */
 export type ScoringOutcome =
@@ -28,8 +29,6 @@
 const LONGEST_PAUSE_MS = 400;
 /** Flow that scoring calls are charged to. */
 const SCORING_FLOW = 'scoring';
-/** A route missing for longer does not return, ms. Chosen: above the delay of a configuration change. */
-const ROUTE_GONE_MS = 3_000;
 /** Statuses from here on fail a scoring call: redirects have no score. */
 const FIRST_FAILURE_STATUS = 300;
 
@@ -71,7 +70,7 @@
     if (!snapshot) return undefined;
     const route = snapshot.match(call.host, call.path);
     if (!route) {
-      const isGone = monotonicMs() - progress.routeSeenAtMs > ROUTE_GONE_MS;
+      const isGone = isRouteGone(progress.routeSeenAtMs, monotonicMs());
       return isGone ? { kind: 'impossible', reason: 'the route of the scoring call is gone' } : undefined;
     }
     progress.routeSeenAtMs = monotonicMs();
--- a/src/coordination/service/jobs/item-route.ts
+++ b/src/coordination/service/jobs/item-route.ts
@@ -2,10 +2,9 @@
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { JobItem } from '../../../protocol/service/batch-job.js';
 import type { Route } from '../../../protocol/service/routing-configuration.js';
+import { isRouteGone } from '../generation/index.js';
 import type { ItemJob, ItemServices } from './item-services.js';
 
-/** A route missing for longer does not return, ms. Chosen: above the delay of a configuration change. */
-const ROUTE_GONE_MS = 3_000;
 /** Interval of checks for a missing route, milliseconds. Chosen, not measured. */
 const ROUTE_POLL_MS = 100;
 
@@ -31,7 +30,7 @@
       if (route) return route;
       const isKnown = this.services.routing.current !== undefined;
       if (this.job.signal.aborted) return undefined;
-      if (isKnown && monotonicMs() - waitingSinceMs > ROUTE_GONE_MS) return undefined;
+      if (isKnown && isRouteGone(waitingSinceMs, monotonicMs())) return undefined;
       await sleep(ROUTE_POLL_MS, this.job.signal);
     }
   }
--- a/src/coordination/service/jobs/job-calls.ts
+++ b/src/coordination/service/jobs/job-calls.ts
@@ -3,7 +3,7 @@
  *
  * Relies on the store, and on peers while the store rejects this node (`job-forwarding.ts`). Every call may
  * be repeated: a job is accepted once, results keep their positions, and an ended job stays ended. `unknown`
- * means that a submission may have been accepted; repeating it tells.
+ * means that a submission may have been accepted; a retry shows it.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
--- a/src/coordination/service/jobs/result-lister.ts
+++ b/src/coordination/service/jobs/result-lister.ts
@@ -6,7 +6,7 @@
  * read. So results are gathered, and listed at once when the submitter has what it waits for, or when they
  * are due (docs/design/rounds.md, results together).
  *
- * Relies on the store: a batch that it does not take is retried until the job is stopped, at the same
+ * Relies on the store: a batch that it does not accept is retried until the job is stopped, at the same
  * positions.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
--- a/src/coordination/service/requests/execution-count.ts
+++ b/src/coordination/service/requests/execution-count.ts
@@ -31,7 +31,7 @@
     return token;
   }
 
-  /** An attempt was handed over, after which it may run, or was not taken and is queued here again. */
+  /** An attempt was handed over, after which it may run, or was not accepted and is queued here again. */
   noteHandOver(token: AttemptToken, mayRun: boolean): void {
     if (mayRun) this.queuedHere.delete(token);
     else this.queuedHere.add(token);
