--- a/src/coordination/service/jobs/job-calls.ts
+++ b/src/coordination/service/jobs/job-calls.ts
@@ -165,7 +165,7 @@
     deadlineMs: number,
   ): Promise<SubmissionOutcome> {
     const { jobId, specification } = submission;
-    const known = this.services.ownership.known(jobId);
+    const known = this.services.ownership.heads.get(jobId);
     if (known && !belongsTo(known, tenant)) return 'foreign';
     if ((known?.record.total ?? 0) > 0) return 'accepted';
     const owner = await this.services.ownership.ownerForNext(specification.model);
@@ -191,7 +191,7 @@
   }
 
   private async findAnyHead(jobId: string): Promise<JobHead | 'not-found' | 'unavailable'> {
-    const known = this.services.ownership.known(jobId);
+    const known = this.services.ownership.heads.get(jobId);
     if (known) return known;
     if (!this.services.isStoreAnswering()) return 'unavailable';
     const found = await this.services.repository.read(jobId);
--- a/src/coordination/service/jobs/job-heads.ts
+++ b/src/coordination/service/jobs/job-heads.ts
@@ -17,6 +17,7 @@
   /** `storeNowMs` is the store's clock. */
   constructor(private readonly storeNowMs: () => number) {}
 
+  /** The head of a job as last seen. */
   get(jobId: string): JobHead | undefined {
     return this.heads.get(jobId);
   }
--- a/src/coordination/service/jobs/job-ownership.ts
+++ b/src/coordination/service/jobs/job-ownership.ts
@@ -45,7 +45,8 @@
 /** All jobs that this node knows, and those that it runs. */
 export class JobOwnership implements FeedHandler<readonly JobHead[]> {
   readonly table = JOB_TABLE;
-  private readonly heads: JobHeads;
+  /** Jobs that this node knows, its own or not. */
+  readonly heads: JobHeads;
   private readonly claims: JobClaims;
   private readonly runs = new Map<string, JobRun>();
   /** Jobs whose runs were cancelled while the store rejected this node. */
@@ -107,31 +108,11 @@
     return this.heads.open.some((head) => !this.isMine(head));
   }
 
-  /** Owners of open jobs. */
-  get owners(): OwnerReference[] {
-    return this.heads.owners;
-  }
-
-  /** Tokens of the recent jobs of a model. */
-  demandOf(model: string): number {
-    return this.heads.demandOf(model);
-  }
-
-  /** Items of the largest recent job of a model; 0 without one. */
-  requestsOf(model: string): number {
-    return this.heads.requestsOf(model);
-  }
-
   /** Whether this node runs the job and has read what was listed before. */
   isRunning(jobId: string): boolean {
     return this.runs.get(jobId)?.isLoaded ?? false;
   }
 
-  /** The head of a job as last seen. */
-  known(jobId: string): JobHead | undefined {
-    return this.heads.get(jobId);
-  }
-
   /** Adds a job that this node has just accepted, and runs it if it is the owner. */
   adopt(head: JobHead, specification: JobSpecification): void {
     const known = this.heads.get(head.jobId);
--- a/src/node/service/job-parts.ts
+++ b/src/node/service/job-parts.ts
@@ -65,7 +65,7 @@
     return {
       isHolder: () => this.ownership.isWarm,
       mustWatch: () => this.ownership.hasForeignJobs,
-      holders: () => this.ownership.owners,
+      holders: () => this.ownership.heads.owners,
     };
   }
 
--- a/src/node/service/load-parts.ts
+++ b/src/node/service/load-parts.ts
@@ -11,7 +11,7 @@
   ownership: JobOwnership,
 ): LoadCommander {
   const nodeName = context.self.node;
-  const demandOf = (model: string) => ownership.demandOf(model);
-  const requestsOf = (model: string) => ownership.requestsOf(model);
+  const demandOf = (model: string) => ownership.heads.demandOf(model);
+  const requestsOf = (model: string) => ownership.heads.requestsOf(model);
   return new LoadCommander({ ...context, lease, nodeName, demandOf, requestsOf });
 }
