--- a/src/coordination/service/generation/route-loss.ts
+++ b/src/coordination/service/generation/route-loss.ts
@@ -1,6 +1,6 @@
 /** When the missing route of an item or a scoring call counts as gone: a configuration may return it before. */
 
-/** A route missing for longer does not return, ms. Chosen: above the delay of a configuration change. */
+/** Chosen, not measured, ms: a configuration that lacks a route for a moment must make no item dead. */
 const ROUTE_GONE_MS = 3_000;
 
 /** Whether a route that was there at `seenAtMs`, or awaited since, is gone; both on the monotonic clock, ms. */
--- a/src/coordination/service/generation/sample-moves.ts
+++ b/src/coordination/service/generation/sample-moves.ts
@@ -5,7 +5,7 @@
 
 /** Most moves of one sample. Chosen: after two, samples stayed at slow replicas while fast ones were full. */
 const MAX_MOVES = 5;
-/** Least ratio of event times for a move. Chosen, not measured: above the scatter of a pace. */
+/** Least ratio of event times for a move. Chosen, not measured: less would not pay. */
 const MIN_SPEEDUP = 1.2;
 /** Least saving of a move, milliseconds: the prompt is read again. Chosen, not measured. */
 const MOVE_COST_MS = 300;
--- a/src/coordination/service/requests/relay-policy.ts
+++ b/src/coordination/service/requests/relay-policy.ts
@@ -14,7 +14,7 @@
 const HEDGE_FRACTION = 0.5;
 /** Least delay of a hedge, milliseconds. Chosen, not measured: a low target must not double every request. */
 const MIN_HEDGE_MS = 60;
-/** Least remaining time in which an attempt starts, ms. Chosen, not measured: no replica answers sooner. */
+/** Least remaining time in which an attempt starts, ms. Chosen, not measured: too short to be answered. */
 const MIN_ATTEMPT_MS = 5;
 /** Statuses from here on are failures of the replica. */
 const FIRST_FAILURE_STATUS = 500;
@@ -69,9 +69,7 @@
       readonly answer?: BufferedAnswer;
     };
 
-/**
- * Judges the outcome of an attempt. An error status is the final answer where the request must not run twice.
- */
+/** Judges an attempt's outcome. An error status is the final answer where a request must not run twice. */
 export function judgeAttempt(
   outcome: AttemptOutcome,
   isHedge: boolean,
