--- a/src/coordination/service/requests/execution-count.ts
+++ b/src/coordination/service/requests/execution-count.ts
@@ -8,7 +8,7 @@
 
 /** The attempts of one request. */
 export class ExecutionCount {
-  private attempts = 0;
+  private readonly attempts = new Set<AttemptToken>();
   private readonly queuedHere = new Set<AttemptToken>();
   private uncount = () => {};
 
@@ -19,15 +19,15 @@
 
   /** Attempts that run, may have run, or are still queued at this node. */
   get attemptCount(): number {
-    return this.attempts;
+    return this.attempts.size;
   }
 
   /** An attempt starts: queued here until it is handed over. */
   start(): AttemptToken {
     const token = {};
     this.queuedHere.add(token);
-    this.attempts += 1;
-    if (this.tenant !== undefined && this.attempts === 1) this.uncount = this.countRun(this.tenant);
+    this.attempts.add(token);
+    if (this.tenant !== undefined && this.attempts.size === 1) this.uncount = this.countRun(this.tenant);
     return token;
   }
 
@@ -37,20 +37,19 @@
     else this.queuedHere.add(token);
   }
 
-  /** An attempt has an outcome. */
+  /** An attempt has an outcome. One that was withdrawn may report afterwards that it has not run: it counts once. */
   noteEnded(token: AttemptToken, hasNotRun: boolean): void {
     this.queuedHere.delete(token);
-    if (hasNotRun) this.discard();
+    if (hasNotRun) this.discard(token);
   }
 
   /** Discards the attempts queued here, which their caller aborts before they can run. */
   withdrawQueued(): void {
-    for (const _ of this.queuedHere) this.discard();
+    for (const token of this.queuedHere) this.discard(token);
     this.queuedHere.clear();
   }
 
-  private discard(): void {
-    this.attempts -= 1;
-    if (this.attempts === 0) this.uncount();
+  private discard(token: AttemptToken): void {
+    if (this.attempts.delete(token) && this.attempts.size === 0) this.uncount();
   }
 }
--- a/src/coordination/service/requests/relay-run.ts
+++ b/src/coordination/service/requests/relay-run.ts
@@ -208,7 +208,11 @@
   private timedOut(): RelayOutcome {
     this.executions.withdrawQueued();
     const made = this.executions.attemptCount;
-    if (made === 0) return this.exhausted();
+    if (made === 0) {
+      // At once: a turn later another request's arrival could make the queue send what was just withdrawn.
+      this.controller.abort();
+      return this.exhausted();
+    }
     this.lastReason = `the time is over; ${made} attempt(s) made; before: ${this.lastReason}`;
     return this.failed(true);
   }
