--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,6 +1,6 @@
 /**
- * Benchmarks: `npm run bench -- relay|logging|soak`. Speeds live here, never in tests. The soak ends with exit code 1
- * when it found a broken promise; a benchmark that cannot run ends with an uncaught error.
+ * Benchmarks: `npm run bench -- relay|logging|soak`. Speeds live here, never in tests. The soak ends with
+ * exit code 1 when it found a broken promise; a benchmark that cannot run ends with an uncaught error.
  */
 import { configureLogging } from '../src/common/logging.js';
 import { benchLogging } from './logging.js';
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,7 +1,8 @@
 /**
- * Processor time that a node adds to a request to an application service, to 1,000 streamed tokens and to 1,000 tokens of
- * a trainer's samples, against the direct path to the same back end. Node and back ends are processes of their own, and
- * the paths take turns, so that both see the same state of the machine. An exchange that fails ends the benchmark.
+ * Processor time that a node adds to a request to an application service, to 1,000 streamed tokens and to
+ * 1,000 tokens of a trainer's samples, against the direct path to the same back end. Node and back ends are
+ * processes of their own, and the paths take turns, so that both see the same state of the machine. An
+ * exchange that fails ends the benchmark.
  */
 
 import { nextSequence } from '../emulator/clients/trainer-loop.js';
@@ -14,7 +15,10 @@
 import { processorMicroseconds } from './processor-time.js';
 import { printFigures } from './report.js';
 
-/** Sizes of the measurement, chosen, not measured: a round of one path uses seconds of processor time, counted in 10 ms. */
+/**
+ * Sizes of the measurement, chosen, not measured: a round of one path uses seconds of processor time, counted
+ * in 10 ms.
+ */
 const ROUNDS = 5;
 const REQUESTS = 2_000;
 const CONCURRENCY = 16;
--- a/bench/soak/checks.ts
+++ b/bench/soak/checks.ts
@@ -1,4 +1,6 @@
-/** The promises, checked on what clients and stand-ins have recorded. Each check returns one line for each breach. */
+/**
+ * The promises, checked against the records of clients and stand-ins. Each check returns one line per breach.
+ */
 import { itemIds } from '../../emulator/clients/job-trainer.js';
 import type { ReceivedOrder, ReceivedRequest } from '../../emulator/replica/replica-server.js';
 import type { ReceivedReport } from '../../emulator/usage/usage-server.js';
@@ -10,24 +12,25 @@
 const PROMISES = new Set([408, 421, 429, 503]);
 /** Time after the end of a job from which nothing of it may reach a replica, milliseconds. */
 const END_BOUND_MS = 3_000;
-/** Replicas that have ended under a request before it must be known, in what time, milliseconds, and how many more may end. */
+/**
+ * Crashes after which a request must be quarantined, time for that in milliseconds, and crashes allowed
+ * later.
+ */
 const KNOWN_ENDS = 3;
 const KNOWN_BOUND_MS = 3_000;
 const LATE_ENDS = 3;
 const STATUS_OK = 200;
 const STATUS_ACCEPTED = 202;
 
-/** The text that an item must have. */
-export type WholeText = (itemId: string) => string;
-
-/** What the stand-ins have recorded. */
+/** The records of the stand-ins. */
 export interface Evidence {
   readonly received: readonly ReceivedRequest[];
-  /** Orders that each replica received. */
+  /** Load commands that each replica received. */
   readonly orders: readonly (readonly ReceivedOrder[])[];
   readonly reports: readonly ReceivedReport[];
-  readonly wholeText: WholeText;
-  /** Least time between the orders of two holders at one replica, milliseconds. */
+  /** The text that an item must have. */
+  readonly wholeText: (itemId: string) => string;
+  /** Least time between the load commands of two leaders at one replica, milliseconds. */
   readonly apartMs: number;
 }
 
@@ -67,7 +70,7 @@
 }
 
 /** A completed result has the whole text, the score of its own call, and versions that the job allows. */
-function resultBreaches({ job, positions }: JobHistory, wholeText: WholeText): string[] {
+function resultBreaches({ job, positions }: JobHistory, wholeText: Evidence['wholeText']): string[] {
   const found: string[] = [];
   for (const { id, state, text, score, versions } of positions.values()) {
     if (state !== 'completed') continue;
@@ -87,7 +90,7 @@
     .map((id) => `${id}: ran although its job was only refused`);
 }
 
-/** After the end nothing of a job reaches a replica, once no trouble is on any more. */
+/** After its end nothing of a job reaches a replica, unless a fault was on. */
 function endBreaches(
   { job, endedAtMs }: JobHistory,
   received: readonly ReceivedRequest[],
@@ -104,7 +107,9 @@
 /** How much of a wrong answer is shown. */
 const SHOWN_CHARACTERS = 40;
 
-/** An answer is that of the request, and a refused lookup did not run; a full replica may have declined it. */
+/**
+ * An answer is that of the request, and a refused lookup did not run; a full replica may have declined it.
+ */
 function lookupBreaches({ id, status, body }: LookupHistory, begun: ReadonlySet<string>): string[] {
   if (status === STATUS_OK && body !== `answer to ${id}`)
     return [`${id}: answered with '${body.slice(0, SHOWN_CHARACTERS)}'`];
@@ -112,7 +117,9 @@
   return [];
 }
 
-/** A request that ends replicas ends three and a few more at once, and three later than that at most. */
+/**
+ * A request that crashes replicas crashes three and a few more at once, and three later than that at most.
+ */
 function fatalBreaches(ends: readonly FatalEnd[]): string[] {
   return [...groupBy(ends, ({ body }) => body)].flatMap(([body, ofBody]) => {
     const times = ofBody.map(({ atMs }) => atMs).sort((left, right) => left - right);
@@ -122,7 +129,10 @@
   });
 }
 
-/** A replica runs a lookup for the tenant of its key alone, never with a key, and never for a key that nobody has. */
+/**
+ * A replica runs a lookup for the tenant of its key alone, never with a key, and never for a key that nobody
+ * has.
+ */
 function tenantBreaches(lookups: readonly LookupHistory[], received: readonly ReceivedRequest[]): string[] {
   const tenants = new Map(lookups.map(({ id, tenant }) => [id, tenant]));
   return received.flatMap(({ id, tenant, authorization }) => {
@@ -157,7 +167,7 @@
   return wrong;
 }
 
-/** At one replica two holders are apart by the lease time, and fencing tokens never fall. */
+/** Load commands of two leaders at one replica are apart by the lease time, and fencing tokens never fall. */
 function orderBreaches(orders: readonly ReceivedOrder[], apartMs: number): string[] {
   const inOrder = [...orders].sort((left, right) => left.atMs - right.atMs);
   return inOrder.flatMap((order, at) => {
@@ -172,7 +182,7 @@
   });
 }
 
-/** No two holders share a fencing token, at whatever replicas. */
+/** No two leaders share a fencing token, at any replicas. */
 function sharedTokens(orders: readonly ReceivedOrder[]): string[] {
   const byToken = groupBy(orders, ({ fence }) => fence);
   return [...byToken].flatMap(([fence, ofToken]) => {
--- a/bench/soak/configuration-probes.ts
+++ b/bench/soak/configuration-probes.ts
@@ -1,6 +1,6 @@
 /**
- * Asks each node by requests which configuration it has in force, and judges the answers: by routes that were added,
- * dropped or moved.
+ * Probes by requests which configuration each node has in force, and judges the answers by routes that were
+ * added, dropped or moved.
  */
 import { monotonicMs, sleep } from '../../src/common/clock.js';
 import type { ServiceNodeProcess, ServiceSystem } from '../../test/support/service-system.js';
@@ -26,7 +26,7 @@
   readonly signal: AbortSignal;
 }
 
-/** Probes one node after the other until the signal; a probe that waits holds no other up. */
+/** Probes one node after the other until the signal; probes do not wait for each other. */
 export async function probeNodes(parts: ProbeParts): Promise<void> {
   const open = new Set<Promise<void>>();
   for (let turn = 0; !parts.signal.aborted; turn += 1) {
@@ -95,7 +95,7 @@
   );
 }
 
-/** Whether no trouble of the node or the store was on from `contactMs` before the question to the answer. */
+/** Whether no fault of the node or the store was on from `contactMs` before the probe to its answer. */
 function isInTouch(probe: ProbeHistory, { faults, contactMs }: ProbeEvidence): boolean {
   return !faults.some(
     ({ kind, nodes, fromMs, untilMs }) =>
@@ -105,14 +105,17 @@
   );
 }
 
-/** Troubles in which no node can learn of changes; old reads and a lost history are none of them. */
+/** Faults in which no node can learn of changes; old reads and a lost history are none of them. */
 const OUTAGES = new Set(['store-silent', 'store-busy', 'store-reset', 'store-operator-table-silent']);
 
 function isOutage(kind: string): boolean {
   return OUTAGES.has(kind);
 }
 
-/** Answers of nodes in touch that only a configuration older than the bound allows, or one that nobody has written. */
+/**
+ * Answers of connected nodes that only a configuration older than the bound explains, or none that was
+ * written.
+ */
 function lateBreaches(probes: readonly ProbeHistory[], evidence: ProbeEvidence): string[] {
   return probes.flatMap((probe) => {
     if (!isInTouch(probe, evidence)) return [];
@@ -123,7 +126,7 @@
   });
 }
 
-/** Answers that only an older configuration allows than one which the same process has shown before. */
+/** Answers explained only by an older configuration than one which the same process has shown before. */
 function regressBreaches(probes: readonly ProbeHistory[], evidence: ProbeEvidence): string[] {
   const shown = new Map<string, { readonly number: number; readonly atMs: number }[]>();
   const inOrder = [...probes].sort((left, right) => left.answeredAtMs - right.answeredAtMs);
@@ -140,7 +143,7 @@
   });
 }
 
-/** Added routes that are in force beyond doubt are served. */
+/** Added routes that are certainly in force are served. */
 function unservedBreaches(probes: readonly ProbeHistory[], evidence: ProbeEvidence): string[] {
   const asked = probes.filter((probe) => isInTouch(probe, evidence) && isSurelyAdded(probe, evidence));
   const served = asked.filter(({ status }) => status === STATUS_OK).length;
--- a/bench/soak/configuration-series.ts
+++ b/bench/soak/configuration-series.ts
@@ -1,7 +1,7 @@
 /**
- * The configurations that the operator of a soak writes. Each one adds a route, drops the oldest of the added ones, moves a
- * route to the other of two services, and changes a time-out and a key; so that what a node does with a request tells which
- * of them it has in force.
+ * The configurations that the operator of a soak writes. Each one adds a route, drops the oldest of the added
+ * ones, moves a route to the other of two services, and changes a time-out and a key; so that what a node
+ * does with a request tells which of them it has in force.
  */
 import { monotonicMs } from '../../src/common/clock.js';
 import {
--- a/bench/soak/load.ts
+++ b/bench/soak/load.ts
@@ -7,6 +7,9 @@
 import { CHANGING_KEY } from './configuration-series.js';
 import { type History, type JobHistory, jobHistory, notePage } from './records.js';
 
+/**
+ * Longest time for a step and for a submission, and pauses between calls, milliseconds. Chosen, not measured.
+ */
 const STEP_LIMIT_MS = 8_000;
 const SUBMIT_LIMIT_MS = 6_000;
 const PAUSE_MS = 60;
@@ -21,20 +24,18 @@
 /** Part of the items that a trainer waits for. */
 const AWAITED = 0.9;
 
-/** Where the clients' calls may go now. */
-export type NodeUrls = () => readonly string[];
-
-/** What the clients share. */
+/** Shared state of the clients. */
 export interface Load {
   readonly system: ServiceSystem;
   readonly trainer: JobTrainer;
-  readonly nodes: NodeUrls;
+  /** URLs of the running nodes. */
+  readonly nodes: () => readonly string[];
   readonly history: History;
   readonly random: Random;
   readonly signal: AbortSignal;
 }
 
-/** Asks step after step of one model; resolves to the number of whole steps. */
+/** Runs step after step of one model; resolves to the number of whole steps. */
 export async function trainSteps(load: Load, model: string): Promise<number> {
   let whole = 0;
   for (let step = 1; !load.signal.aborted; step += 1) {
@@ -128,7 +129,7 @@
   load.history.lookups.push({ id, tenant, status: answer?.status ?? 0, body });
 }
 
-/** Reads every accepted job from the start at several nodes, after the last trouble. */
+/** Reads every accepted job from the start at several nodes, after the last fault. */
 export async function readAgain(load: Load, histories: readonly JobHistory[]): Promise<string[]> {
   const unreadable: string[] = [];
   for (const history of histories)
--- a/bench/soak/records.ts
+++ b/bench/soak/records.ts
@@ -1,4 +1,4 @@
-/** What a soak remembers: written by its clients, never by the nodes under test. */
+/** Records of a soak: written by its clients, never by the nodes under test. */
 import type { ReadResult, TrainerJob } from '../../emulator/clients/job-trainer.js';
 
 /** A job as its trainer saw it. */
@@ -45,16 +45,16 @@
   readonly status: number;
 }
 
-/** A span in which a trouble was on, milliseconds. */
+/** A span in which a fault was on, milliseconds. */
 export interface FaultSpan {
   readonly kind: string;
-  /** Names of the nodes that it struck; none for a trouble elsewhere. */
+  /** Names of the affected nodes; none for a fault elsewhere. */
   readonly nodes?: readonly string[];
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** Everything that a soak remembers. */
+/** All records of a soak. */
 export interface History {
   readonly jobs: JobHistory[];
   readonly lookups: LookupHistory[];
--- a/bench/soak/shape.ts
+++ b/bench/soak/shape.ts
@@ -1,4 +1,4 @@
-/** What a soak plays: how many processes, and what the store and the operator's bounds are like. Times are in milliseconds. */
+/** Deployments that a soak runs: processes, the store, the operator's bounds. Times are in milliseconds. */
 
 /** One deployment. */
 export interface Shape {
@@ -6,17 +6,17 @@
   readonly zones: number;
   readonly engines: number;
   readonly applications: number;
-  /** Requests that an application runs at once: fewer than there are nodes, so that its places are dealt out by homes. */
+  /** Slots of an application: fewer than there are nodes, so that its requests go through dispatchers. */
   readonly applicationSlots: number;
-  /** Routes that nobody asks for. */
+  /** Routes without requests. */
   readonly idleRoutes: number;
-  /** Time of an answer of the store, and calls that it takes in a second from all nodes together. */
+  /** Time of an answer of the store, and its limit of calls per second from all nodes together. */
   readonly storeAnswerMs: number;
   readonly storeReadsPerSecond: number;
   readonly storeWritesPerSecond: number;
-  /** Time after which a change of the configuration is in force at a node in touch. */
+  /** Time after which a change of the configuration is in force at a connected node. */
   readonly configurationBoundMs: number;
-  /** Time without trouble after which a node is in touch. */
+  /** Time without a fault after which a node counts as connected. */
   readonly contactMs: number;
   /** Nodes that are probed in a second. */
   readonly probesPerSecond: number;
--- a/emulator/clients/caller-loop.ts
+++ b/emulator/clients/caller-loop.ts
@@ -1,4 +1,7 @@
-/** Stand-in of callers: sends requests to an application service and checks that each answer is whole and its own. */
+/**
+ * Stand-in of callers: sends requests to an application service and checks that each answer is whole and its
+ * own.
+ */
 import { sleep } from '../../src/common/clock.js';
 import { uniqueId } from '../../src/common/identifier.js';
 import { Random } from '../../src/common/random.js';
@@ -28,6 +31,7 @@
   readonly outcomes: Readonly<Record<string, string>>;
 }
 
+/** Repeats of one request, and the pause before each, milliseconds. Chosen, not measured. */
 const MAX_REPEATS = 10;
 const REPEAT_DELAY_MS = 200;
 
@@ -65,22 +69,33 @@
   }
 
   private async request(workId: string): Promise<string> {
-    let isUnknown = false;
-    for (let attempt = 0; ; attempt += 1) {
-      const { outcome, code } = await this.attempt(workId);
-      if (outcome === 'answered' || outcome === 'wrong') return outcome;
-      this.refusals[`${code} (executed: ${outcome})`] =
-        (this.refusals[`${code} (executed: ${outcome})`] ?? 0) + 1;
-      if (outcome !== 'no') isUnknown = true;
-      // A refusal that says "not run" may be repeated; anything else only under its key.
-      const mayRepeat = outcome === 'no' || this.options.keyed;
-      if (!mayRepeat || attempt >= MAX_REPEATS || code === 'outcome-unknown')
-        return isUnknown ? 'unknown' : 'no';
+    const first = await this.attempt(workId);
+    const results = [first];
+    for (let last = first; this.mayRepeat(last) && results.length <= MAX_REPEATS; results.push(last)) {
       await sleep(REPEAT_DELAY_MS);
+      last = await this.attempt(workId);
     }
+    const { outcome } = results.at(-1) ?? first;
+    if (outcome === 'answered' || outcome === 'wrong') return outcome;
+    return results.every((result) => result.outcome === 'no') ? 'no' : 'unknown';
   }
 
+  /** A request that has not run may be repeated; any other only under its key. */
+  private mayRepeat({ outcome, code }: Attempt): boolean {
+    if (outcome === 'answered' || outcome === 'wrong' || code === 'outcome-unknown') return false;
+    return outcome === 'no' || this.options.keyed;
+  }
+
+  /** Sends the request once and counts a refusal. */
   private async attempt(workId: string): Promise<Attempt> {
+    const attempt = await this.send(workId);
+    if (attempt.outcome === 'answered' || attempt.outcome === 'wrong') return attempt;
+    const refusal = `${attempt.code} (executed: ${attempt.outcome})`;
+    this.refusals[refusal] = (this.refusals[refusal] ?? 0) + 1;
+    return attempt;
+  }
+
+  private async send(workId: string): Promise<Attempt> {
     const { token, service, keyed, nodes } = this.options;
     const headers: Record<string, string> = { authorization: `Bearer ${token}`, 'x-work-id': workId };
     if (keyed) headers['idempotency-key'] = workId;
@@ -103,6 +118,7 @@
     const { code, executed } = JSON.parse(body) as { code: string; executed: 'no' | 'unknown' | 'yes' };
     return { outcome: executed, code };
   } catch {
+    // Not in the wire format: the caller knows nothing of the request.
     return { outcome: 'unknown', code: 'unreadable' };
   }
 }
@@ -112,6 +128,7 @@
     const answer = JSON.parse(body) as { workId: string; body: string };
     return answer.workId === workId && answer.body === `body of ${workId}`;
   } catch {
+    // A truncated answer is not the caller's own.
     return false;
   }
 }
--- a/emulator/clients/job-trainer.ts
+++ b/emulator/clients/job-trainer.ts
@@ -1,4 +1,7 @@
-/** Stand-in of a trainer of the platform: submits a job to one node, reads its results from another, and ends it. */
+/**
+ * Stand-in of a trainer of the platform: submits a job to one node, reads its results from another, and ends
+ * it.
+ */
 import { HEADER, JOB_PATH } from '../../platform/names.js';
 import { sleep } from '../../src/common/clock.js';
 import { HttpClient } from '../../src/transport/http-client.js';
--- a/emulator/clients/trainer-loop.ts
+++ b/emulator/clients/trainer-loop.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a trainer: submits steps, draws samples through changing nodes, publishes versions, and counts what
- * it received. The counts come from the samples alone, not from what the service says of itself.
+ * Stand-in of a trainer: submits steps, draws samples through changing nodes, publishes versions, and counts
+ * what it received. The counts come from the samples alone, not from what the service says of itself.
  */
 import { monotonicMs, sleep } from '../../src/common/clock.js';
 import { Random } from '../../src/common/random.js';
@@ -35,7 +35,10 @@
   readonly samplesDelivered: number;
   readonly duplicates: number;
   readonly missing: number;
-  /** Versions by which the oldest segment of a sample lagged behind the newest version at its receipt, at most. */
+  /**
+   * Versions by which the oldest segment of a sample lagged behind the newest version at its receipt, at
+   * most.
+   */
   readonly maxStaleness: number;
   readonly meanStaleness: number;
   /** Segments whose version differs from what the tokens themselves say. */
--- a/emulator/cluster.ts
+++ b/emulator/cluster.ts
@@ -1,4 +1,4 @@
-/** A whole system in one process: platform, engines, application back ends and nodes. For the demo and benchmarks. */
+/** A whole system in one process: platform, engines, application back ends and nodes. For the demo. */
 import { createPlatformStore } from '../platform/store-factory.js';
 import { sleep } from '../src/common/clock.js';
 import { sha256Hex, uniqueId } from '../src/common/identifier.js';
@@ -22,6 +22,7 @@
 import { PlatformServer } from './platform/platform-server.js';
 
 const HOST = '127.0.0.1';
+/** Poll and longest wait until all nodes are ready, milliseconds. Chosen, not measured. */
 const POLL_MS = 20;
 const READY_TIMEOUT_MS = 20_000;
 
--- a/emulator/demo.ts
+++ b/emulator/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The main job with everything embedded in one process: operators declare, a trainer runs steps, callers ask, and the
- * last line says what the trainer and the callers counted.
+ * The main job with everything embedded in one process: operators declare, a trainer runs steps, callers ask,
+ * and the last line says what the trainer and the callers counted.
  */
 import { configureLogging } from '../src/common/logging.js';
 import { CallerLoop } from './clients/caller-loop.js';
--- a/emulator/engine/engine-server.ts
+++ b/emulator/engine/engine-server.ts
@@ -1,4 +1,4 @@
-/** HTTP interface of an engine stand-in, in the wire format of `src/protocol/engine.ts`. */
+/** HTTP interface of an engine stand-in, in the wire format of `src/protocol/resource/engine.ts`. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
   EngineCommandSchema,
--- a/emulator/job-demo.ts
+++ b/emulator/job-demo.ts
@@ -1,6 +1,6 @@
 /**
- * One batch job on two serving nodes in this process, from its submission to its last result: the stand-ins of the
- * platform's store, of three model engines and of an application that scores.
+ * One batch job on two serving nodes in this process, from its submission to its last result: the stand-ins
+ * of the platform's store, of three model engines and of an application that scores.
  */
 
 import { Ingress } from '../platform/ingress.js';
--- a/emulator/platform/platform-server.ts
+++ b/emulator/platform/platform-server.ts
@@ -1,6 +1,7 @@
 /**
- * Stand-ins of the platform in one server: the store (faults of `table` for its rows, of `store` for its objects),
- * the weight store under `/weights`, the machine list under `/list`. Faults are set by `PUT /control/{part}/faults`.
+ * Stand-ins of the platform in one server: the store (faults of `table` for its rows, of `store` for its
+ * objects), the weight store under `/weights`, the machine list under `/list`. Faults are set by `PUT
+ * /control/{part}/faults`.
  */
 import { STORE_PATH } from '../../platform/names.js';
 import { sleep } from '../../src/common/clock.js';
--- a/emulator/replica/replica-server.ts
+++ b/emulator/replica/replica-server.ts
@@ -1,12 +1,14 @@
 /**
- * Stand-in of one replica of the platform: an application service that answers signed bodies, or a model engine that
- * streams events, reports, and takes orders. It announces itself in the store's rows. Its troubles are methods and fields.
+ * Stand-in of one replica of the platform: an application service that answers signed bodies, or a model engine
+ * that streams events, reports, and executes load commands. It announces itself in the store's rows. Its faults
+ * are methods and fields that tests set. Over 300 lines, a third of them the fields and options of these faults.
  */
-import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import type { AddressInfo, Socket } from 'node:net';
+import type { IncomingMessage, ServerResponse } from 'node:http';
 import { HEADER, REPLICA_PATH, TABLE } from '../../platform/names.js';
 import { monotonicMs, sleep } from '../../src/common/clock.js';
+import { LoopbackServer, receiveBody } from '../loopback-server.js';
 import type { RowStore } from '../store/row-store.js';
+import { cutStream, eventText, idOf, numeric, rawHead, signed, writeStreamHead } from './replica-answers.js';
 
 /** How a replica is set up. */
 export interface ReplicaOptions {
@@ -59,12 +61,16 @@
   readonly atMs: number;
 }
 
-let nextReplica = 0;
+/** Faults that strike a number of times. */
+type CountedFault =
+  | 'surplusAnswers'
+  | 'unframedCuts'
+  | 'unframedStreams'
+  | 'streamsToBreak'
+  | 'unreadableVersions'
+  | 'ordersToDelay';
 
-/** The data of an event: it follows from the request and its number alone. */
-export function eventData(requestId: string, number: number): string {
-  return `${requestId}/${number}`;
-}
+let nextReplica = 0;
 
 /** One replica. */
 export class ReplicaServer {
@@ -100,8 +106,6 @@
   workMs: number;
   /** Time of a load, milliseconds. */
   loadMs: number;
-  /** Connections that were opened so far. */
-  openedConnections = 0;
   /** When this life began, as it says, milliseconds since 1970. */
   bornMs = 0;
   private hasCrashed = false;
@@ -113,8 +117,7 @@
   private active = 0;
   /** Lives so far: what was begun in one is not gone on with in another. */
   private life = 0;
-  private server: Server;
-  private readonly sockets = new Set<Socket>();
+  private readonly server = new LoopbackServer((request, response) => void this.serve(request, response));
 
   constructor(
     private readonly rows: RowStore,
@@ -123,17 +126,15 @@
     this.versions = new Map(Object.entries(options.models ?? {}));
     this.workMs = options.workMs ?? 5;
     this.loadMs = options.loadMs ?? 50;
-    this.server = this.createServer();
   }
 
-  private createServer(): Server {
-    const server = createServer((request, response) => void this.serve(request, response));
-    server.on('connection', (socket) => {
-      this.sockets.add(socket);
-      this.openedConnections += 1;
-      socket.on('close', () => this.sockets.delete(socket));
-    });
-    return server;
+  /** Connections that were opened so far. */
+  get openedConnections(): number {
+    return this.server.openedConnections;
+  }
+
+  private get eventCount(): number {
+    return this.options.events ?? 5;
   }
 
   /** Requests that it works on now. */
@@ -153,31 +154,29 @@
 
   /** Connections that are open. */
   connectionCount(): number {
-    return this.sockets.size;
+    return this.server.connectionCount;
   }
 
   /** Starts and announces itself; a successor takes the port of the one before. */
   async start(port = 0): Promise<this> {
-    await new Promise<void>((resolve) => this.server.listen(port, '127.0.0.1', resolve));
+    this.address = await this.server.start(port);
     nextReplica += 1;
     this.id = `replica-${nextReplica}`;
-    this.address = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
     this.bornMs = Date.now();
     this.announce('ready');
     return this;
   }
 
   /**
-   * Ends at once and starts again under its id, at its address: it knows nothing of before, but has the weights that it had.
-   * Connections of before break, or stay silent for good.
+   * Ends at once and starts again under its id, at its address: it knows nothing of before, but has the
+   * weights that it had. Connections of before break, or stay silent for good.
    */
   async startAgain({ downMs = 0, clockStepMs = 0, isDark = false }: RestartOptions = {}): Promise<void> {
     if (isDark) this.server.close();
     else this.crash();
     this.life += 1;
     await sleep(downMs);
-    this.server = this.createServer();
-    await new Promise<void>((resolve) => this.server.listen(this.port, '127.0.0.1', resolve));
+    await this.server.start(Number(this.address.slice(this.address.lastIndexOf(':') + 1)));
     this.hasCrashed = false;
     this.isSilent = false;
     this.isLoading = false;
@@ -188,10 +187,6 @@
     this.announce('ready');
   }
 
-  private get port(): number {
-    return Number(this.address.slice(this.address.lastIndexOf(':') + 1));
-  }
-
   /** Writes its row. */
   announce(state: 'ready' | 'draining'): void {
     this.state = state;
@@ -228,8 +223,7 @@
   /** Ends at once; its row stays until `withdraw`. */
   crash(): void {
     this.hasCrashed = true;
-    this.server.close();
-    for (const socket of this.sockets) socket.destroy();
+    this.server.stop();
   }
 
   /** Removes its row. */
@@ -243,25 +237,22 @@
   }
 
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const chunks: Buffer[] = [];
-    try {
-      for await (const chunk of request) chunks.push(chunk as Buffer);
-    } catch {
-      return;
-    }
-    if (this.isSilent) return;
-    const body = Buffer.concat(chunks);
+    const body = await receiveBody(request);
+    if (!body || this.isSilent) return;
     if (request.url === REPLICA_PATH.report) return this.report(response);
     const expected = request.headers[HEADER.expectReplica];
-    const id = String(request.headers[HEADER.requestId] ?? '');
-    const echo = { [HEADER.requestId]: id };
     if (expected !== undefined && expected !== this.id) {
-      response.writeHead(421, echo).end();
+      response.writeHead(421, { [HEADER.requestId]: idOf(request) }).end();
       return;
     }
     if (request.url === REPLICA_PATH.order) return this.takeOrder(response, body);
+    await this.run(request, response, body.toString('utf8'));
+  }
+
+  /** Runs a request when a slot is free, and declines it otherwise. */
+  private async run(request: IncomingMessage, response: ServerResponse, body: string): Promise<void> {
     const received: ReceivedRequest = {
-      id,
+      id: idOf(request),
       path: request.url ?? '',
       deadlineMs: numeric(request, HEADER.deadlineMs),
       lastEventId: request.headers[HEADER.lastEventId] as string | undefined,
@@ -272,15 +263,14 @@
     };
     this.received.push(received);
     if (this.active >= (this.options.slots ?? 4)) {
-      response.writeHead(503, { ...echo, [HEADER.notExecuted]: '1' }).end();
+      response.writeHead(503, { [HEADER.requestId]: received.id, [HEADER.notExecuted]: '1' }).end();
       return;
     }
     const { life } = this;
     this.active += 1;
     received.beganAtMs = Date.now();
-    const text = body.toString('utf8');
-    if (this.fatalPrefix !== undefined && text.startsWith(this.fatalPrefix)) await this.endUnder(text);
-    else await this.work(request, response, id);
+    if (this.fatalPrefix !== undefined && body.startsWith(this.fatalPrefix)) await this.endUnder(body);
+    else await this.work(request, response, received.id);
     if (life === this.life) this.active -= 1;
   }
 
@@ -293,78 +283,71 @@
   }
 
   private async work(request: IncomingMessage, response: ServerResponse, id: string): Promise<void> {
-    const { life } = this;
     if (this.failWith !== undefined) {
-      response
-        .writeHead(this.failWith, { [HEADER.requestId]: id, [HEADER.signature]: 'failure' })
-        .end('failed');
-      return;
-    }
-    if (this.surplusAnswers > 0) {
-      this.surplusAnswers -= 1;
-      const head = `HTTP/1.1 200 OK\r\n${HEADER.requestId}: other\r\n${HEADER.signature}: other\r\n`;
-      request.socket.write(`${head}content-length: 5\r\n\r\nother`);
-    }
-    if (this.unframedCuts > 0) {
-      this.unframedCuts -= 1;
-      const head = `HTTP/1.1 200 OK\r\n${HEADER.requestId}: ${id}\r\n${HEADER.signature}: signed-${id}\r\n`;
-      request.socket.write(`${head}connection: close\r\n\r\nansw`);
-      await sleep(this.workMs);
-      if (this.cutsByReset) request.socket.resetAndDestroy();
-      else request.socket.end();
+      response.writeHead(this.failWith, signed(id, 'failure')).end('failed');
       return;
     }
+    if (this.take('surplusAnswers'))
+      request.socket.write(`${rawHead('other', 'other')}content-length: 5\r\n\r\nother`);
+    if (this.take('unframedCuts')) return this.cutUnframed(request, id);
     if (this.versions.size > 0) return this.stream(request, response, id);
+    return this.answer(request, response, id);
+  }
+
+  private async cutUnframed({ socket }: IncomingMessage, id: string): Promise<void> {
+    socket.write(`${rawHead(id, `signed-${id}`)}connection: close\r\n\r\nansw`);
+    await sleep(this.workMs);
+    if (this.cutsByReset) socket.resetAndDestroy();
+    else socket.end();
+  }
+
+  private async answer(request: IncomingMessage, response: ServerResponse, id: string): Promise<void> {
+    const { life } = this;
     const allowedMs = numeric(request, HEADER.deadlineMs) ?? Number.POSITIVE_INFINITY;
     const isInTime = this.workMs <= allowedMs;
     await sleep(isInTime ? this.workMs : allowedMs);
     if (response.destroyed || life !== this.life) return;
-    response
-      .writeHead(isInTime ? 200 : 504, { [HEADER.requestId]: id, [HEADER.signature]: `signed-${id}` })
-      .end(`answer to ${id}`);
+    response.writeHead(isInTime ? 200 : 504, signed(id)).end(`answer to ${id}`);
   }
 
   private async stream(request: IncomingMessage, response: ServerResponse, id: string): Promise<void> {
     const { life } = this;
     const model = String(request.headers.model ?? [...this.versions.keys()][0]);
-    let version = this.versions.get(model) ?? 0;
+    const versionNow = () => this.versions.get(model) ?? 0;
     const first = Number(request.headers[HEADER.lastEventId] ?? 0) + 1;
-    const isUnframed = this.unframedStreams > 0;
-    if (isUnframed) {
-      this.unframedStreams -= 1;
-      response.useChunkedEncodingByDefault = false;
-      response.shouldKeepAlive = false;
-    }
-    const breaks = this.streamsToBreak > 0;
-    if (breaks) this.streamsToBreak -= 1;
-    const isUnreadable = this.unreadableVersions > 0;
-    if (isUnreadable) this.unreadableVersions -= 1;
-    const head = {
-      'content-type': 'text/event-stream',
-      [HEADER.requestId]: id,
-      [HEADER.signature]: `signed-${id}`,
-      [HEADER.weightVersions]: String(version),
-    };
-    response.writeHead(200, head);
-    for (let number = first; number <= (this.options.events ?? 5); number += 1) {
+    const fault = this.takeStreamFault(first);
+    let version: number | string = versionNow();
+    writeStreamHead(response, id, version, fault.isUnframed);
+    for (let number = first; number <= this.eventCount; number += 1) {
       await sleep(this.workMs);
-      if (response.destroyed || life !== this.life) return;
-      if (this.isSilent) return;
-      if (isUnframed && number - first >= this.breakAfterEvents) break;
-      if (breaks && number - first >= this.breakAfterEvents) {
-        response.write(`id: ${number}\nda`);
-        request.socket.destroy();
-        return;
-      }
-      const newest = this.versions.get(model) ?? 0;
-      const named = isUnreadable && number === first + 1 ? 'x' : newest;
-      const change = named === version ? '' : `${HEADER.weightVersions}: ${named}\n`;
-      version = newest;
-      response.write(`${change}id: ${number}\ndata: ${eventData(id, number)}\n\n`);
+      if (response.destroyed || life !== this.life || this.isSilent) return;
+      if (fault.isCutAt(number)) return cutStream(request, response, number, fault.isUnframed);
+      const named = fault.versionAt(number, versionNow());
+      response.write(eventText(id, number, named === version ? undefined : named));
+      version = versionNow();
     }
     response.end();
   }
 
+  /** Faults of a stream that begins now with event `first`. */
+  private takeStreamFault(first: number) {
+    const isUnframed = this.take('unframedStreams');
+    const isCut = this.take('streamsToBreak') || isUnframed;
+    const isUnreadable = this.take('unreadableVersions');
+    return {
+      isUnframed,
+      isCutAt: (number: number) => isCut && number - first >= this.breakAfterEvents,
+      versionAt: (number: number, version: number) => (isUnreadable && number === first + 1 ? 'x' : version),
+    };
+  }
+
+  /** Whether a fault strikes now; counts it. */
+  private take(fault: CountedFault): boolean {
+    if (this[fault] <= 0) return false;
+    this[fault] -= 1;
+    return true;
+  }
+
   private report(response: ServerResponse): void {
     response.writeHead(200, { 'content-type': 'application/json' }).end(
       JSON.stringify({
@@ -382,8 +365,7 @@
   private takeOrder(response: ServerResponse, body: Buffer): void {
     const order = JSON.parse(body.toString('utf8')) as Omit<ReceivedOrder, 'atMs'>;
     this.orders.push({ ...order, atMs: monotonicMs() });
-    if (this.ordersToDelay > 0) {
-      this.ordersToDelay -= 1;
+    if (this.take('ordersToDelay')) {
       setTimeout(() => this.carryOut(order), this.lateOrderMs);
       return;
     }
@@ -405,8 +387,3 @@
     return 202;
   }
 }
-
-function numeric(request: IncomingMessage, name: string): number | undefined {
-  const value = request.headers[name];
-  return value === undefined ? undefined : Number(value);
-}
--- a/emulator/store/row-store.ts
+++ b/emulator/store/row-store.ts
@@ -1,6 +1,6 @@
 /**
- * Rows of the stand-in of the platform's store: one counter of versions, transactions, a history for feeds, and reads as
- * of an earlier moment.
+ * Rows of the stand-in of the platform's store: one counter of versions, transactions, a history for feeds,
+ * and reads as of an earlier moment.
  */
 import { monotonicMs } from '../../src/common/clock.js';
 
--- a/emulator/store/store-server.ts
+++ b/emulator/store/store-server.ts
@@ -1,10 +1,11 @@
-/** Stand-in of the platform's store over HTTP, with its troubles by switch. */
-import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import type { AddressInfo, Socket } from 'node:net';
+/** Stand-in of the platform's store over HTTP. Its faults are fields that tests set. */
+import type { IncomingMessage, ServerResponse } from 'node:http';
 import { STORE_PATH } from '../../platform/names.js';
 import { monotonicMs, sleep } from '../../src/common/clock.js';
+import { LoopbackServer, receiveBody } from '../loopback-server.js';
 import { RowStore, type Transaction } from './row-store.js';
 
+/** Limits of the platform's store. */
 const PAGE_ROWS = 500;
 const PAGE_NAMES = 1_000;
 const MAX_ENTRIES = 100;
@@ -36,11 +37,13 @@
   /** Transactions, from the next one, that are done after `lateMs` and never answered. */
   transactionsToDelay = 0;
   lateMs = 0;
-  /** Reads of ranges show the rows as they were this much earlier, milliseconds; feeds and transactions don't. */
+  /**
+   * Reads of ranges show the rows as they were this much earlier, milliseconds; feeds and transactions don't.
+   */
   readsBehindMs = 0;
   /** Calls about this table are taken and never answered. */
   silentTable: string | undefined;
-  /** Calls of all clients together that are taken in a second; further ones get 429. */
+  /** Most calls of all clients together in a second; further ones get 429. */
   writesPerSecond = Number.POSITIVE_INFINITY;
   readsPerSecond = Number.POSITIVE_INFINITY;
   /** Calls that got 429. */
@@ -52,36 +55,21 @@
   private readonly writes = new SecondCounter();
   private readonly reads = new SecondCounter();
   private readonly objects = new Map<string, Buffer>();
-  private readonly server: Server;
-  private readonly sockets = new Set<Socket>();
-
-  constructor() {
-    this.server = createServer((request, response) => void this.serve(request, response));
-    this.server.on('connection', (socket) => {
-      this.sockets.add(socket);
-      socket.on('close', () => this.sockets.delete(socket));
-    });
-  }
+  private readonly server = new LoopbackServer((request, response) => void this.serve(request, response));
 
   /** Starts; resolves to `IP:PORT`. */
-  async start(port = 0): Promise<string> {
-    await new Promise<void>((resolve) => this.server.listen(port, '127.0.0.1', resolve));
-    return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
+  start(port = 0): Promise<string> {
+    return this.server.start(port);
   }
 
   stop(): void {
-    this.server.close();
-    for (const socket of this.sockets) socket.destroy();
+    this.server.stop();
   }
 
   /** Serves one call. */
   async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const chunks: Buffer[] = [];
-    try {
-      for await (const chunk of request) chunks.push(chunk as Buffer);
-    } catch {
-      return;
-    }
+    const body = await receiveBody(request);
+    if (!body) return;
     if (this.delayMs > 0) await sleep(this.delayMs);
     if (this.mode === 'silent') return;
     if (this.mode === 'reset') {
@@ -89,7 +77,7 @@
       return;
     }
     if (this.mode === 'busy') return this.answer(response, 503, {});
-    await this.route(request, response, Buffer.concat(chunks));
+    await this.route(request, response, body);
   }
 
   private async route(request: IncomingMessage, response: ServerResponse, body: Buffer): Promise<void> {
@@ -104,7 +92,7 @@
     return this.serveObject(response, url.pathname, body);
   }
 
-  /** Counts a call; false when the second has no room for it. */
+  /** Counts a call; false when the rate of its second is used up. */
   private isWithinRate(path: string): boolean {
     const isWrite = WRITING_PATHS.some((writing) => path.startsWith(writing));
     const rate = isWrite ? this.writes : this.reads;
@@ -152,13 +140,12 @@
     const table = query.get('table') ?? '';
     const after = Number(query.get('afterRev') ?? 0);
     const deadline = monotonicMs() + Number(query.get('waitMs') ?? 0);
-    for (;;) {
+    do {
       const rows = this.rows.changes(table, after);
       if (rows === undefined) return this.answer(response, 410, {});
       if (rows.length > 0 || monotonicMs() >= deadline) return this.answer(response, 200, { rows });
       await this.untilChange(table, deadline - monotonicMs());
-      if (this.mode !== 'answering' || this.silentTable === table) return;
-    }
+    } while (this.mode === 'answering' && this.silentTable !== table);
   }
 
   private untilChange(table: string, waitMs: number): Promise<void> {
@@ -201,7 +188,7 @@
   private second = 0;
   private count = 0;
 
-  /** Takes one call if the second has room for it. */
+  /** Counts one call; false when it exceeds `limit`. */
   take(limit: number): boolean {
     const second = Math.floor(monotonicMs() / MILLISECONDS_PER_SECOND);
     if (second !== this.second) this.count = 0;
@@ -211,7 +198,7 @@
   }
 }
 
-/** Why the store does not take a transaction, `undefined` when it does. */
+/** Why the store rejects a transaction; `undefined` when it accepts it. */
 function problemOf(transaction: Transaction, bodyBytes: number): string | undefined {
   const { expected = [], put = [], remove = [] } = transaction;
   const entries = [...expected, ...put, ...remove];
--- a/emulator/usage/usage-server.ts
+++ b/emulator/usage/usage-server.ts
@@ -1,9 +1,9 @@
-/** Stand-in of the platform's interface that takes reports of usage, with its troubles by switch. */
-import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import type { AddressInfo, Socket } from 'node:net';
+/** Stand-in of the platform's interface for usage reports. Its faults are fields that tests set. */
+import type { IncomingMessage, ServerResponse } from 'node:http';
 import { CLOUD_PATH, HEADER } from '../../platform/names.js';
 import { monotonicMs, sleep } from '../../src/common/clock.js';
 import type { TenantCounts } from '../../src/protocol/service/usage.js';
+import { LoopbackServer, receiveBody } from '../loopback-server.js';
 
 /** A report that was received. */
 export interface ReceivedReport {
@@ -33,43 +33,28 @@
   delayMs = 0;
   /** Reports, from the next one, that are taken without an answer. */
   answersToLose = 0;
-  private readonly server: Server;
-  private readonly sockets = new Set<Socket>();
-
-  constructor() {
-    this.server = createServer((request, response) => void this.serve(request, response));
-    this.server.on('connection', (socket) => {
-      this.sockets.add(socket);
-      socket.on('close', () => this.sockets.delete(socket));
-    });
-  }
+  private readonly server = new LoopbackServer((request, response) => void this.serve(request, response));
 
   /** Starts; resolves to `IP:PORT`. */
-  async start(): Promise<string> {
-    await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
-    return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
+  start(): Promise<string> {
+    return this.server.start();
   }
 
   stop(): void {
-    this.server.close();
-    for (const socket of this.sockets) socket.destroy();
+    this.server.stop();
   }
 
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const arrivedAtMs = monotonicMs();
-    const chunks: Buffer[] = [];
-    try {
-      for await (const chunk of request) chunks.push(chunk as Buffer);
-    } catch {
-      return;
-    }
+    const body = await receiveBody(request);
+    if (!body) return;
     if (this.delayMs > 0) await sleep(this.delayMs);
     if (this.mode === 'silent') return;
     if (this.mode === 'busy' || request.url !== CLOUD_PATH.usage) {
       response.writeHead(this.mode === 'busy' ? 503 : 404).end('{}');
       return;
     }
-    this.take(request, Buffer.concat(chunks), arrivedAtMs);
+    this.take(request, body, arrivedAtMs);
     if (this.answersToLose > 0) this.answersToLose -= 1;
     else response.writeHead(200, { 'content-type': 'application/json' }).end('{}');
   }
--- a/scripts/check-layers.ts
+++ b/scripts/check-layers.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the rules of imports (`layer-rules.ts`), that the platform's names stay in the adapter, and its size. The product
- * never imports the adapter, the emulator, the benchmarks or the tests.
+ * Checks the rules of imports (`layer-rules.ts`), that the platform's names stay in the adapter, and its
+ * size. The product never imports the adapter, the emulator, the benchmarks or the tests.
  */
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import { join, relative, resolve } from 'node:path';
--- a/scripts/ci-summary.ts
+++ b/scripts/ci-summary.ts
@@ -1,6 +1,7 @@
 /**
- * Prints the results of a test run (mocha's JSON report) and ends with `N passed, N failed`. A failure that is listed in
- * `KNOWN-RED.txt` is printed but does not fail the run; a listed test that passes, or does not exist, does fail it.
+ * Prints the results of a test run (mocha's JSON report) and ends with `N passed, N failed`. A failure that
+ * is listed in `KNOWN-RED.txt` is printed but does not fail the run; a listed test that passes, or does not
+ * exist, does fail it.
  */
 import { existsSync, readFileSync } from 'node:fs';
 
--- a/scripts/generate-resource-docs.ts
+++ b/scripts/generate-resource-docs.ts
@@ -1,4 +1,6 @@
-/** Writes `docs/RESOURCES.md` from the TypeBox schemas; with `--check` only tells whether it is up to date. */
+/**
+ * Writes `docs/RESOURCES.md` from the TypeBox schemas; with `--check` exits with 1 when it is out of date.
+ */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { API_VERSION, KINDS, READ_ONLY_KINDS, STORED_KINDS } from '../src/protocol/resource/resource.js';
@@ -31,16 +33,19 @@
   return [node.type ?? 'any', ...range].join(', ');
 }
 
-function rowsOf(node: SchemaNode, path: string): string[] {
-  const required = new Set(node.required ?? []);
-  return Object.entries(node.properties ?? {}).flatMap(([name, child]) => {
-    const field = path ? `${path}.${name}` : name;
-    const need = required.has(name) ? 'yes' : 'no';
-    const row = `| \`${field}\` | ${typeText(child)} | ${need} | ${child.description ?? ''} |`;
-    const nested = child.type === 'array' ? child.items : child;
-    const nestedPath = child.type === 'array' ? `${field}[]` : field;
-    return [row, ...(nested?.properties ? rowsOf(nested, nestedPath) : [])];
-  });
+/** Rows of the fields below `path`. */
+function rowsOf({ properties = {}, required = [] }: SchemaNode, path: string): string[] {
+  return Object.entries(properties).flatMap(([name, child]) =>
+    fieldRows(child, `${path}.${name}`, required.includes(name)),
+  );
+}
+
+/** Rows of one field and of those within it. */
+function fieldRows(node: SchemaNode, field: string, isRequired: boolean): string[] {
+  const need = isRequired ? 'yes' : 'no';
+  const row = `| \`${field}\` | ${typeText(node)} | ${need} | ${node.description ?? ''} |`;
+  const nested = node.type === 'array' ? rowsOf(node.items ?? {}, `${field}[]`) : rowsOf(node, field);
+  return [row, ...nested];
 }
 
 function sectionOf(kind: (typeof KINDS)[number]): string {
@@ -53,7 +58,7 @@
 
 const INTRODUCTION = `# Resources
 
-Generated from the schemas in \`src/protocol/resource.ts\` by \`npm run docs\`; do not edit.
+Generated from the schemas in \`src/protocol/resource/resource.ts\` by \`npm run docs\`; do not edit.
 
 Every resource has \`apiVersion: ${API_VERSION}\`, \`kind\`, \`metadata.name\`, optional \`metadata.labels\`, and \`spec\`. The
 system adds \`metadata.resourceVersion\` (the configuration revision that last changed it), \`metadata.generation\` (counts
--- a/scripts/layer-rules.ts
+++ b/scripts/layer-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Which file of the product may import which: layers go one way, rooms within a layer too, a room is entered through its index, and
- * what serves one of the two interfaces does not import what serves the other.
+ * Which file of the product may import which: layers go one way, rooms within a layer too, a room is entered
+ * through its index, and what serves one of the two interfaces does not import what serves the other.
  */
 import { dirname, join, normalize } from 'node:path';
 
@@ -25,8 +25,8 @@
 };
 
 /**
- * Rooms of a layer; each may import those before it. Rooms below `resource` serve nodes of the product's own interface, rooms below
- * `service` those of a platform's, all others both.
+ * Rooms of a layer; each may import those before it. Rooms below `resource` serve nodes of the product's own
+ * interface, rooms below `service` those of a platform's, all others both.
  */
 const ROOMS: Readonly<Record<string, readonly string[]>> = {
   'src/protocol': [],
@@ -95,7 +95,7 @@
   return targets.map((target) => normalize(join(dirname(path), target)).replace(/\.js$/, '.ts'));
 }
 
-/** What breaks the order of layers in a file of the product. */
+/** Violation of the order of layers by a file of the product. */
 function layerBreach(from: string, to: string): string | undefined {
   const allowed = LAYERS[layerOf(from)];
   if (!allowed) return `${from}: stands in no known layer`;
@@ -105,7 +105,7 @@
     : `${from}: ${layerOf(from)} must not import ${target}`;
 }
 
-/** What breaks the division between the two interfaces. */
+/** Violation of the division between the two interfaces. */
 function interfaceBreach(from: string, to: string): string | undefined {
   const [importer, imported] = [interfaceOf(from), interfaceOf(to)];
   if (imported === undefined || importer === imported || !(layerOf(from) in ROOMS)) return undefined;
@@ -114,7 +114,7 @@
     : `${from}: the ${importer} interface must not import the ${imported} interface`;
 }
 
-/** What breaks the order of rooms, or enters one past its index. */
+/** Violation of the order of rooms, or of the rule that a room is entered through its index. */
 function roomBreach(from: string, to: string): string | undefined {
   const layer = layerOf(to);
   const room = roomOf(to);
@@ -129,7 +129,10 @@
   return undefined;
 }
 
-/** What a source breaks. Files outside the product may import any layer, but enter rooms through their index. */
+/**
+ * Violations of a source. Files outside the product may import any layer, but enter rooms through their
+ * index.
+ */
 export function importBreaches(source: Source): string[] {
   const isProduct = source.path.startsWith('src/');
   return importsOf(source).flatMap((target) =>
--- a/src/common/decision-records.ts
+++ b/src/common/decision-records.ts
@@ -1,8 +1,6 @@
 /**
- * Structured log records: one line for each decision about a request, and for each change of what the node
- * takes for true. Every record names the inputs of the decision, their version or age, and the outcome.
- * Fields that end in `Ms` are milliseconds. Events and keys are read by operators' tools and stay; where a
- * key is named otherwise than what it holds is named in the code, its comment says which term it stands for.
+ * Structured log records: the inputs of each decision, their version or age, and the outcome. Keys that end in
+ * `Ms` are milliseconds. Operators' tools read events and keys, which stay; a comment gives the code's term.
  */
 
 /** A caller's request was answered. */
@@ -94,7 +92,7 @@
   readonly items: number;
   /** Items of the largest group. */
   readonly groupSize: number;
-  /** Whole groups after which the submitter stops reading. */
+  /** Whole groups that the submitter needs. */
   readonly wantedGroups: number;
   /** Items that an earlier owner has listed, and items with a saved partial text. */
   readonly listed: number;
@@ -102,7 +100,6 @@
   /** Slots of all available replicas, and of those whose weight version is admissible. */
   readonly slots: number;
   readonly fittingSlots: number;
-  /** Time since the submission. */
   readonly ageMs: number;
 }
 
@@ -117,7 +114,7 @@
   readonly events: number;
   readonly versions: string;
   readonly attempts: number;
-  /** Time since the submission of the job. */
+  /** Since the job was accepted. */
   readonly ageMs: number;
   readonly detail?: string;
 }
@@ -163,11 +160,9 @@
   readonly source: 'here' | 'another node';
   /** `held`: quarantined. */
   readonly verdict: 'clear' | 'suspected' | 'held';
-  /** Crashes of replicas under it that this node knows. */
+  /** Known crashes of replicas under it; time of quarantine from now on; time since the crash. */
   readonly ends: number;
-  /** Time for which it is quarantined from now on. */
   readonly holdMs: number;
-  /** Time since the crash. */
   readonly ageMs: number;
 }
 
@@ -181,9 +176,8 @@
   /** Its priority. */
   readonly rank: number;
   readonly reason: string;
-  /** Time in the queue. */
+  /** Time in the queue, and until its deadline. */
   readonly waitedMs: number;
-  /** Time until its deadline. */
   readonly leftMs: number;
   readonly retryAfterMs: number;
   /** Inputs of the decision: queue length, free slots, all slots. */
@@ -259,7 +253,6 @@
 /** Lines that were not written, because their event exceeded its rate limit. */
 export interface LinesLeftOut {
   readonly event: 'lines-left-out';
-  /** The event. */
   readonly kind: string;
   readonly count: number;
 }
--- a/test/state/service/jobs/job-contents.test.ts
+++ b/test/state/service/jobs/job-contents.test.ts
@@ -9,7 +9,7 @@
  */
 import { expect } from 'chai';
 import { err, ok, type Result } from 'neverthrow';
-import { RowStore, type Transaction } from '../../../../emulator/store/row-store.js';
+import { RowStore } from '../../../../emulator/store/row-store.js';
 import {
   type RecordStore,
   RecordStoreError,
@@ -17,6 +17,7 @@
 } from '../../../../src/protocol/record-store.js';
 import { JobContents } from '../../../../src/state/service/jobs/job-contents.js';
 import { headAddress, type JobHead, type JobRecord } from '../../../../src/state/service/jobs/job-record.js';
+import { toRows, toStoredRecord } from '../../../support/faulty-platform.js';
 
 const JOB = 'job-1';
 const EFFORT_MS = 5_000;
@@ -39,13 +40,7 @@
       return err(new RecordStoreError('unavailable', 'unknown', 'no answer'));
     }
     if ('ver' in outcome) return ok(outcome.ver);
-    const current = outcome.rows.map((row) => ({
-      table: row.table,
-      partition: row.part,
-      key: row.key,
-      value: Buffer.from(row.value ?? '', 'base64'),
-      version: row.ver,
-    }));
+    const current = outcome.rows.map(toStoredRecord);
     return err(new RecordStoreError('conflict', 'none', 'a condition did not hold', current));
   }
 
@@ -60,35 +55,11 @@
     from?: string;
     until?: string;
   }) {
-    const records = this.rows.scan(table, partition, from ?? '', until).map((row) => ({
-      table,
-      partition,
-      key: row.key,
-      value: Buffer.from(row.value ?? '', 'base64'),
-      version: row.ver,
-    }));
+    const records = this.rows.scan(table, partition, from ?? '', until).map(toStoredRecord);
     return ok({ records, hasMore: false, version: this.rows.version });
   }
 }
 
-function toRows({ conditions, writes, removals }: RecordTransaction): Transaction {
-  return {
-    expected: conditions.map(({ table, partition, key, version }) => ({
-      table,
-      part: partition,
-      key,
-      ver: version,
-    })),
-    put: writes.map(({ table, partition, key, value }) => ({
-      table,
-      part: partition,
-      key,
-      value: value.toString('base64'),
-    })),
-    remove: removals.map(({ table, partition, key }) => ({ table, part: partition, key })),
-  };
-}
-
 describe('results of a job', () => {
   let store: LossyStore;
   let contents: JobContents;
--- a/test/support/faulty-platform.ts
+++ b/test/support/faulty-platform.ts
@@ -1,6 +1,6 @@
 /** The store in memory, behind the interfaces of the state layer, with seeded faults. */
 import { err, ok, type Result } from 'neverthrow';
-import { RowStore } from '../../emulator/store/row-store.js';
+import { type Row, RowStore, type Transaction } from '../../emulator/store/row-store.js';
 import { createLogger } from '../../src/common/logging.js';
 import { Metrics } from '../../src/common/metrics.js';
 import type { Random } from '../../src/common/random.js';
@@ -20,6 +20,30 @@
 const down = () => new RecordStoreError('unavailable', 'none', 'injected: not reached');
 const lost = () => new RecordStoreError('unavailable', 'unknown', 'injected: answer lost');
 
+/** A row of the stand-in as a record. */
+export function toStoredRecord({ table, part, key, value = '', ver }: Row): StoredRecord {
+  return { table, partition: part, key, value: Buffer.from(value, 'base64'), version: ver };
+}
+
+/** A transaction as the stand-in takes it. */
+export function toRows({ conditions, writes, removals }: RecordTransaction): Transaction {
+  return {
+    expected: conditions.map(({ table, partition, key, version }) => ({
+      table,
+      part: partition,
+      key,
+      ver: version,
+    })),
+    put: writes.map(({ table, partition, key, value }) => ({
+      table,
+      part: partition,
+      key,
+      value: value.toString('base64'),
+    })),
+    remove: removals.map(({ table, partition, key }) => ({ table, part: partition, key })),
+  };
+}
+
 /** Turns of the event loop's microtasks that a call takes at most. */
 const MAX_TURNS = 24;
 /** No limit that a test could reach. */
@@ -37,30 +61,10 @@
   async transact(transaction: RecordTransaction): Promise<Result<number, RecordStoreError>> {
     await this.travel();
     if (this.fails()) return err(down());
-    const outcome = this.rows.transact({
-      expected: transaction.conditions.map(({ table, partition, key, version }) => ({
-        table,
-        part: partition,
-        key,
-        ver: version,
-      })),
-      put: transaction.writes.map(({ table, partition, key, value }) => ({
-        table,
-        part: partition,
-        key,
-        value: value.toString('base64'),
-      })),
-      remove: transaction.removals.map(({ table, partition, key }) => ({ table, part: partition, key })),
-    });
+    const outcome = this.rows.transact(toRows(transaction));
     if (this.fails()) return err(lost());
     if ('ver' in outcome) return ok(outcome.ver);
-    const current = outcome.rows.map((row) => ({
-      table: row.table,
-      partition: row.part,
-      key: row.key,
-      value: Buffer.from(row.value ?? '', 'base64'),
-      version: row.ver,
-    }));
+    const current = outcome.rows.map(toStoredRecord);
     const { version } = this.rows;
     return err(new RecordStoreError('conflict', 'none', 'a condition did not hold', current, version));
   }
@@ -70,13 +74,7 @@
     if (this.fails()) return err(down());
     const found = this.rows.scan(range.table, range.partition, range.from ?? '', range.until);
     const limit = range.limit ?? found.length;
-    const records: StoredRecord[] = found.slice(0, limit).map((row) => ({
-      table: row.table,
-      partition: row.part,
-      key: row.key,
-      value: Buffer.from(row.value ?? '', 'base64'),
-      version: row.ver,
-    }));
+    const records: StoredRecord[] = found.slice(0, limit).map(toStoredRecord);
     return ok({ records, hasMore: found.length > limit, version: this.rows.version });
   }
 
--- a/test/support/jobs.ts
+++ b/test/support/jobs.ts
@@ -1,7 +1,7 @@
 /** Jobs of the tests with serving nodes, and what their results must be. */
 import { expect } from 'chai';
 import { itemIds, type ReadResult, type TrainerJob } from '../../emulator/clients/job-trainer.js';
-import { eventData } from '../../emulator/replica/replica-server.js';
+import { eventData } from '../../emulator/replica/replica-answers.js';
 import { HOST, JOB_PATH, MODEL, SCORING_PATH } from './service-system.js';
 
 /** Events of a stream unless an engine is set up otherwise. */
