--- a/bench/soak/configuration-probes.ts
+++ b/bench/soak/configuration-probes.ts
@@ -76,7 +76,7 @@
   return written.filter(({ writtenAtMs }) => writtenAtMs <= atMs).length - 1;
 }
 
-/** Whether a configuration explains an answer; an answer that tells nothing is explained by all. */
+/** Whether a configuration explains an answer; any other status is explained by all. */
 function explains(
   configuration: WrittenConfiguration,
   probe: ProbeHistory,
--- a/bench/soak/configuration-series.ts
+++ b/bench/soak/configuration-series.ts
@@ -15,7 +15,7 @@
 
 /** Models that the engines serve. */
 export const MODELS: readonly string[] = [MODEL, 'model-b'];
-/** A key that comes and goes: what a caller that bears it is told depends on the moment. */
+/** A key that is added and removed: whether it is accepted depends on the configuration in force. */
 export const CHANGING_KEY = 'changing-key';
 /** The service that the moved route leads to with every other configuration. */
 export const SECOND_SERVICE = 'application-b';
--- a/bench/soak/replica-faults.ts
+++ b/bench/soak/replica-faults.ts
@@ -114,7 +114,7 @@
   await drain(engine, forMs);
 }
 
-/** Another writer leaves malformed records in the table of replicas, one in the place of an engine's. */
+/** Another writer leaves malformed records in the table of replicas, one over an engine's. */
 export async function malformedRecords(stage: Stage, forMs: number): Promise<void> {
   const engine = anyEngine(stage);
   const { rows } = stage.system.store;
--- a/emulator/clients/caller-loop.ts
+++ b/emulator/clients/caller-loop.ts
@@ -27,7 +27,7 @@
   readonly wrong: number;
   /** Refusals, by code and what they say of execution. */
   readonly refusals: Readonly<Record<string, number>>;
-  /** Work IDs by what the caller was told in the end: answered, `no`, `unknown`. */
+  /** Final outcome by work ID: `answered`, `wrong`, or whether it ran: `no`, `unknown`. */
   readonly outcomes: Readonly<Record<string, string>>;
 }
 
--- a/emulator/clients/trainer-loop.ts
+++ b/emulator/clients/trainer-loop.ts
@@ -24,7 +24,7 @@
   readonly firstVersion: number;
   /** Time that a step of training takes, milliseconds. */
   readonly trainMs: number;
-  /** When the trainer gives up, milliseconds from the start. */
+  /** Longest time of a run, milliseconds. */
   readonly timeoutMs: number;
   /** Name that keeps the rollouts of several runs apart. */
   readonly runName: string;
@@ -51,7 +51,9 @@
 const DRAW_WAIT_MS = 1_000;
 const RETRY_DELAY_MS = 100;
 
-/** Versions that the tokens of a sample name; the engines' stand-in writes `v{version}:{place}` for each. */
+/**
+ * Versions that the tokens of a sample name; the engines' stand-in writes `v{version}:{position}` for each.
+ */
 export function versionsInText(text: string): number[] {
   return text
     .trim()
--- a/emulator/engine/engine.ts
+++ b/emulator/engine/engine.ts
@@ -1,8 +1,8 @@
 /**
  * Stand-in of a model engine: continuous batching with a cost model, a prefix cache in limited memory,
  * priorities, resume and cancel, weight swaps in the middle of streams, swaps that fail partway. Each token's
- * text names the version that produced it and its place, so that a test can check what the system says about
- * it.
+ * text names the version that produced it and its position, so that a test can check what the system says
+ * about it.
  */
 import { monotonicMs, sleep } from '../../src/common/clock.js';
 import { Random } from '../../src/common/random.js';
--- a/emulator/replica/replica-server.ts
+++ b/emulator/replica/replica-server.ts
@@ -1,7 +1,8 @@
 /**
- * Stand-in of one replica of the platform: an application service that answers signed bodies, or a model engine
- * that streams events, reports, and executes load commands. It announces itself in the store's rows. Its faults
- * are methods and fields that tests set. Over 300 lines, a third of them the fields and options of these faults.
+ * Stand-in of one replica of the platform: an application service that answers signed bodies, or a model
+ * engine that streams events, reports, and executes load commands. It announces itself in the store's rows.
+ * Its faults are methods and fields that tests set. Over 300 lines, a third of them the fields and options of
+ * these faults.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { HEADER, REPLICA_PATH, TABLE } from '../../platform/names.js';
@@ -106,17 +107,17 @@
   workMs: number;
   /** Time of a load, milliseconds. */
   loadMs: number;
-  /** When this life began, as it says, milliseconds since 1970. */
+  /** Start of this incarnation by its own clock, milliseconds since 1970. */
   bornMs = 0;
   private hasCrashed = false;
   private isWithdrawn = false;
   private state: 'ready' | 'draining' = 'ready';
-  private beats = 0;
+  private heartbeats = 0;
   private orderCount = 0;
   private isLoading = false;
   private active = 0;
-  /** Lives so far: what was begun in one is not gone on with in another. */
-  private life = 0;
+  /** Counts incarnations: work of one is not continued in the next. */
+  private incarnation = 0;
   private readonly server = new LoopbackServer((request, response) => void this.serve(request, response));
 
   constructor(
@@ -174,14 +175,14 @@
   async startAgain({ downMs = 0, clockStepMs = 0, isDark = false }: RestartOptions = {}): Promise<void> {
     if (isDark) this.server.close();
     else this.crash();
-    this.life += 1;
+    this.incarnation += 1;
     await sleep(downMs);
     await this.server.start(Number(this.address.slice(this.address.lastIndexOf(':') + 1)));
     this.hasCrashed = false;
     this.isSilent = false;
     this.isLoading = false;
     this.active = 0;
-    this.beats = 0;
+    this.heartbeats = 0;
     this.orderCount = 0;
     this.bornMs = Date.now() + clockStepMs;
     this.announce('ready');
@@ -203,7 +204,7 @@
       slots: this.options.slots ?? 4,
       state: this.state,
       coldLeftMs: 0,
-      seq: this.beats,
+      seq: this.heartbeats,
       ...this.birth(),
       models: this.modelList(),
     };
@@ -213,10 +214,10 @@
     return this.options.saysBorn === false ? {} : { born: this.bornMs };
   }
 
-  /** Writes its row again, as a sign of life, while it is up. */
+  /** Writes its row again as a heartbeat, while it is up. */
   beat(): void {
     if (this.hasCrashed || this.isWithdrawn) return;
-    this.beats += 1;
+    this.heartbeats += 1;
     this.announce(this.state);
   }
 
@@ -266,18 +267,18 @@
       response.writeHead(503, { [HEADER.requestId]: received.id, [HEADER.notExecuted]: '1' }).end();
       return;
     }
-    const { life } = this;
+    const { incarnation } = this;
     this.active += 1;
     received.beganAtMs = Date.now();
     if (this.fatalPrefix !== undefined && body.startsWith(this.fatalPrefix)) await this.endUnder(body);
     else await this.work(request, response, received.id);
-    if (life === this.life) this.active -= 1;
+    if (incarnation === this.incarnation) this.active -= 1;
   }
 
   private async endUnder(body: string): Promise<void> {
-    const { life } = this;
+    const { incarnation } = this;
     await sleep(this.workMs);
-    if (this.hasCrashed || life !== this.life) return;
+    if (this.hasCrashed || incarnation !== this.incarnation) return;
     this.crash();
     this.onFatal(body);
   }
@@ -302,16 +303,16 @@
   }
 
   private async answer(request: IncomingMessage, response: ServerResponse, id: string): Promise<void> {
-    const { life } = this;
+    const { incarnation } = this;
     const allowedMs = numeric(request, HEADER.deadlineMs) ?? Number.POSITIVE_INFINITY;
     const isInTime = this.workMs <= allowedMs;
     await sleep(isInTime ? this.workMs : allowedMs);
-    if (response.destroyed || life !== this.life) return;
+    if (response.destroyed || incarnation !== this.incarnation) return;
     response.writeHead(isInTime ? 200 : 504, signed(id)).end(`answer to ${id}`);
   }
 
   private async stream(request: IncomingMessage, response: ServerResponse, id: string): Promise<void> {
-    const { life } = this;
+    const { incarnation } = this;
     const model = String(request.headers.model ?? [...this.versions.keys()][0]);
     const versionNow = () => this.versions.get(model) ?? 0;
     const first = Number(request.headers[HEADER.lastEventId] ?? 0) + 1;
@@ -320,7 +321,7 @@
     writeStreamHead(response, id, version, fault.isUnframed);
     for (let number = first; number <= this.eventCount; number += 1) {
       await sleep(this.workMs);
-      if (response.destroyed || life !== this.life || this.isSilent) return;
+      if (response.destroyed || incarnation !== this.incarnation || this.isSilent) return;
       if (fault.isCutAt(number)) return cutStream(request, response, number, fault.isUnframed);
       const named = fault.versionAt(number, versionNow());
       response.write(eventText(id, number, named === version ? undefined : named));
@@ -377,9 +378,9 @@
     if (this.isLoading || order.expected !== this.orderCount) return 409;
     this.orderCount += 1;
     this.isLoading = true;
-    const { life } = this;
+    const { incarnation } = this;
     setTimeout(() => {
-      if (life !== this.life) return;
+      if (incarnation !== this.incarnation) return;
       this.isLoading = false;
       this.versions.set(order.model, order.version);
       this.beat();
--- a/emulator/store/row-store.ts
+++ b/emulator/store/row-store.ts
@@ -35,7 +35,7 @@
   readonly version: number;
 }
 
-/** What a change has put something else in the place of. */
+/** The row before a change. */
 interface PastRow {
   readonly address: RowAddress;
   /** `undefined` when the row was not there. */
--- a/test/support/fault-proxy.ts
+++ b/test/support/fault-proxy.ts
@@ -11,7 +11,7 @@
   | 'cut'
   /** Accepts connections and passes nothing on, in neither direction. */
   | 'freeze'
-  /** Passes requests on and drops what comes back. */
+  /** Forwards requests and drops the answers. */
   | 'drop-answers';
 
 /** One relay in front of one address. */
--- a/test/support/manual-clock.ts
+++ b/test/support/manual-clock.ts
@@ -1,4 +1,4 @@
-/** A clock that stands still until a test moves it on. */
+/** A clock that only the test advances. */
 import { setImmediate } from 'node:timers/promises';
 import type { Clock } from '../../src/common/clock.js';
 
--- a/test/support/service-system.ts
+++ b/test/support/service-system.ts
@@ -1,6 +1,6 @@
 /**
- * A system of serving nodes for tests: the store and the replicas are stand-ins in this process, each node is a process
- * of its own, and each one reaches the store through a fault proxy of its own.
+ * A system of serving nodes for tests: the store and the replicas are stand-ins in this process, each node is
+ * a process of its own, and each one reaches the store through a fault proxy of its own.
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
@@ -109,7 +109,10 @@
     return system;
   }
 
-  /** Starts the interface that takes reports of usage; nodes that start later report to it. Times are in milliseconds. */
+  /**
+   * Starts the interface that takes reports of usage; nodes that start later report to it. Times are in
+   * milliseconds.
+   */
   async reportUsage(windowMs: number, dueMs: number): Promise<void> {
     this.usageSettings = {
       'cloud.addr': await this.usage.start(),
@@ -142,7 +145,7 @@
     return this.addReplica({ service: APPLICATION_SERVICE, ...options });
   }
 
-  /** Starts the next life of a replica that has ended, at the same address. */
+  /** Starts the next incarnation of a replica that has ended, at the same address. */
   async restartReplica(ended: ReplicaServer): Promise<ReplicaServer> {
     const next = await new ReplicaServer(this.store.rows, ended.options).start(
       Number(new URL(`http://${ended.address}`).port),
@@ -153,7 +156,7 @@
     return next;
   }
 
-  /** Starts a node under a name; a second start under the same name is its next life. */
+  /** Starts a node under a name; a second start under the same name is its next incarnation. */
   async addNode(name: string, settings: Readonly<Record<string, string>> = {}): Promise<ServiceNodeProcess> {
     const proxy = await FaultProxy.start(`http://${this.storeAddress}`);
     const file = join(this.folder, `${name}-${this.nodes.length}.conf`);
@@ -259,7 +262,10 @@
   await ended;
 }
 
-/** Collects the lines of a process in `log`; resolves to the line of its start, however long that takes while it lives. */
+/**
+ * Collects the lines of a process in `log`; resolves to the line of its start, however long that takes while
+ * it lives.
+ */
 function untilStarted(name: string, child: ChildProcess, log: LoggedRecord[]): Promise<LoggedRecord> {
   const lines = createInterface({ input: child.stdout as NodeJS.ReadableStream });
   child.stderr?.resume();
--- a/test/support/system.ts
+++ b/test/support/system.ts
@@ -189,7 +189,7 @@
     }
   }
 
-  /** Waits until a node has heard of every engine that it serves the first version. */
+  /** Waits until every engine has reported to a node that it serves the first version. */
   async untilEnginesServe(node: SystemNode): Promise<void> {
     await until('the engines are known', async () => {
       const { backends } = (await this.operator(node).status())._unsafeUnwrap();
