--- a/src/common/identifier.ts
+++ b/src/common/identifier.ts
@@ -50,6 +50,7 @@
   try {
     return { nodeId: text.slice(0, at), issuedAtMs: decodeTime(text.slice(at + 1)) };
   } catch {
+    // `decodeTime` throws on any text that is no ULID.
     return undefined;
   }
 }
