--- a/bench/soak/configuration-series.ts
+++ b/bench/soak/configuration-series.ts
@@ -1,7 +1,7 @@
 /**
- * The configurations that the operator of a soak writes. Each one adds a route, drops the oldest of the added ones, moves a
- * route to the other of two services, and changes a time-out and a key; so that what a node does with a request tells which
- * of them it has in force.
+ * The configurations that the operator of a soak writes. Each one adds a route, drops the oldest of the added
+ * ones, moves a route to the other of two services, and changes a time-out and a key; so that what a node
+ * does with a request tells which of them it has in force.
  */
 import { monotonicMs } from '../../src/common/clock.js';
 import {
@@ -15,7 +15,7 @@
 
 /** Models that the engines serve. */
 export const MODELS: readonly string[] = [MODEL, 'model-b'];
-/** A key that comes and goes: what a caller that bears it is told depends on the moment. */
+/** A key that is added and removed: whether it is accepted depends on the configuration in force. */
 export const CHANGING_KEY = 'changing-key';
 /** The service that the moved route leads to with every other configuration. */
 export const SECOND_SERVICE = 'application-b';
--- a/emulator/clients/trainer-loop.ts
+++ b/emulator/clients/trainer-loop.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a trainer: submits steps, draws samples through changing nodes, publishes versions, and counts what
- * it received. The counts come from the samples alone, not from what the service says of itself.
+ * Stand-in of a trainer: submits steps, draws samples through changing nodes, publishes versions, and counts
+ * what it received. The counts come from the samples alone, not from what the service says of itself.
  */
 import { monotonicMs, sleep } from '../../src/common/clock.js';
 import { Random } from '../../src/common/random.js';
@@ -24,7 +24,7 @@
   readonly firstVersion: number;
   /** Time that a step of training takes, milliseconds. */
   readonly trainMs: number;
-  /** When the trainer gives up, milliseconds from the start. */
+  /** Longest time of a run, milliseconds. */
   readonly timeoutMs: number;
   /** Name that keeps the rollouts of several runs apart. */
   readonly runName: string;
@@ -35,7 +35,10 @@
   readonly samplesDelivered: number;
   readonly duplicates: number;
   readonly missing: number;
-  /** Versions by which the oldest segment of a sample lagged behind the newest version at its receipt, at most. */
+  /**
+   * Versions by which the oldest segment of a sample lagged behind the newest version at its receipt, at
+   * most.
+   */
   readonly maxStaleness: number;
   readonly meanStaleness: number;
   /** Segments whose version differs from what the tokens themselves say. */
@@ -48,7 +51,9 @@
 const DRAW_WAIT_MS = 1_000;
 const RETRY_DELAY_MS = 100;
 
-/** Versions that the tokens of a sample name; the engines' stand-in writes `v{version}:{place}` for each. */
+/**
+ * Versions that the tokens of a sample name; the engines' stand-in writes `v{version}:{position}` for each.
+ */
 export function versionsInText(text: string): number[] {
   return text
     .trim()
--- a/emulator/store/row-store.ts
+++ b/emulator/store/row-store.ts
@@ -1,6 +1,6 @@
 /**
- * Rows of the stand-in of the platform's store: one counter of versions, transactions, a history for feeds, and reads as
- * of an earlier moment.
+ * Rows of the stand-in of the platform's store: one counter of versions, transactions, a history for feeds,
+ * and reads as of an earlier moment.
  */
 import { monotonicMs } from '../../src/common/clock.js';
 
@@ -35,7 +35,7 @@
   readonly version: number;
 }
 
-/** What a change has put something else in the place of. */
+/** The row before a change. */
 interface PastRow {
   readonly address: RowAddress;
   /** `undefined` when the row was not there. */
