--- a/src/coordination/service/weights/load-execution.ts
+++ b/src/coordination/service/weights/load-execution.ts
@@ -51,7 +51,7 @@
 export type LoadEnd =
   /** The store did not confirm the lease. */
   | 'unconfirmed'
-  /** Nothing was loaded, for a reason that lies with the replica. */
+  /** Nothing was loaded: the replica is busy, restarted or rejected it, or the confirmation expired. */
   | 'retry-later'
   /** The replica has loaded, or nothing more is known of it. */
   | 'ended';
--- a/src/protocol/service/routing-configuration.ts
+++ b/src/protocol/service/routing-configuration.ts
@@ -1,4 +1,4 @@
-/** What operators configure for routing: routes by host and path prefix, services, and limits towards callers. */
+/** Routing as operators configure it: routes by host and path prefix, services, limits, tenants. */
 
 /** How requests of a route may be treated. */
 export type RouteKind =
@@ -26,19 +26,19 @@
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Longest time a request may be held, milliseconds. */
+  /** Longest time for which a request may be held, milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which an answer is worth its full credit, milliseconds. */
+  /** Latency target of an answer, milliseconds. */
   readonly targetLatencyMs: number;
-  /** Back ends that one request may run on at most. */
+  /** Most replicas that one request may be sent to. */
   readonly maxAttempts: number;
-  /** Rank; 0 is the highest. */
+  /** Priority; 0 is the highest. */
   readonly priority: number;
-  /** Whether a stream may be continued on another back end. */
+  /** Whether a stream may be continued on another replica. */
   readonly isResumable: boolean;
   /** Time after submission by which all results of a job are due, milliseconds. */
   readonly resultDeadlineMs: number;
-  /** Time after submission at which an item may be given up, milliseconds. */
+  /** Time after submission from which an item may be cancelled, milliseconds. */
   readonly maxQueueMs: number;
   /** Whether all events of a sample must come from one weight version. */
   readonly isSingleVersion: boolean;
@@ -49,22 +49,22 @@
 /** Someone on whose behalf callers send requests. */
 export interface Tenant {
   readonly name: string;
-  /** Keys by which callers prove that they belong to the tenant; each configuration may add and take away keys. */
+  /** Keys that identify callers of the tenant; each configuration may add and remove keys. */
   readonly apiKeys: readonly string[];
-  /** Rank of the tenant's requests, 0 is the highest; `undefined` leaves it to the route. */
+  /** Priority of the tenant's requests, 0 is the highest; `undefined` leaves it to the route. */
   readonly priority: number | undefined;
 }
 
-/** A service: replicas that are alike. */
+/** A service: a set of equal replicas. */
 export interface ServiceDefinition {
   readonly name: string;
   /** Connections that one replica accepts from all callers together. */
   readonly maxConnections: number;
   /** Models that the service's engines run; empty for application services. */
   readonly models: readonly string[];
-  /** Requests that one engine runs at once; 0 for application services. */
+  /** Slots of one engine; 0 for application services. */
   readonly engineSlots: number;
-  /** Requests that a cold replica bears in a second, from all callers; `undefined` where it bears all. */
+  /** Slow start: requests a second to a new replica from all callers; `undefined` for no limit. */
   readonly slowStartPerSecond: number | undefined;
 }
 
@@ -82,6 +82,6 @@
   readonly routes: readonly Route[];
   readonly services: readonly ServiceDefinition[];
   readonly limits: CallerLimits;
-  /** Tenants; `undefined` where callers are not told apart. */
+  /** Tenants; `undefined` where callers are not identified. */
   readonly tenants: readonly Tenant[] | undefined;
 }
