--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,4 +1,4 @@
-/** The command line, for whatever store a program brings. */
+/** The command line; the program that runs it provides the client of its store. */
 import { runSafely, subcommands } from 'cmd-ts';
 import { configureLogging } from '../common/logging.js';
 import type { StoreFactory } from '../node/resource/node.js';
--- a/src/cli/commands/declare.ts
+++ b/src/cli/commands/declare.ts
@@ -1,9 +1,13 @@
-/** `thymecove validate`, `diff` and `apply`: declarations held in version control. */
+/**
+ * `thymecove validate`, `diff` and `apply`: declarations held in version control. An apply commits one
+ * revision under an operation ID, so that a commit whose answer was lost is repeated and takes effect once.
+ */
 import { array, boolean, command, flag, multioption, number, option, optional, string } from 'cmd-ts';
+import { ok, type Result } from 'neverthrow';
 import { monotonicMs, sleep } from '../../common/clock.js';
 import { uniqueId } from '../../common/identifier.js';
 import type { ProtocolError } from '../../protocol/protocol-error.js';
-import type { Changeset, ChangesetAnswer } from '../../protocol/resource/operator.js';
+import type { Changeset, ChangesetAnswer, RevisionReport } from '../../protocol/resource/operator.js';
 import { type OperatorClient, problemOf } from '../../protocol/resource/operator-client.js';
 import { type ConnectionValues, connectionFlags, outputFlag, withOperator } from '../connection.js';
 import { type Declaration, loadDeclarations } from '../declarations.js';
@@ -97,7 +101,9 @@
   },
 });
 
-const SETTLE_TRIES = 10;
+// Chosen, not measured; times in milliseconds.
+const MAX_COMMIT_TRIES = 10;
+const UNSETTLED_RETRY_MS = 1_000;
 const DEFAULT_WAIT_MS = 60_000;
 const WAIT_POLL_MS = 200;
 
@@ -105,9 +111,9 @@
 async function commitUntilSettled(client: OperatorClient, changeset: Changeset) {
   for (let attempt = 1; ; attempt += 1) {
     const answer = await client.commit(changeset);
-    if (answer.isOk() || !isUnsettled(answer.error) || attempt >= SETTLE_TRIES) return answer;
-    printNote(`outcome not known yet, asking again (${attempt}): ${answer.error.message}`);
-    await sleep(answer.error.retryAfterMs ?? 1_000);
+    if (answer.isOk() || !isUnsettled(answer.error) || attempt >= MAX_COMMIT_TRIES) return answer;
+    printNote(`outcome not known yet, repeating (${attempt}): ${answer.error.message}`);
+    await sleep(answer.error.retryAfterMs ?? UNSETTLED_RETRY_MS);
   }
 }
 
@@ -122,23 +128,24 @@
   for (;;) {
     const report = await client.revision(revision);
     if (report.isOk()) {
-      const { holders, members, inForceEverywhere } = report.value;
+      const { holders, members } = report.value;
       process.stderr.write(`\rrevision ${revision}: in force on ${holders} of ${members} nodes`);
-      if (inForceEverywhere) {
-        process.stderr.write('\n');
-        return ExitCode.ok;
-      }
     }
-    if (monotonicMs() > deadline) {
+    const isInForce = report.isOk() && report.value.inForceEverywhere;
+    if (isInForce || monotonicMs() > deadline) {
       process.stderr.write('\n');
-      if (report.isErr()) return reportFailure(report.error);
-      printNote('error: not in force everywhere within the time allowed');
-      return ExitCode.unavailable;
+      return isInForce ? ExitCode.ok : reportOverdue(report);
     }
     await sleep(WAIT_POLL_MS);
   }
 }
 
+function reportOverdue(report: Result<RevisionReport, ProtocolError>): number {
+  if (report.isErr()) return reportFailure(report.error);
+  printNote('error: not in force everywhere within the time allowed');
+  return ExitCode.unavailable;
+}
+
 interface ApplyValues extends ConnectionValues {
   readonly files: string[];
   readonly set: string;
@@ -162,20 +169,20 @@
   });
   if (plan.isErr()) return reportFailure(plan.error);
   const changeset = toChangeset(plan.value, uniqueId(), args.dryRun);
-  let answer: ChangesetAnswer | undefined;
-  if (changeset) {
-    const committed = await commitUntilSettled(client, changeset);
-    if (committed.isErr()) return reportFailure(committed.error);
-    answer = committed.value;
-  }
+  const committed = changeset ? await commitUntilSettled(client, changeset) : ok(undefined);
+  if (committed.isErr()) return reportFailure(committed.error);
+  const answer = committed.value;
   printPlan(args.output, plan.value);
-  if (!answer) printNote('nothing differs; nothing was changed');
-  else if (args.dryRun) printNote('dry run: nothing was changed');
-  else printNote(`accepted as revision ${answer.revision}`);
+  printNote(outcomeOf(answer, args.dryRun));
   if (!answer || args.dryRun || !args.wait) return ExitCode.ok;
   return waitInForce(client, answer.revision, args.waitMs ?? DEFAULT_WAIT_MS);
 }
 
+function outcomeOf(answer: ChangesetAnswer | undefined, dryRun: boolean): string {
+  if (!answer) return 'nothing differs; nothing was changed';
+  return dryRun ? 'dry run: nothing was changed' : `accepted as revision ${answer.revision}`;
+}
+
 /** `thymecove apply`. */
 export const applyCommand = command({
   name: 'apply',
--- a/src/cli/commands/node.ts
+++ b/src/cli/commands/node.ts
@@ -1,8 +1,8 @@
-/** `thymecove node`: runs a node until it is told to stop. */
+/** `thymecove node`: runs a node of the resource interface until SIGTERM or SIGINT stops it gracefully. */
 import { command, number, option, optional, string } from 'cmd-ts';
 import { configureLogging } from '../../common/logging.js';
 import { type StoreFactory, ThymecoveNode } from '../../node/resource/node.js';
-import { loadSettings } from '../../node/resource/settings.js';
+import { loadSettings, type Settings } from '../../node/resource/settings.js';
 import { ExitCode } from '../exit-codes.js';
 import { printNote } from '../output.js';
 
@@ -47,19 +47,24 @@
         for (const problem of settings.error) printNote(`  ${problem.field}: ${problem.message}`);
         process.exit(ExitCode.invalidInput);
       }
-      configureLogging(settings.value.log ?? 'stderr');
-      const node = new ThymecoveNode(settings.value, createStore);
-      const stop = () => {
-        void node.stop().then(() => process.exit(ExitCode.ok));
-      };
-      process.once('SIGTERM', stop);
-      process.once('SIGINT', stop);
-      try {
-        const listening = await node.start();
-        process.stdout.write(`${JSON.stringify({ ready: true, id: settings.value.node.id, listening })}\n`);
-      } catch (cause) {
-        printNote(`error: cannot listen: ${(cause as Error).message}`);
-        process.exit(ExitCode.failed);
-      }
+      await runNode(settings.value, createStore);
     },
   });
+
+/** Starts the node; resolves when it listens. When it cannot, or has stopped, the process ends. */
+async function runNode(settings: Settings, createStore: StoreFactory): Promise<void> {
+  configureLogging(settings.log ?? 'stderr');
+  const node = new ThymecoveNode(settings, createStore);
+  const stop = () => {
+    void node.stop().then(() => process.exit(ExitCode.ok));
+  };
+  process.once('SIGTERM', stop);
+  process.once('SIGINT', stop);
+  try {
+    const listening = await node.start();
+    process.stdout.write(`${JSON.stringify({ ready: true, id: settings.node.id, listening })}\n`);
+  } catch (cause) {
+    printNote(`error: cannot listen: ${(cause as Error).message}`);
+    process.exit(ExitCode.failed);
+  }
+}
--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -1,4 +1,4 @@
-/** `thymecove trace`: joins the log lines of many processes into one account of a request, an item or a job. */
+/** `thymecove trace`: joins log lines of many processes into the trace of a request, an item or a job. */
 import { command, option, positional, string } from 'cmd-ts';
 import { ExitCode } from '../exit-codes.js';
 import { readLogLines } from '../log-lines.js';
--- a/src/cli/connection.ts
+++ b/src/cli/connection.ts
@@ -1,4 +1,4 @@
-/** Flags by which a command reaches a node, and the client made of them. */
+/** Connection flags of commands, and the client that they configure. */
 import { readFileSync } from 'node:fs';
 import { oneOf, option, optional, string } from 'cmd-ts';
 import { OperatorClient } from '../protocol/resource/operator-client.js';
@@ -6,7 +6,7 @@
 import { ExitCode } from './exit-codes.js';
 import { type OutputFormat, printNote } from './output.js';
 
-/** Flags of every command that talks to a node. */
+/** Flags of every command that calls a node. */
 export const connectionFlags = {
   server: option({
     type: string,
--- a/src/cli/declarations.ts
+++ b/src/cli/declarations.ts
@@ -7,7 +7,7 @@
 import { READ_ONLY_KINDS, resourceKey } from '../protocol/resource/resource.js';
 import type { FieldProblem } from '../protocol/validation.js';
 
-/** A declaration and where it stands. */
+/** A declaration and its file. */
 export interface Declaration {
   readonly file: string;
   readonly manifest: Manifest;
@@ -55,7 +55,7 @@
   return ok({ file: position, manifest: checked.value });
 }
 
-/** Reads all declarations under the paths; every problem of every file is named. */
+/** Reads all declarations under the paths; the error lists every problem of every file. */
 export function loadDeclarations(paths: readonly string[]): Result<Declaration[], DeclarationProblem[]> {
   const problems: DeclarationProblem[] = [];
   const declarations: Declaration[] = [];
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -3,17 +3,17 @@
 import type { ProtocolError } from '../protocol/protocol-error.js';
 import { problemOf } from '../protocol/resource/operator-client.js';
 
-/** What an exit code says. */
+/** Exit codes. */
 export const ExitCode = {
   ok: 0,
-  /** The request was refused or failed. */
+  /** The request was rejected or failed. */
   failed: 1,
   /** Flags, settings or declarations are wrong; nothing was sent. */
   invalidInput: 2,
   /** Another writer was first. */
   conflict: 3,
   notFound: 4,
-  /** The system could not be reached or cannot answer now; trying again is worth while. */
+  /** The system is not reachable or temporarily not able to serve; a retry may succeed. */
   unavailable: 5,
   /** `diff` found differences. */
   differences: 6,
--- a/src/cli/job-accounts.ts
+++ b/src/cli/job-accounts.ts
@@ -1,4 +1,4 @@
-/** What operators see of batch jobs: one account a job, read from the store, without asking any node. */
+/** Batch jobs as operators see them, read from the store without a call to any node. */
 import { ok, type Result } from 'neverthrow';
 import type { JobHead, JobRepository } from '../state/service/jobs/index.js';
 import type { StateError } from '../state/state-error.js';
@@ -6,20 +6,20 @@
 
 const MS_PER_SECOND = 1000;
 
-/** A job in the words of an operator. */
+/** Summary of a job. */
 export interface JobAccount {
   readonly id: string;
   readonly state: 'open' | 'ended';
-  /** Node that runs it, empty when nobody does. */
+  /** Node that runs it, empty when none does. */
   readonly owner: string;
-  /** Rises with each change of the owner. */
+  /** Grows with each change of the owner. */
   readonly epoch: number;
   readonly model: string;
   readonly items: number;
   readonly ageSeconds: number;
 }
 
-/** A job with what has become of its items. */
+/** A job with counts of its items by state. */
 export interface JobDetail extends JobAccount {
   readonly listed: number;
   readonly dead: number;
@@ -39,7 +39,7 @@
   };
 }
 
-/** All jobs, the newest first. `nowMs` is asked after the jobs were read: time on the store's clock, milliseconds. */
+/** All jobs, the newest first. `nowMs`, the store's time in milliseconds, is read after the jobs. */
 export async function listJobs(
   repository: JobRepository,
   nowMs: () => number,
--- a/src/cli/job-timeline.ts
+++ b/src/cli/job-timeline.ts
@@ -1,29 +1,24 @@
 /**
- * How the time of jobs was spent, from log lines. A job's clock starts at its acceptance, and every time in here is
- * milliseconds after that unless said. Attempts that are missing from the logs are missing here as well.
+ * How the time of jobs was spent, from log lines. Times are milliseconds after the acceptance of the job
+ * unless noted. Attempts that are missing from the logs are missing here as well.
  */
 import { groupBy } from '../common/collections.js';
 import { median } from '../common/statistics.js';
+import {
+  type Attempt,
+  attemptsByItem,
+  completeGroups,
+  completions,
+  DECLINED,
+  type ItemTimeline,
+  itemsOf,
+} from './item-timeline.js';
 import type { TraceLine } from './trace.js';
 
-/** Parts of a job's items, or of the groups that its submitter waits for, whose completion is told. */
+/** Shares of a job's items, or of the groups that its submitter waits for, whose completion is reported. */
 export const MILESTONES = [0.5, 0.9, 0.97, 1] as const;
 
 const SECOND_MS = 1000;
-const LISTED = 'listed';
-const DECLINED = 'declined';
-const WHOLE = 'whole';
-const COMPLETED = 'completed';
-const OUTCOMES: ReadonlySet<string> = new Set([COMPLETED, 'dead']);
-
-/** One run of an item at a replica. */
-interface Attempt {
-  readonly replica: string;
-  readonly outcome: string;
-  readonly startMs: number;
-  readonly endMs: number;
-}
-
 /** The lines of a job. */
 interface PlannedJob {
   readonly jobId: string;
@@ -33,46 +28,13 @@
   readonly acceptedAtMs: number;
 }
 
-/** One transaction that listed results. */
-interface Listing {
-  readonly startMs: number;
-  readonly endMs: number;
-}
-
-/** A weight version, and when a node learnt of it (time of day, milliseconds). */
+/** A weight version, and when a node first logged it (time of day, milliseconds). */
 interface NamedVersion {
   readonly model: string;
   readonly version: number;
   readonly timeMs: number;
 }
 
-/** Where the time of one item went, milliseconds. */
-export interface ItemWaits {
-  /** From the job's acceptance, or from an earlier attempt, until a replica was given the item. */
-  readonly queueMs: number;
-  /** At replicas that declined it. */
-  readonly declinedMs: number;
-  /** At replicas that broke off or failed. */
-  readonly brokenMs: number;
-  /** At the replica that finished it. */
-  readonly runMs: number;
-  /** From the last event to the score. */
-  readonly scoringMs: number;
-  /** From the score to the listing. */
-  readonly listingMs: number;
-}
-
-/** One item of a job. */
-export interface ItemTimeline {
-  readonly id: string;
-  readonly group: string;
-  readonly state: string;
-  readonly events: number;
-  readonly attempts: number;
-  readonly listedMs: number;
-  readonly waits: ItemWaits;
-}
-
 /** One job. */
 export interface JobTimeline {
   readonly jobId: string;
@@ -101,7 +63,7 @@
   readonly inFlight: readonly number[];
   /** The same by replica. */
   readonly inFlightByReplica: Readonly<Record<string, readonly number[]>>;
-  /** Mean number of versions by which the oldest version of a sample was behind the newest named one when it was done. */
+  /** Mean number of versions that a sample's oldest version was behind the newest one when it was done. */
   readonly staleness: number;
 }
 
@@ -123,7 +85,7 @@
   readonly trainers: readonly TrainerTimeline[];
 }
 
-/** The jobs that the lines tell of, in the order of their acceptance. */
+/** The jobs in the lines, in the order of their acceptance. */
 export function timelineOf(unordered: readonly TraceLine[]): Timeline {
   const lines = [...unordered].sort(
     (left, right) => left.timeMs - right.timeMs || left.sequence - right.sequence,
@@ -138,7 +100,7 @@
   return { jobs, trainers };
 }
 
-/** Named weight versions, each as often as nodes have said it. */
+/** Published weight versions, once for each node that logged them. */
 function namedVersions(lines: readonly TraceLine[]): NamedVersion[] {
   return lines
     .filter((line) => line.event === 'belief-changed' && line.fields.subject === 'weight-version')
@@ -197,99 +159,6 @@
   };
 }
 
-function attemptsByItem(lines: readonly TraceLine[], acceptedAtMs: number): Map<string, Attempt[]> {
-  const ended = lines.filter((line) => line.event === 'attempt-ended');
-  const byItem = groupBy(ended, ({ fields }) => String(fields.requestId));
-  return new Map(
-    [...byItem].map(([id, own]) => [id, own.map((line) => attemptOf(line, line.timeMs - acceptedAtMs))]),
-  );
-}
-
-/** The items whose outcome and listing are told. */
-function itemsOf(
-  lines: readonly TraceLine[],
-  acceptedAtMs: number,
-  attempts: ReadonlyMap<string, readonly Attempt[]>,
-): ItemTimeline[] {
-  const listings = lines
-    .filter((line) => line.event === 'results-listed' && line.fields.outcome === LISTED)
-    .map((line) => listingOf(line, line.timeMs - acceptedAtMs));
-  const outcomes = lines.filter(
-    ({ event, fields }) => event === 'item-changed' && OUTCOMES.has(String(fields.change)),
-  );
-  const byItem = groupBy(outcomes, ({ fields }) => String(fields.requestId));
-  return [...byItem].flatMap(([id, [outcome]]) =>
-    outcome ? itemOf(outcome, outcome.timeMs - acceptedAtMs, attempts.get(id) ?? [], listings) : [],
-  );
-}
-
-function completions(lines: readonly TraceLine[]): TraceLine[] {
-  return lines.filter(({ event, fields }) => event === 'item-changed' && fields.change === COMPLETED);
-}
-
-function listingOf(line: TraceLine, endMs: number): Listing {
-  return { startMs: endMs - Number(line.fields.tookMs), endMs };
-}
-
-function attemptOf(line: TraceLine, endMs: number): Attempt {
-  const startMs = endMs - Number(line.fields.tookMs);
-  return { replica: String(line.fields.replica), outcome: String(line.fields.outcome), startMs, endMs };
-}
-
-/** The item, when its listing is told. A listing that began after the outcome holds it. */
-function itemOf(
-  outcome: TraceLine,
-  atMs: number,
-  attempts: readonly Attempt[],
-  listings: readonly Listing[],
-): ItemTimeline[] {
-  const listing = listings.find(({ startMs }) => startMs >= atMs - 1);
-  if (!listing) return [];
-  const lastEndMs = attempts.at(-1)?.endMs ?? atMs;
-  const tookMs = (fits: (attempt: Attempt) => boolean) =>
-    attempts.filter(fits).reduce((sum, { startMs, endMs }) => sum + endMs - startMs, 0);
-  const declinedMs = tookMs((attempt) => attempt.outcome === DECLINED);
-  const runMs = tookMs((attempt) => attempt.outcome === WHOLE);
-  const brokenMs = tookMs(() => true) - declinedMs - runMs;
-  return [
-    {
-      id: String(outcome.fields.requestId),
-      group: String(outcome.fields.group),
-      state: String(outcome.fields.change),
-      events: Number(outcome.fields.events),
-      attempts: attempts.length,
-      listedMs: listing.endMs,
-      waits: {
-        queueMs: Math.max(0, lastEndMs - declinedMs - runMs - brokenMs),
-        declinedMs,
-        brokenMs,
-        runMs,
-        scoringMs: atMs - lastEndMs,
-        listingMs: listing.endMs - atMs,
-      },
-    },
-  ];
-}
-
-/**
- * The groups that the submitter waits for, in the order in which they were whole, each by its item that was listed last:
- * carried groups, and of the others those that were whole first.
- */
-function completeGroups(
-  items: readonly ItemTimeline[],
-  groupSize: number,
-  wanted: number,
-  carried: ReadonlySet<string>,
-): ItemTimeline[] {
-  const byListing = (left: ItemTimeline, right: ItemTimeline) => left.listedMs - right.listedMs;
-  const whole = [...groupBy(items, ({ group }) => group).values()]
-    .filter((group) => group.length >= groupSize)
-    .map((group) => group.reduce((last, item) => (item.listedMs > last.listedMs ? item : last)))
-    .sort(byListing);
-  const others = whole.filter(({ group }) => !carried.has(group)).slice(0, wanted - carried.size);
-  return [...whole.filter(({ group }) => carried.has(group)), ...others].sort(byListing);
-}
-
 function milestonesOf(items: readonly ItemTimeline[], total: number): (number | undefined)[] {
   const sorted = items.map(({ listedMs }) => listedMs).sort((left, right) => left - right);
   return MILESTONES.map((part) => sorted[Math.ceil(total * part) - 1]);
--- a/src/cli/log-lines.ts
+++ b/src/cli/log-lines.ts
@@ -2,7 +2,7 @@
 import { createInterface } from 'node:readline';
 import { parseLogLine, type TraceLine } from './trace.js';
 
-/** Reads all lines; what is no log line is passed over. */
+/** Reads all log lines; other text is skipped. */
 export async function readLogLines(input: NodeJS.ReadableStream): Promise<TraceLine[]> {
   const lines: TraceLine[] = [];
   for await (const text of createInterface({ input })) {
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -1,4 +1,4 @@
-/** What an apply would change: declarations beside the resources that are in force. */
+/** Plan of an apply: differences between declarations and the resources in force. Nothing is changed. */
 import { err, ok, type Result } from 'neverthrow';
 import type { ProtocolError } from '../protocol/protocol-error.js';
 import type { Manifest } from '../protocol/resource/manifest.js';
@@ -34,7 +34,7 @@
   readonly prune: boolean;
 }
 
-/** Fields that commands set and a declaration leaves alone unless it names them. */
+/** Fields that commands set; a declaration without them keeps their value. */
 const OPERATIONAL_FIELDS: Readonly<Record<string, readonly string[]>> = {
   Backend: ['draining', 'drainReason'],
   ModelVersion: ['approvals'],
--- a/src/cli/timeline-table.ts
+++ b/src/cli/timeline-table.ts
@@ -1,11 +1,6 @@
 /** Tables of timelines for the terminal. Times are in milliseconds. */
-import {
-  type ItemTimeline,
-  type JobTimeline,
-  MILESTONES,
-  type Timeline,
-  type TrainerTimeline,
-} from './job-timeline.js';
+import type { ItemTimeline } from './item-timeline.js';
+import { type JobTimeline, MILESTONES, type Timeline, type TrainerTimeline } from './job-timeline.js';
 import { formatTable } from './output.js';
 
 const UNKNOWN = '-';
--- a/src/cli/trace.ts
+++ b/src/cli/trace.ts
@@ -1,7 +1,7 @@
 /**
- * Accounts of a request, an item or a job from log lines. Lines are ordered by the time that each node wrote; the clocks of
- * nodes differ, so lines of different nodes may stand a little out of order. Lines that a node left out, and restarts of
- * a node within the account, are said as gaps.
+ * Traces of a request, an item or a job from log lines, ordered by the time that each node wrote; clocks of
+ * nodes differ, so lines of different nodes may be slightly out of order. Lines that a node left out, and its
+ * restarts within the trace, are reported as gaps.
  */
 
 /** One log line. */
@@ -13,13 +13,13 @@
   readonly fields: Readonly<Record<string, string | number>>;
 }
 
-/** An account. */
+/** A trace. */
 export interface Trace {
   readonly id: string;
   /** The job that the item or call belongs to, when one is named. */
   readonly jobId: string | undefined;
   readonly lines: readonly TraceLine[];
-  /** What the logs cannot tell. */
+  /** Times for which lines are missing. */
   readonly gaps: readonly string[];
 }
 
@@ -30,14 +30,14 @@
   readonly context: Readonly<Record<string, string | number>>;
 }
 
-/** Time around an account within which restarts and left-out lines matter, milliseconds. */
+/** Time around a trace within which gaps are reported, milliseconds. Chosen, not measured. */
 const MARGIN_MS = 2_000;
 const LEFT_OUT_EVENT = 'lines-left-out';
 const STARTED_EVENT = 'process-started';
 const JOB_EVENTS: ReadonlySet<string> = new Set(['job-changed', 'results-listed']);
 const IDENTIFIER_FIELDS = ['requestId', 'jobId'] as const;
 
-/** Parses one line; whatever stands before the JSON is passed over. `undefined` when there is no log line. */
+/** Parses one line, skipping text before the JSON; `undefined` when it is no log line. */
 export function parseLogLine(text: string): TraceLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -53,11 +53,12 @@
       fields,
     };
   } catch {
+    // Not a log line: text of another program whose output is in the same file.
     return undefined;
   }
 }
 
-/** The account of `id`. For an item it includes what happened to the ownership and the list of its job. */
+/** The trace of `id`. For an item it includes the ownership and the result listings of its job. */
 export function traceOf(id: string, all: readonly TraceLine[]): Trace {
   const own = all.filter((line) => names(line, id));
   const jobId = own.map((line) => line.fields.jobId).find((value) => value !== undefined && value !== id);
@@ -95,11 +96,11 @@
   if (line.event === LEFT_OUT_EVENT)
     return [`${at}: ${line.fields.count} lines of ${line.fields.kind} were left out`];
   if (line.event === STARTED_EVENT)
-    return [`${at}: the process was started; its former life may have said more`];
+    return [`${at}: the process was started; lines of its earlier incarnation may be missing`];
   return [];
 }
 
-/** The account as text: time since the first line, node, event, fields. */
+/** The trace as text: time since the first line, node, event, fields. */
 export function renderTrace(trace: Trace): string {
   const start = trace.lines[0]?.timeMs ?? 0;
   const width = Math.max(...trace.lines.map((line) => line.node.length));
--- a/src/cli/usage-accounts.ts
+++ b/src/cli/usage-accounts.ts
@@ -1,11 +1,11 @@
-/** What operators see of usage: one account a window, read from the store, without asking any node. */
+/** Usage windows as operators see them, read from the store without a call to any node. */
 import type { Result } from 'neverthrow';
 import type { TenantCounts } from '../protocol/service/usage.js';
 import type { StoredReport, UsageRepository } from '../state/service/usage/index.js';
 import type { StateError } from '../state/state-error.js';
 import { formatTable } from './output.js';
 
-/** A window in the words of an operator. */
+/** Summary of a window. */
 export interface WindowAccount {
   readonly window: number;
   readonly state: 'decided' | 'reported';
@@ -15,7 +15,7 @@
   readonly requests: number;
 }
 
-/** What one process has counted in a window. */
+/** Counts of one process in a window. */
 export interface NodeCounts {
   readonly node: string;
   /** Whether the window was over for it when it last wrote. */
@@ -23,7 +23,7 @@
   readonly counts: TenantCounts;
 }
 
-/** A window with what is reported of it and where that comes from; counts of nodes are kept for a few windows. */
+/** A window with its report and the counts behind it, which are kept for a few windows. */
 export interface WindowDetail {
   /** `undefined` while it is not decided. */
   readonly report: StoredReport | undefined;
--- a/src/coordination/resource/configuration/config-follower.ts
+++ b/src/coordination/resource/configuration/config-follower.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this node's configuration the newest one: reads it from the store, then waits there for changes. A change is
- * accepted when the store has committed it. Each answer of the store confirms the configuration, counted from the moment
- * of asking, so that a node that was paused or is cut off knows that it may be behind.
+ * Follows the configuration in the store: loads it, then waits for changes by long polls. Each answer of the
+ * store confirms the configuration from the start of the call (`FreshnessLease`), so that a process pause or
+ * a partition makes it expire; it then stays in force, but `WorkGate` rejects new work.
  */
 import { sleep } from '../../../common/clock.js';
 import { startElapsed } from '../../../common/elapsed-time.js';
@@ -10,14 +10,15 @@
 import type { ConfigStore, ConfigView, FreshnessLease } from '../../../state/resource/configuration/index.js';
 import { CONFIGURATION_TABLE } from '../../../state/resource/tables/index.js';
 
+/** Delay after a failed call, milliseconds. Chosen, not measured. */
 const RETRY_DELAY_MS = 100;
 
-/** One node's follower. */
+/** The follower of one node. */
 export class ConfigFollower {
   private hasLoaded = false;
   private position = 0;
 
-  /** `holdMs`: how long the store may hold its answer while nothing changes, milliseconds. */
+  /** `holdMs`: longest duration of a long poll, milliseconds. */
   constructor(
     private readonly store: RecordStore,
     private readonly configuration: ConfigStore,
@@ -52,7 +53,7 @@
       const entries = await this.configuration.entries(this.view.revision, head.value);
       if (entries.isErr()) return false;
       const hasMoved = entries.value.filter((entry) => this.view.apply(entry)).length > 0;
-      // Another question that was asked meanwhile may have brought the same entries.
+      // A concurrent read may have applied the same entries.
       if (!hasMoved && this.view.revision < head.value) return false;
     }
     this.hasLoaded = true;
@@ -60,7 +61,7 @@
     return true;
   }
 
-  /** Notes where the changes begin, then reads everything. */
+  /** Takes the position of the change feed, then reads everything. */
   private async load(): Promise<boolean> {
     const page = await this.store.scan({ table: CONFIGURATION_TABLE, partition: '', limit: 1 });
     if (page.isErr()) return false;
--- a/src/coordination/resource/coordination-error.ts
+++ b/src/coordination/resource/coordination-error.ts
@@ -1,10 +1,12 @@
-/** Failures of the coordination layer: what became of a piece of work, in the terms of a refusal. */
-
+/**
+ * Errors of the coordination layer, as they are reported to callers: code, whether the work has run,
+ * Retry-After.
+ */
 import type { ProtocolError } from '../../protocol/protocol-error.js';
 import type { Executed, RefusalCode } from '../../protocol/resource/problem.js';
 import type { StateError, VersionPair } from '../../state/state-error.js';
 
-/** Work that was refused or failed. `executed` is `no` only when it is certain that it did not run. */
+/** Work that was rejected or failed. `executed` is `no` only when it is certain that it did not run. */
 export class CoordinationError extends Error {
   override readonly name = 'CoordinationError';
 
@@ -19,6 +21,7 @@
   }
 }
 
+/** Retry-After of temporary failures that name none, milliseconds. Chosen, not measured. */
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 const CODE_OF_STATE_FAILURE: Readonly<Record<StateError['failure'], RefusalCode>> = {
@@ -30,7 +33,7 @@
   invalid: 'invalid-request',
 };
 
-/** Turns a state failure into one of this layer. */
+/** Converts an error of the state layer. */
 export function fromState(error: StateError): CoordinationError {
   const code = CODE_OF_STATE_FAILURE[error.failure];
   const executed = error.effect === 'none' ? 'no' : 'unknown';
@@ -39,7 +42,7 @@
   return new CoordinationError(code, executed, error.message, wait, error.versions);
 }
 
-/** Turns a failed exchange with a back end into one of this layer. */
+/** Converts a failed exchange with a back end. */
 export function fromBackend(error: ProtocolError): CoordinationError {
   if (error.effect === 'none') {
     return new CoordinationError(
@@ -52,7 +55,7 @@
   return new CoordinationError('outcome-unknown', 'unknown', error.message, DEFAULT_RETRY_AFTER_MS);
 }
 
-/** Of two failures of the same work, the one to report: once it may have run, a later `no` does not undo that. */
+/** The failure to report of two: once the work may have run, a later `no` does not undo that. */
 export function worseOf(earlier: CoordinationError | undefined, later: CoordinationError): CoordinationError {
   if (earlier === undefined || earlier.executed === 'no') return later;
   return later.executed === 'no' ? earlier : later;
--- a/src/coordination/resource/membership/machine-watch.ts
+++ b/src/coordination/resource/membership/machine-watch.ts
@@ -1,6 +1,7 @@
 /**
- * The holder of the machine-watch lease puts the platform's machine list into the configuration, as Machine
- * resources, so that a leaving machine reaches every node the way every other change does.
+ * Machine watch, a singleton task: copies the platform's machine list into the configuration as Machine
+ * resources, so that a leaving machine reaches every node like any other change. A machine that is no longer
+ * listed keeps its resource. When the list or the store is not reachable, the next poll repeats the change.
  */
 import { ok } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
@@ -11,10 +12,10 @@
 import { API_VERSION } from '../../../protocol/resource/resource.js';
 import type { ConfigStore, ConfigView, WantedChange } from '../../../state/resource/configuration/index.js';
 
-/** Changes put into one revision at most. */
+/** Changes in one revision. Chosen, not measured: the rest follows at the next poll. */
 const CHANGES_PER_COMMIT = 100;
 
-/** The watcher. */
+/** The machine watch of one node; `intervalMs` is its poll interval, milliseconds. */
 export class MachineWatch {
   constructor(
     private readonly machines: MachineListClient,
@@ -24,7 +25,7 @@
     private readonly intervalMs: number,
   ) {}
 
-  /** Watches until the lease is lost. */
+  /** Polls until the lease is lost. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const listed = await this.machines.list();
--- a/src/coordination/resource/membership/node-registry.ts
+++ b/src/coordination/resource/membership/node-registry.ts
@@ -1,6 +1,7 @@
 /**
- * The nodes of the system, from the store: each node keeps a record of itself there and writes it again now and then. A
- * node whose record stood still for too long, in time in which the store could be read, is taken for dead.
+ * The nodes of the fleet, from the store: each node writes its record there with every heartbeat. A node
+ * whose record has not changed for the expiry time, while the store was readable, counts as dead. While the
+ * store is not reachable no node expires; after an outage every node gets the whole expiry time again.
  */
 import { ok } from 'neverthrow';
 import { monotonicMs, sleep } from '../../../common/clock.js';
@@ -15,10 +16,10 @@
 import { type FeedHandler, type FeedObserver, RecordFeed, readPartition } from '../../feeds/index.js';
 
 const NODE_TABLE = 'nodes';
-/** Silence of the store after which nothing is concluded from silence of nodes, as a multiple of the expiry. */
+/** Time without an answer of the store, as a share of the expiry, after which expiry starts anew. Chosen. */
 const GAP_FRACTION = 0.5;
 
-/** How often nodes write their record, and when they are taken for dead. Times are in milliseconds. */
+/** Heartbeat interval, and age of the last heartbeat at which a node counts as dead. Milliseconds. */
 export interface RegistryOptions {
   readonly beatMs: number;
   readonly expiryMs: number;
@@ -65,7 +66,7 @@
     await Promise.all([this.feed.run(signal), this.heartbeatLoop(signal)]);
   }
 
-  /** Nodes that may be alive, this one among them, by identifier. */
+  /** Nodes that may be alive, including this one, by identifier. */
   active(): NodeRecord[] {
     return this.everyone().filter((node) => node.state === 'alive');
   }
@@ -75,18 +76,19 @@
     return this.active().filter((node) => node.id !== this.own.id);
   }
 
-  /** All nodes that have not said that they leave, by identifier. */
+  /** All nodes that have not announced that they leave, by identifier. */
   everyone(): KnownNode[] {
     return [...this.nodes.values()]
       .map(({ record, seenAtMs }) => ({ ...record, state: this.stateOf(seenAtMs) }))
       .sort((left, right) => (left.id < right.id ? -1 : 1));
   }
 
+  /** The last record of a node; `undefined` when it is not known or has left. */
   get(id: string): NodeRecord | undefined {
     return this.nodes.get(id)?.record;
   }
 
-  /** Removes this node's record: it leaves as planned. */
+  /** Removes this node's record at a planned stop. Best effort: without it the record expires. */
   async announceLeaving(): Promise<void> {
     await this.store.transact({ conditions: [], writes: [], removals: [this.address] });
   }
@@ -121,7 +123,7 @@
     return monotonicMs() - seenAtMs > this.options.expiryMs ? 'dead' : 'alive';
   }
 
-  /** After a silence of the store every node gets the whole time again. */
+  /** After an outage of the store every node gets the whole expiry time again. */
   private noteAnswer(): void {
     const now = monotonicMs();
     if (now - this.answeredAtMs > this.options.expiryMs * GAP_FRACTION)
--- a/src/coordination/resource/membership/revision-report.ts
+++ b/src/coordination/resource/membership/revision-report.ts
@@ -1,12 +1,15 @@
-/** Who holds a revision of the configuration: asked of every node that may be alive. */
+/**
+ * Which nodes hold a revision of the configuration, by a call to each that may be alive; no answer counts as
+ * no.
+ */
 import type { PeerClient } from '../../../protocol/resource/peer.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { NodeRegistry } from './node-registry.js';
 
-/** Who holds a revision. */
+/** Nodes that hold a revision. */
 export interface RevisionHolders {
   readonly revision: number;
-  /** Whether the store has committed it, as far as this node knows. */
+  /** Whether the store has committed it: some node holds it. */
   readonly accepted: boolean;
   /** Whether every node that may be alive holds it. */
   readonly inForceEverywhere: boolean;
@@ -14,7 +17,7 @@
   readonly members: number;
 }
 
-/** Asks all nodes. */
+/** Calls all nodes. */
 export async function reportRevision(
   view: ConfigView,
   registry: NodeRegistry,
--- a/src/coordination/resource/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -41,14 +41,9 @@
   readonly release: () => void;
 }
 
-/**
- * Dispatches of a request, the first one included. Chosen, not measured: bounds the load that retries add.
- */
+/** Dispatches of a request, the first one included. Chosen, not measured: bounds the load of retries. */
 const MAX_DISPATCHES = 3;
-/**
- * Time by which the client's own timeouts follow the deadline, milliseconds, so that the request's signal
- * goes first.
- */
+/** Time by which the client's timeouts follow the deadline, milliseconds: the request's signal goes first. */
 const AFTER_DEADLINE_MS = 100;
 
 /**
@@ -91,9 +86,7 @@
   readonly mayRetry: boolean;
 }
 
-/**
- * Whether a request whose exchange failed may be dispatched again: it is repeatable, or none of it was sent.
- */
+/** Whether a failed request may be dispatched again: it is repeatable, or none of it was sent. */
 function isSafeToRetry(service: ResourceOf<'Service'>, error: TransportError): boolean {
   return service.spec.repeatable || !error.requestSent;
 }
@@ -108,9 +101,7 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /**
-   * Dispatches a request; resolves at the head of the response. The error says whether the request has run.
-   */
+  /** Dispatches a request; resolves at the head of the response. The error says whether it has run. */
   async dispatch(
     context: RequestContext,
     request: ApplicationRequest,
@@ -238,6 +229,12 @@
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
+/** The error for a response without a declared end: the request has run. */
+export function undeclaredEnd(backend: string): CoordinationError {
+  const message = `${backend} sent an answer whose end cannot be told from a cut`;
+  return new CoordinationError('backend-failed', 'yes', message);
+}
+
 /** Writes the head of a relayed response. */
 export function writeRelayedHead(
   response: ServerResponse,
--- a/src/coordination/resource/requests/index.ts
+++ b/src/coordination/resource/requests/index.ts
@@ -6,6 +6,7 @@
   REQUEST_ID_HEADER,
   type RelayedAnswer,
   TIMEOUT_HEADER,
+  undeclaredEnd,
   writeRelayedHead,
 } from './application-relay.js';
 export { AT_CAPACITY_RETRY_MS, rejection } from './rejection.js';
--- a/src/coordination/resource/requests/rejection.ts
+++ b/src/coordination/resource/requests/rejection.ts
@@ -4,15 +4,9 @@
 import { CoordinationError } from '../coordination-error.js';
 import type { NoRoute } from './router.js';
 
-/**
- * Retry-After when back ends are at capacity or failed, milliseconds. Chosen, not measured: requests end
- * meanwhile.
- */
+/** Retry-After when back ends are at capacity or failed, milliseconds. Chosen, not measured. */
 export const AT_CAPACITY_RETRY_MS = 500;
-/**
- * Retry-After without an eligible back end, milliseconds. Chosen, not measured: a drain or a load takes
- * seconds.
- */
+/** Retry-After without an eligible back end, milliseconds. Chosen, not measured. */
 const NO_BACKEND_RETRY_MS = 2_000;
 
 /** The error for the caller. The request has not run. */
--- a/src/coordination/resource/requests/router.ts
+++ b/src/coordination/resource/requests/router.ts
@@ -43,9 +43,7 @@
   | 'at-capacity'
   | 'failing';
 
-/**
- * A chosen back end. `release` must be called when the request has ended there; calling it twice is harmless.
- */
+/** A chosen back end. `release` must be called when the request has ended there; twice is harmless. */
 export interface Route {
   readonly backend: BackendEntry;
   readonly inputs: DecisionInputs;
@@ -58,9 +56,7 @@
   readonly inputs: DecisionInputs;
 }
 
-/**
- * Requests in flight at a back end, from this node, when `maxInFlight` is not declared. Chosen, not measured.
- */
+/** Requests in flight at a back end when `maxInFlight` is not declared. Chosen, not measured. */
 const DEFAULT_BACKEND_IN_FLIGHT = 64;
 /** Back ends in a decision record, of each sort. Chosen, not measured: bounds the record, not the choice. */
 const MAX_BACKENDS_RECORDED = 16;
@@ -111,10 +107,7 @@
     return subset;
   }
 
-  /**
-   * The first reason for which a back end is not eligible, in the order of the checks; `undefined` when it
-   * is.
-   */
+  /** The first reason, in the order of the checks, why a back end is not eligible; else `undefined`. */
   ineligibility(backend: BackendEntry, query: RouteQuery): Ineligibility | undefined {
     return (
       this.declaredIneligibility(backend, query) ??
@@ -173,9 +166,7 @@
   }
 }
 
-/**
- * Whether the machine list has a machine in another state than `live`. A machine that is not listed stays.
- */
+/** Whether the machine list has the machine in another state than `live`; unlisted machines stay. */
 export function isMachineLeaving(view: ConfigView, machine: string | undefined): boolean {
   const listed = machine === undefined ? undefined : view.get('Machine', machine);
   return listed !== undefined && listed.spec.state !== 'live';
--- a/src/coordination/resource/rollouts/delivery.ts
+++ b/src/coordination/resource/rollouts/delivery.ts
@@ -1,4 +1,8 @@
-/** Delivery of samples to trainers: draws through any node, with a wait for the first sample. */
+/**
+ * Delivery of samples to trainers: draws from the ledger through any node, waiting for the first sample by
+ * polling it. The staleness bound is checked once more before the response, since a version may have been
+ * published meanwhile.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { Metrics } from '../../../common/metrics.js';
@@ -11,7 +15,12 @@
 import { type CoordinationError, fromState } from '../coordination-error.js';
 import { newestPublished } from '../weights/index.js';
 
+/** Interval of draws while nothing is ready, milliseconds. Chosen, not measured. */
 const POLL_MS = 100;
+/**
+ * Samples in a batch when the trainer declares no size; a transaction of the ledger limits it further.
+ * Chosen.
+ */
 const DEFAULT_BATCH_SIZE = 64;
 
 /** The delivery of one node. */
@@ -23,7 +32,7 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Draws a batch; waits for the first sample as long as the request allows. */
+  /** Draws a batch; waits for the first sample up to `waitMs`. Repeating it with the same cursor is safe. */
   async draw(
     trainer: ResourceOf<'Trainer'>,
     request: DrawRequest,
@@ -48,7 +57,7 @@
     }
   }
 
-  /** The last look before the first byte is written: the trainer may have published meanwhile. */
+  /** The last check before the response: a version may have been published after the draw. */
   private isStillFresh(terms: DrawTerms, outcome: DrawOutcome): boolean {
     return outcome.references.every((sample) =>
       isWithinBound(sample.oldestVersion, newestPublished(this.view, sample.model), terms.stalenessBound),
--- a/src/coordination/resource/rollouts/event-transcript.ts
+++ b/src/coordination/resource/rollouts/event-transcript.ts
@@ -60,9 +60,7 @@
     return whole;
   }
 
-  /**
-   * The text and the weight versions of its tokens, as the engines reported them. Error: a malformed event.
-   */
+  /** The text and the reported weight versions of its tokens. Error: a malformed event. */
   read(): Result<GeneratedText, string> {
     let text = '';
     let tokens = 0;
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -48,10 +48,7 @@
 /** Receives whole events; false when the receiver has disconnected. */
 export type EventSink = (events: Buffer) => Promise<boolean>;
 
-/**
- * Dispatches of one generation, the first one included. Chosen, not measured: resumes lose little, so more
- * than for requests.
- */
+/** Dispatches of one generation, the first one included. Chosen, not measured: a resume loses little. */
 const MAX_DISPATCHES = 6;
 
 /** A stream opened at an engine; `release` ends its count as in flight. */
--- a/src/coordination/resource/rollouts/rollout-owner.ts
+++ b/src/coordination/resource/rollouts/rollout-owner.ts
@@ -25,15 +25,9 @@
   readonly commits: SampleCommits;
 }
 
-/**
- * Interval of ledger scans, milliseconds. Chosen, not measured: a new rollout waits for half of it on
- * average.
- */
+/** Interval of ledger scans, milliseconds. Chosen, not measured. */
 const SCAN_INTERVAL_MS = 300;
-/**
- * Samples in progress of a shard when the trainer declares none (idle time at 32 and 128: docs/CAPACITY.md,
- * run T).
- */
+/** Samples in progress of a shard when not declared (idle time at 32 and 128: docs/CAPACITY.md). */
 const DEFAULT_CONCURRENCY = 128;
 /** Delay after a failed attempt, milliseconds, doubled up to the maximum. Chosen, not measured. */
 const RETRY_DELAY_MS = 200;
--- a/src/coordination/resource/rollouts/sample-committer.ts
+++ b/src/coordination/resource/rollouts/sample-committer.ts
@@ -15,9 +15,7 @@
   readonly settle: (outcome: CommitOutcome) => void;
 }
 
-/**
- * Time in which further samples join a batch, milliseconds. Chosen, not measured: short beside a generation.
- */
+/** Time in which further samples join a batch, milliseconds. Chosen, not measured. */
 const GATHER_MS = 20;
 /** Samples in a batch: the store takes 100 entries in a transaction, and a sample needs up to four. */
 const MAX_BATCH = 24;
--- a/src/coordination/resource/rollouts/sample-producer.ts
+++ b/src/coordination/resource/rollouts/sample-producer.ts
@@ -28,23 +28,14 @@
   readonly observer: LifecycleObserver;
 }
 
-/**
- * `settled`: an attempt has won the slot, or the rollout is cancelled. `retry`: no sample came of this
- * attempt.
- */
+/** `settled`: the slot is won or its rollout cancelled. `retry`: the attempt gave no sample. */
 export type ProductionOutcome = 'settled' | 'retry' | 'lease-lost';
 
-/**
- * Deadline of one sample, milliseconds. Chosen, not measured: above the longest generation, so that a hang
- * ends.
- */
+/** Deadline of a sample, milliseconds. Chosen, not measured: ends a generation that hangs. */
 const SAMPLE_DEADLINE_MS = 30 * 60 * 1_000;
 /** Priority at engines, 0 to 9: below the default of callers, 5. */
 const SAMPLE_PRIORITY = 3;
-/**
- * Least tokens in an event: nobody reads a sample while it is generated (relay cost by event size:
- * docs/CAPACITY.md).
- */
+/** Least tokens in an event: nobody reads a sample as it is generated (cost: docs/design/delivery.md). */
 const SAMPLE_EVENT_TOKENS = 64;
 /** Hexadecimal digits of a seed: 28 bits, so that it fits a signed 32-bit integer. */
 const SEED_DIGITS = 7;
--- a/src/coordination/resource/singleton-tasks/singleton-tasks.ts
+++ b/src/coordination/resource/singleton-tasks/singleton-tasks.ts
@@ -38,20 +38,13 @@
   readonly createTask: (lease: HeldLease, signals: TaskSignals) => RunnableTask;
 }
 
-/**
- * Nodes that try to acquire a lease. Chosen, not measured: two may fail, and calls do not grow with the
- * fleet.
- */
+/** Nodes that try to acquire a lease. Chosen, not measured: calls must not grow with the fleet. */
 const CANDIDATES = 3;
 /** Rounds, and so renewals, in the lease time. Chosen, not measured: three renewals in a row may fail. */
 const RENEWALS_PER_LEASE = 4;
-/**
- * Rounds without a change of members or configuration until idle tasks move to the first candidate. Chosen.
- */
+/** Rounds without a change of members until idle tasks move to the first candidate. Chosen. */
 const ROUNDS_UNTIL_HANDOVER = 3;
-/**
- * Rounds for each attempt of the other candidates. Chosen, not measured: the first one goes ahead of them.
- */
+/** Rounds for each attempt of the other candidates. Chosen, not measured. */
 const SECONDARY_ROUNDS = 2;
 
 type LeaseState = 'free' | 'held';
@@ -133,10 +126,7 @@
     return !this.running.has(task.name) && (rank === 0 || this.round % SECONDARY_ROUNDS === 0);
   }
 
-  /**
-   * An error is not reported: the next round tries again, and the store client logs that the store is not
-   * reachable.
-   */
+  /** An error is not reported: the next round tries again, and the table logs the store's health. */
   private async tryStart(task: SingletonTask): Promise<void> {
     const acquired = await this.leases.tryAcquire(task.name);
     if (acquired.isOk() && acquired.value) this.start(task, acquired.value);
@@ -156,10 +146,7 @@
     }
   }
 
-  /**
-   * A conflict means that the row changed since it was read, e.g. by an earlier process: renewed once more
-   * from there.
-   */
+  /** After a conflict the row was read again: it was written by an earlier process of this node. */
   private async renewSession(): Promise<void> {
     const renewed = await this.leases.renew();
     if (renewed.isErr() && renewed.error.failure === 'conflict') await this.leases.renew();
--- a/src/coordination/resource/weights/engine-monitor.ts
+++ b/src/coordination/resource/weights/engine-monitor.ts
@@ -11,9 +11,7 @@
 import { targetVersion } from './version-policy.js';
 import { shouldDrain } from './weight-rollout.js';
 
-/**
- * Interval in which the set of polled engines follows the configuration, milliseconds. Chosen, not measured.
- */
+/** Interval in which the polled engines follow the configuration, milliseconds. Chosen, not measured. */
 const TASK_REFRESH_MS = 200;
 /** Factor of the interval for a settled engine (calls and bytes without and with it: docs/CAPACITY.md). */
 const SETTLED_FACTOR = 8;
--- a/src/coordination/resource/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -32,9 +32,7 @@
 
 /** Interval of rounds, milliseconds. Chosen, not measured. */
 const ROUND_MS = 200;
-/**
- * Share of a slice's engines that load at a time when the model declares none. Chosen: one of three may load.
- */
+/** Share of a slice's engines that load at a time when not declared. Chosen: one of three. */
 const DEFAULT_MAX_UNAVAILABLE = 0.34;
 /** Delay after a failed load of an engine, milliseconds, doubled up to the maximum. Chosen, not measured. */
 const FIRST_RETRY_DELAY_MS = 500;
--- a/src/node/resource/api/api-server.ts
+++ b/src/node/resource/api/api-server.ts
@@ -1,4 +1,8 @@
-/** The node's HTTP interface: authentication, roles, refusals and counts around the handlers. */
+/**
+ * The node's HTTP interface: authentication, roles, rejections and metrics around the handlers, and the count
+ * of work in flight for which a planned stop waits. A handler that throws is logged and answered as
+ * `internal`.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
@@ -11,23 +15,26 @@
 import { HttpServer } from '../../../transport/http-server.js';
 import { type Exchange, sendProblem } from './exchange.js';
 
-/** Handles an exchange: it has answered, or returns the refusal to send. */
+/** Handles an exchange: it has responded, or returns the rejection to send. */
 export type ApiHandler = (exchange: Exchange) => Promise<Result<void, CoordinationError>>;
 
 /** A route of the interface. */
 export interface Route {
   readonly method: 'ALL' | 'GET' | 'PUT' | 'POST' | 'PATCH' | 'DELETE';
   readonly pattern: string;
-  /** Any of these roles may use it; none means that no token is asked for. */
+  /** Any of these roles may use it; none means that no token is required. */
   readonly roles: readonly Role[];
-  /** Whether it is new work, which a leaving node refuses. Peers and watchers of health are still answered. */
+  /** Whether it is new work, which a leaving node rejects. Peers and health checks are still answered. */
   readonly isWork: boolean;
   readonly handler: ApiHandler;
 }
 
+/** Retry-After while the node leaves, milliseconds. Chosen, not measured: the retry goes to another node. */
+const LEAVING_RETRY_MS = 1_000;
+
 const ANYONE: Principal = { identity: 'anonymous', roles: [] };
 
-/** What the interface needs. */
+/** Dependencies of the interface. */
 export interface ApiServerParts {
   readonly nodeId: string;
   readonly access: AccessControl;
@@ -74,7 +81,11 @@
       return;
     }
     if (route.isWork && this.parts.isLeaving()) {
-      this.refuse(response, new CoordinationError('leaving', 'no', 'this node is leaving', 1_000), requestId);
+      this.refuse(
+        response,
+        new CoordinationError('leaving', 'no', 'this node is leaving', LEAVING_RETRY_MS),
+        requestId,
+      );
       return;
     }
     const exchange = {
@@ -163,6 +174,8 @@
   try {
     return decodeURIComponent(text);
   } catch {
+    // Malformed percent-encoding: the text as sent names no resource, so the handler answers `not-found` or
+    // `invalid`.
     return text;
   }
 }
--- a/src/node/resource/api/change-routes.ts
+++ b/src/node/resource/api/change-routes.ts
@@ -1,15 +1,18 @@
-/** Routes that change resources: put, patch, delete, approve, changesets. */
+/**
+ * Routes that change resources: put, patch, delete, approve, changesets. Each commits one revision to the
+ * store; a write whose answer is lost is repeated under the same operation ID and then returns the revision
+ * of the first time.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import { wallTime } from '../../../common/clock.js';
-import { uniqueId } from '../../../common/identifier.js';
 import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
-import { checkManifest, isKind, type Manifest } from '../../../protocol/resource/manifest.js';
+import { isKind } from '../../../protocol/resource/manifest.js';
 import {
   ApprovalRequestSchema,
   type Changeset,
   ChangesetSchema,
 } from '../../../protocol/resource/operator.js';
-import { READ_ONLY_KINDS, type Resource, type ResourceOf } from '../../../protocol/resource/resource.js';
+import { READ_ONLY_KINDS, type ResourceOf } from '../../../protocol/resource/resource.js';
 import { Validator } from '../../../protocol/validation.js';
 import type { CommitOutcome, WantedChange } from '../../../state/resource/configuration/index.js';
 import { StateError } from '../../../state/state-error.js';
@@ -17,10 +20,18 @@
 import type { ApiHandler, Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readAnyJson, readJson } from './exchange.js';
 import { mergePatch } from './merge-patch.js';
-import { isOperator, kindOf, type ResourceParts, withStatus } from './resource-common.js';
+import { kindOf, type ResourceParts, withStatus } from './resource-common.js';
+import {
+  addressMismatch,
+  checkWritable,
+  ifMatch,
+  keepApprovals,
+  operationId,
+  prefixed,
+  trainerMayPublish,
+} from './write-rules.js';
 
 const BODY_LIMIT_BYTES = 8 * 1024 * 1024;
-const OPERATION_HEADER = 'x-operation-id';
 const changeset = new Validator(ChangesetSchema);
 const approvalRequest = new Validator(ApprovalRequestSchema);
 
@@ -54,56 +65,6 @@
   ];
 }
 
-/** The version in `If-Match`: a number in quotes, `*` for any. */
-function ifMatch(exchange: Exchange): Result<number | 'any' | undefined, CoordinationError> {
-  const header = exchange.request.headers['if-match'];
-  if (header === undefined) return ok(undefined);
-  if (header === '*') return ok('any');
-  const version = Number(header.replaceAll('"', ''));
-  if (Number.isInteger(version) && version >= 0) return ok(version);
-  return err(
-    new InvalidRequestError([{ field: 'if-match', message: 'must be a resourceVersion in quotes, or *' }]),
-  );
-}
-
-/** Checks a manifest and what the principal may write. */
-function checkWritable(exchange: Exchange, value: unknown): Result<Manifest, CoordinationError> {
-  const checked = checkManifest(value);
-  if (checked.isErr()) return err(new InvalidRequestError(checked.error));
-  const manifest = checked.value;
-  if (READ_ONLY_KINDS.includes(manifest.kind)) {
-    return err(
-      new InvalidRequestError([{ field: 'kind', message: `${manifest.kind} is written by the system only` }]),
-    );
-  }
-  if (!isOperator(exchange) && manifest.kind !== 'ModelVersion') {
-    return err(new CoordinationError('forbidden', 'no', 'a trainer may write ModelVersion only'));
-  }
-  return ok(manifest);
-}
-
-/** Approvals change through the approval route alone; any other write keeps those that are stored. */
-function keepApprovals(manifest: Manifest, stored: Resource | undefined): Manifest {
-  if (manifest.kind !== 'ModelVersion') return manifest;
-  const { approvals: _ignored, ...spec } = manifest.spec as Resource['spec'] & { approvals?: unknown };
-  const kept =
-    stored?.kind === 'ModelVersion' && sameWeights(stored, manifest) ? stored.spec.approvals : undefined;
-  return { ...manifest, spec: kept ? { ...spec, approvals: kept } : spec } as Manifest;
-}
-
-/** Approvals are given for certain weights; other weights under the same name are not approved. */
-function sameWeights(stored: Resource & { kind: 'ModelVersion' }, manifest: Manifest): boolean {
-  return (
-    JSON.stringify(stored.spec.weights) === JSON.stringify((manifest.spec as typeof stored.spec).weights)
-  );
-}
-
-function trainerMayPublish(parts: ResourceParts, exchange: Exchange, manifest: Manifest): boolean {
-  if (isOperator(exchange)) return true;
-  const trainer = parts.view.get('Trainer', exchange.principal.trainer ?? '');
-  return trainer?.spec.models.includes((manifest.spec as { model: string }).model) ?? false;
-}
-
 async function put(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
@@ -128,16 +89,6 @@
   });
 }
 
-function addressMismatch(exchange: Exchange, manifest: Manifest): InvalidRequestError | undefined {
-  const problems = [];
-  if (manifest.kind !== exchange.params.kind)
-    problems.push({ field: 'kind', message: `must be ${exchange.params.kind}` });
-  if (manifest.metadata.name !== exchange.params.name) {
-    problems.push({ field: 'metadata.name', message: `must be ${exchange.params.name}` });
-  }
-  return problems.length > 0 ? new InvalidRequestError(problems) : undefined;
-}
-
 async function patch(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
@@ -145,7 +96,7 @@
   if (body.isErr()) return err(body.error);
   const match = ifMatch(exchange);
   if (match.isErr()) return err(match.error);
-  let refused: CoordinationError | undefined;
+  let rejection: CoordinationError | undefined;
   const outcome = await commitOne(parts, exchange, {
     kind: kind.value,
     name: exchange.params.name ?? '',
@@ -155,12 +106,13 @@
         return err(new StateError('not-found', 'none', `no ${kind.value} ${exchange.params.name}`));
       const manifest = checkWritable(exchange, mergePatch(stored, body.value));
       const mismatch = manifest.isOk() ? addressMismatch(exchange, manifest.value) : undefined;
-      refused = manifest.isErr() ? manifest.error : mismatch;
-      if (manifest.isErr() || mismatch) return err(new StateError('invalid', 'none', refused?.message ?? ''));
+      rejection = manifest.isErr() ? manifest.error : mismatch;
+      if (manifest.isErr() || mismatch)
+        return err(new StateError('invalid', 'none', rejection?.message ?? ''));
       return ok(keepApprovals(manifest.value, stored));
     },
   });
-  return refused && outcome.isErr() ? err(refused) : outcome;
+  return rejection && outcome.isErr() ? err(rejection) : outcome;
 }
 
 async function remove(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
@@ -204,11 +156,6 @@
   });
 }
 
-function operationId(exchange: Exchange): string {
-  const header = exchange.request.headers[OPERATION_HEADER];
-  return typeof header === 'string' && header.length >= 8 ? header : uniqueId();
-}
-
 /** Commits one change, waits until it is accepted, and answers with the resource. */
 async function commitOne(
   parts: ResourceParts,
@@ -228,7 +175,7 @@
   return ok(undefined);
 }
 
-/** Keeps who took a back end out of use or back into it, for `explain`. */
+/** Records who started or ended the drain of a back end, for `explain`. */
 function noteBackendChange(parts: ResourceParts, exchange: Exchange, backend: ResourceOf<'Backend'>): void {
   const { name, resourceVersion } = backend.metadata;
   parts.decisions.record({
@@ -240,7 +187,7 @@
   });
 }
 
-/** A change is accepted when the store has committed it; this node then takes it before it answers. */
+/** Commits to the store, then brings this node to the new revision before it responds. */
 async function commitAndAccept(
   parts: ResourceParts,
   id: string,
@@ -304,8 +251,3 @@
   }
   return ok(wanted);
 }
-
-function prefixed(error: CoordinationError, prefix: string): CoordinationError {
-  if (!(error instanceof InvalidRequestError)) return error;
-  return new InvalidRequestError(error.fields.map((one) => ({ ...one, field: `${prefix}.${one.field}` })));
-}
--- a/src/node/resource/api/completion-routes.ts
+++ b/src/node/resource/api/completion-routes.ts
@@ -1,4 +1,7 @@
-/** Routes of callers of model services: `/v1/completions` and `/v1/chat/completions`, streamed or whole. */
+/**
+ * Routes of callers of model services: `/v1/completions` and `/v1/chat/completions`, streamed or buffered. A
+ * generation that fails after its stream began ends in an error event; a buffered one in a problem document.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
 import type { RequestContext } from '../../../coordination/resource/requests/index.js';
@@ -16,15 +19,19 @@
 import { type CallerParts, contextOf, noteRefusal, withinLimits } from './caller-routes.js';
 import { type Exchange, InvalidRequestError, readJson, toProblem } from './exchange.js';
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface CompletionParts extends Pick<CallerParts, 'view' | 'gate' | 'limits' | 'decisions'> {
   readonly generator: Generator;
 }
 
+/** Largest request body. Chosen, not measured. */
 const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
+/** Timeout when the service declares none, milliseconds. Chosen, not measured. */
 const DEFAULT_TIMEOUT_MS = 120_000;
 const DEFAULT_MAX_TOKENS = 256;
+/** Priority at engines when the service declares none, 0 to 9. */
 const DEFAULT_PRIORITY = 5;
+/** Upper bound of random seeds, exclusive: the greatest signed 32-bit integer. */
 const SEED_LIMIT = 0x7fffffff;
 
 const validator = new Validator(CompletionRequestSchema);
@@ -56,34 +63,45 @@
   if (body.isErr()) return err(body.error);
   const prompt = promptOf(exchange, body.value);
   if (prompt.isErr()) return err(prompt.error);
-  const model = parts.view.get('Model', body.value.model);
+  const order = generationOf(parts, body.value, prompt.value);
+  if (order.isErr()) return err(order.error);
+  const { service } = order.value;
+  const context = contextOf(exchange, service.spec.limits?.timeoutMs ?? DEFAULT_TIMEOUT_MS);
+  if (context.isErr()) return err(context.error);
+  const run = body.value.stream === true ? streamed : buffered;
+  return withinLimits(parts, exchange, service, async () => {
+    const outcome = await run(parts, exchange, context.value, order.value);
+    if (outcome.isErr()) noteRefusal(parts.decisions, exchange.requestId, outcome.error);
+    return outcome;
+  });
+}
+
+/** The generation that a body requests. A model is `not-found` only under a confirmed configuration. */
+function generationOf(
+  parts: CompletionParts,
+  body: CompletionRequest,
+  prompt: string,
+): Result<GenerationRequest, CoordinationError> {
+  const model = parts.view.get('Model', body.model);
   const service = model && parts.view.get('Service', model.spec.service);
   if (!model || !service) {
     const open = parts.gate.check();
-    const message = `no model ${body.value.model} is declared`;
+    const message = `no model ${body.model} is declared`;
     return err(open.isErr() ? open.error : new CoordinationError('not-found', 'no', message));
   }
-  const context = contextOf(exchange, service.spec.limits?.timeoutMs ?? DEFAULT_TIMEOUT_MS);
-  if (context.isErr()) return err(context.error);
-  const order: GenerationRequest = {
+  return ok({
     service,
     model: model.metadata.name,
-    prompt: prompt.value,
-    maxTokens: body.value.max_tokens ?? DEFAULT_MAX_TOKENS,
-    seed: body.value.seed ?? Math.floor(Math.random() * SEED_LIMIT),
+    prompt,
+    maxTokens: body.max_tokens ?? DEFAULT_MAX_TOKENS,
+    seed: body.seed ?? Math.floor(Math.random() * SEED_LIMIT),
     priority: service.spec.priority ?? DEFAULT_PRIORITY,
     residency: model.spec.residency,
     subjects: [],
-  };
-  const run = body.value.stream === true ? streamed : whole;
-  return withinLimits(parts, exchange, service, async () => {
-    const outcome = await run(parts, exchange, context.value, order);
-    if (outcome.isErr()) noteRefusal(parts.decisions, exchange.requestId, outcome.error);
-    return outcome;
   });
 }
 
-/** Passes the engine's events on as bytes. A cut that cannot be mended ends in an error event, never silently. */
+/** Forwards events as bytes. A cut that is not resumed ends in an error event, never silently. */
 async function streamed(
   parts: CompletionParts,
   exchange: Exchange,
@@ -107,7 +125,7 @@
   return ok(undefined);
 }
 
-async function whole(
+async function buffered(
   parts: CompletionParts,
   exchange: Exchange,
   context: RequestContext,
--- a/src/node/resource/api/exchange.ts
+++ b/src/node/resource/api/exchange.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with a caller: who it is, what it is called, and how it is answered. */
+/** One HTTP exchange: principal, body, and problem documents for rejections. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
@@ -49,7 +49,7 @@
   };
 }
 
-/** Sends a refusal, at once. */
+/** Sends the rejection; for some codes the connection is closed after it. */
 export function sendProblem(response: ServerResponse, error: CoordinationError, requestId: string): void {
   const problem = toProblem(error, requestId);
   const headers: Record<string, string> = { 'content-type': PROBLEM_MEDIA_TYPE };
@@ -58,7 +58,7 @@
   sendJson(response, problem.status, problem, headers);
 }
 
-/** Reads the body whole. */
+/** Reads the body to its end. */
 export async function readBody(
   request: IncomingMessage,
   limitBytes: number,
--- a/src/node/resource/api/explain-routes.ts
+++ b/src/node/resource/api/explain-routes.ts
@@ -1,4 +1,8 @@
-/** Routes that explain: decisions about a request, a sample or a back end, and the status of the node. */
+/**
+ * Routes of `explain` (decisions about a request, a sample or a back end) and `status`. Decisions come from
+ * this node, from the deciding node, or from what it flushed; those of nodes that do not respond are left
+ * out.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import { parseRequestId } from '../../../common/identifier.js';
 import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
@@ -21,7 +25,7 @@
 import type { Exchange } from './exchange.js';
 import { statusOf } from './resource-status.js';
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface ExplainParts {
   readonly nodeId: string;
   readonly zone: string;
@@ -83,7 +87,7 @@
   return ok(undefined);
 }
 
-/** Decisions of a request: this node's, the deciding node's, or those that it flushed before it went. */
+/** Decisions of a request: this node's, the deciding node's, or those that it flushed. */
 async function decisionsOfRequest(parts: ExplainParts, requestId: string): Promise<DecisionRecord[]> {
   const own = parts.decisions.find(requestId);
   const origin = parseRequestId(requestId);
@@ -170,7 +174,7 @@
   });
 }
 
-/** `yes`, or why not. */
+/** `yes`, or `no` with the reason. */
 function describeEligibility(parts: ExplainParts, entry: BackendEntry): string {
   const service = parts.view.get('Service', entry.declaration.spec.service);
   if (!service) return 'no (service is not declared)';
--- a/src/node/resource/api/health-routes.ts
+++ b/src/node/resource/api/health-routes.ts
@@ -1,4 +1,4 @@
-/** Routes for health and metrics; they ask for no token. */
+/** Routes for health and metrics; they require no token. */
 import { ok } from 'neverthrow';
 import type { Metrics } from '../../../common/metrics.js';
 import type { WorkGate } from '../../../coordination/resource/requests/index.js';
--- a/src/node/resource/api/peer-routes.ts
+++ b/src/node/resource/api/peer-routes.ts
@@ -1,4 +1,6 @@
-/** Routes of other nodes. */
+/**
+ * Routes for other nodes: this node's revision, and its decision records. A leaving node still serves them.
+ */
 import { ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
 import type { CoordinationError } from '../../../coordination/resource/coordination-error.js';
@@ -10,7 +12,7 @@
 import type { Route } from './api-server.js';
 import { type Exchange, readJson } from './exchange.js';
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface PeerParts {
   readonly view: ConfigView;
   readonly decisions: DecisionLog;
--- a/src/node/resource/api/read-routes.ts
+++ b/src/node/resource/api/read-routes.ts
@@ -1,6 +1,7 @@
 /**
- * Routes that read resources: list, watch, read, and who holds a revision. A read asks the store for the newest revision
- * first, so that it shows every change that any node has accepted; while the store is away it shows what this node knows.
+ * Routes that read resources: list, watch, read, and who holds a revision. A read first catches up with the
+ * store, so that it shows every change that any node has accepted; while the store is not reachable it shows
+ * the configuration in force on this node.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
--- a/src/node/resource/api/resource-common.ts
+++ b/src/node/resource/api/resource-common.ts
@@ -1,4 +1,4 @@
-/** What reading and changing resources share. */
+/** Shared by the routes that read and change resources: dependencies, kind and role checks, status. */
 import { err, ok, type Result } from 'neverthrow';
 import type { ConfigFollower } from '../../../coordination/resource/configuration/index.js';
 import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
@@ -13,7 +13,7 @@
 import type { Exchange } from './exchange.js';
 import { statusOf } from './resource-status.js';
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface ResourceParts {
   readonly view: ConfigView;
   readonly store: ConfigStore;
--- a/src/node/resource/api/resource-status.ts
+++ b/src/node/resource/api/resource-status.ts
@@ -1,5 +1,4 @@
-/** Status of resources, worked out by the node that answers. */
-
+/** Status of resources: conditions as the responding node sees them; other nodes may differ. */
 import {
   isApproved,
   isAssigned,
--- a/src/node/resource/api/trainer-routes.ts
+++ b/src/node/resource/api/trainer-routes.ts
@@ -1,4 +1,7 @@
-/** Routes of trainers: submit, draw, acknowledge, cancel, progress. */
+/**
+ * Routes of trainers: submit, draw, acknowledge, cancel, progress. Every call may be repeated: submissions
+ * are identified by content, draws by cursor and sequence, acknowledgements by cursor, attempt and digest.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
 import type { WorkGate } from '../../../coordination/resource/requests/index.js';
@@ -16,7 +19,7 @@
 import type { ApiHandler, Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readJson } from './exchange.js';
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface TrainerParts {
   readonly view: ConfigView;
   readonly gate: WorkGate;
@@ -25,6 +28,7 @@
   readonly delivery: Delivery;
 }
 
+// Chosen, not measured.
 const SUBMISSION_LIMIT_BYTES = 32 * 1024 * 1024;
 const SMALL_BODY_LIMIT_BYTES = 64 * 1024;
 const submission = new Validator(RolloutSubmissionSchema);
@@ -54,7 +58,7 @@
   ];
 }
 
-/** A token speaks for one trainer and no other. */
+/** A trainer's token is valid for that trainer alone. */
 async function forOwnTrainer(
   parts: TrainerParts,
   exchange: Exchange,
--- a/src/node/resource/coordination-parts.ts
+++ b/src/node/resource/coordination-parts.ts
@@ -22,10 +22,7 @@
 import { listSingletonTasks } from './singleton-task-list.js';
 import type { StateParts } from './state-parts.js';
 
-/**
- * Back ends of a service that a node polls and uses, when not set. Chosen; its cost stands in
- * docs/CAPACITY.md.
- */
+/** Back ends of a service that a node uses, when not set. Chosen; its cost: docs/CAPACITY.md. */
 const DEFAULT_SUBSET_SIZE = 64;
 const SEED_MODULUS = 0x7fffffff;
 
--- a/src/node/resource/node.ts
+++ b/src/node/resource/node.ts
@@ -1,4 +1,8 @@
-/** A node: its layers put together, started, and stopped without cutting off what is in flight. */
+/**
+ * A node of the resource interface: builds its layers, starts them, and stops without cutting off work in
+ * flight. It is `serving` when the configuration has been loaded; until then, and while it leaves, the work
+ * gate rejects new work.
+ */
 import { sleep } from '../../common/clock.js';
 import { Lifecycle } from '../../common/lifecycle.js';
 import { createLogger, type Logger } from '../../common/logging.js';
@@ -19,15 +23,16 @@
 import { type Settings, type Timing, timingOf } from './settings.js';
 import { buildState, type StateParts } from './state-parts.js';
 
-/** Makes the client of the store that the settings name: the adapter of a platform brings it. */
+/** Creates the client of the store that the settings name; an adapter of a platform provides it. */
 export type StoreFactory = (settings: Settings) => RecordStore;
 
-/** How a node shares its process. */
+/** Options of a node that shares its process with others. */
 export interface NodeOptions {
   /** Whether its metrics include those of the process; false when nodes share one. Default true. */
   readonly processMetrics?: boolean;
 }
 
+/** Interval in which the first load of the configuration is checked, milliseconds. Chosen, not measured. */
 const READY_POLL_MS = 20;
 
 /** One node. */
@@ -100,7 +105,7 @@
     return listening;
   }
 
-  /** Stops as planned: refuses new work, finishes what is in flight, hands the leases over, writes the records. */
+  /** Stops gracefully: rejects new work, finishes work in flight, releases leases, flushes decisions. */
   async stop(): Promise<void> {
     if (!this.lifecycle.sendIfTaken('stopRequested')) return;
     this.tasksStop.abort();
--- a/src/node/resource/settings.ts
+++ b/src/node/resource/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of a node: a YAML file, with flags over it. They are checked whole before anything is opened; every
- * bad field is named with its path and what is allowed.
+ * Settings of a node: a YAML file, with flags over it. They are checked whole before anything is opened;
+ * every bad field is named with its path and what is allowed.
  */
 import { readFileSync } from 'node:fs';
 import { err, ok, type Result } from 'neverthrow';
--- a/src/node/resource/state-parts.ts
+++ b/src/node/resource/state-parts.ts
@@ -18,10 +18,7 @@
 import { RowTable, StoredObjects } from '../../state/resource/tables/index.js';
 import { peerGrant, type Settings, type Timing } from './settings.js';
 
-/**
- * Calls a second to the store when the settings name none, for the table and the objects each. Chosen, not
- * measured.
- */
+/** Calls a second to the store when not set, for table and objects each. Chosen, not measured. */
 const DEFAULT_CALLS_PER_SECOND = 200;
 
 /** State of a node. */
--- a/src/protocol/resource/engine.ts
+++ b/src/protocol/resource/engine.ts
@@ -13,7 +13,7 @@
 
 const CLOSED = { additionalProperties: false } as const;
 
-/** What a caller asks of a model. */
+/** Body of a completion request of a caller. */
 export const CompletionRequestSchema = Type.Object(
   {
     model: Type.String({ minLength: 1 }),
@@ -30,7 +30,7 @@
 );
 export type CompletionRequest = Static<typeof CompletionRequestSchema>;
 
-/** What a node sends to an engine. */
+/** Body of a completion request of a node to an engine. */
 export const EngineRequestSchema = Type.Object(
   {
     request_id: Type.String(),
@@ -39,11 +39,11 @@
     max_tokens: Type.Integer({ minimum: 1 }),
     priority: Type.Integer({ minimum: 0, maximum: 9 }),
     seed: Type.Integer(),
-    /** Text that an earlier attempt had generated, to go on from. */
+    /** Text that earlier attempts generated, to resume after. */
     resume: Type.Optional(Type.Object({ text: Type.String(), tokens: Type.Integer({ minimum: 0 }) }, CLOSED)),
-    /** Tokens in one event at least, unless the version changes or the text ends; an engine may ignore it. */
+    /** Least tokens in an event, unless the version changes or the text ends; an engine may ignore it. */
     event_tokens: Type.Optional(Type.Integer({ minimum: 1 })),
-    /** Refuse when the loaded version is older than this. */
+    /** The engine rejects the request when its loaded version is older. */
     min_version: Type.Optional(Type.Integer({ minimum: 0 })),
   },
   CLOSED,
@@ -64,22 +64,22 @@
 /** The end of a complete stream. */
 export const STREAM_END = '[DONE]';
 
-/** What an engine says of itself. Load figures lag. */
+/** State reported by an engine. Load figures lag. */
 export const EngineStateSchema = Type.Object({
   model: Type.String(),
   /** Version of each shard. More than one value means that a swap failed partway. */
   shardVersions: Type.Array(Type.Integer()),
-  /** Whether it admits new work: `draining` engines refuse it. */
+  /** Whether it admits new requests: `draining` engines reject them. */
   role: Type.Union([Type.Literal('serving'), Type.Literal('draining')]),
   swapping: Type.Boolean(),
   running: Type.Integer(),
   queued: Type.Integer(),
-  /** Highest fence seen. */
+  /** Highest fence received. */
   fence: Type.Integer(),
 });
 export type EngineState = Static<typeof EngineStateSchema>;
 
-/** A fenced order. An engine refuses a fence that is lower than the highest it has seen. */
+/** A fenced command. An engine rejects a fence that is lower than the highest it has received. */
 export const EngineCommandSchema = Type.Union([
   Type.Object({
     fence: Type.Integer({ minimum: 0 }),
@@ -96,17 +96,21 @@
 ]);
 export type EngineCommand = Static<typeof EngineCommandSchema>;
 
-/** Header by which a back end says of a refusal that it did not admit the request. */
+/** Response header of a back end that did not admit the request, which then has not run. */
 export const NOT_ADMITTED_HEADER = 'x-not-admitted';
 
 const state = new Validator(EngineStateSchema);
-const REFUSAL_LIMIT_BYTES = 64 * 1024;
+// Chosen, not measured; times in milliseconds.
+const REJECTION_LIMIT_BYTES = 64 * 1024;
 const STATE_TIMEOUT_MS = 1_000;
-const ORDER_TIMEOUT_MS = 20_000;
+/** A load of weights responds when it is done. */
+const COMMAND_TIMEOUT_MS = 20_000;
+/** Until the head of a stream, in the engine's queue. */
 const ADMISSION_TIMEOUT_MS = 10_000;
+/** Between two pieces of a stream; then it counts as cut. */
 const SILENCE_TIMEOUT_MS = 15_000;
 
-/** An answer to a generation request. */
+/** Response to a completion request. */
 export interface EngineStream {
   readonly response: IncomingResponse;
 }
@@ -115,7 +119,7 @@
 export class EngineClient {
   constructor(private readonly client: HttpClient) {}
 
-  /** Starts a generation. A refusal that the engine marks as not admitted has the effect `none`. */
+  /** Starts a generation. A rejection that the engine marks as not admitted has the effect `none`. */
   async generate(
     address: string,
     body: EngineRequest,
@@ -132,22 +136,22 @@
     });
     if (sent.isErr()) return err(fromTransport(sent.error, 'generate'));
     if (sent.value.status === 200) return ok({ response: sent.value });
-    const reason = await readFully(sent.value.body, REFUSAL_LIMIT_BYTES);
+    const reason = await readFully(sent.value.body, REJECTION_LIMIT_BYTES);
     const effect = sent.value.headers[NOT_ADMITTED_HEADER] === 'true' ? 'none' : 'unknown';
     const wait = retryAfterMs(sent.value.headers);
     const text = reason.map((bytes) => bytes.toString('utf8')).unwrapOr('');
     return err(new ProtocolError('refused', effect, `generate: status ${sent.value.status} ${text}`, wait));
   }
 
-  /** Asks for the state. */
+  /** Reads the engine's state. */
   state(address: string): Promise<Result<EngineState, ProtocolError>> {
     const call = { method: 'GET', url: `${address}/state`, headTimeoutMs: STATE_TIMEOUT_MS };
     return exchangeJson(this.client, call, state);
   }
 
-  /** Gives a fenced order; resolves when it has been carried out. */
+  /** Sends a fenced command; resolves when it has been carried out. Repeating it is safe. */
   order(address: string, order: EngineCommand): Promise<Result<EngineState, ProtocolError>> {
-    const call = { method: 'POST', url: `${address}/orders`, json: order, headTimeoutMs: ORDER_TIMEOUT_MS };
+    const call = { method: 'POST', url: `${address}/orders`, json: order, headTimeoutMs: COMMAND_TIMEOUT_MS };
     return exchangeJson(this.client, call, state);
   }
 }
--- a/src/protocol/resource/json-exchange.ts
+++ b/src/protocol/resource/json-exchange.ts
@@ -1,4 +1,4 @@
-/** JSON request and response over the transport, with the answer checked against a schema. */
+/** JSON request and response over the transport, with the response checked against a schema. */
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
 import type { BufferedResponse, HttpClient, OutgoingRequest } from '../../transport/http-client.js';
@@ -15,7 +15,10 @@
 const HTTP_TOO_MANY_REQUESTS = 429;
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** The `Retry-After` of an answer in milliseconds, when it is given in seconds. */
+/**
+ * Reads the `Retry-After` of a response, milliseconds; `undefined` unless it is in seconds. Computing the
+ * value for a rejected request of a service is another job (`src/state/service/admission/admission.ts`).
+ */
 export function retryAfterMs(headers: BufferedResponse['headers']): number | undefined {
   const seconds = Number(headers['retry-after']);
   return Number.isFinite(seconds) ? seconds * MILLISECONDS_PER_SECOND : undefined;
@@ -30,7 +33,7 @@
   }
 }
 
-function refusal(response: BufferedResponse, target: string): ProtocolError {
+function rejection(response: BufferedResponse, target: string): ProtocolError {
   const detail = parseJson(response.body).unwrapOr(undefined);
   const wait = retryAfterMs(response.headers);
   const message = `${target}: status ${response.status}`;
@@ -54,7 +57,7 @@
   const headers = body === undefined ? call.headers : { 'content-type': 'application/json', ...call.headers };
   const response = await client.exchange({ ...rest, headers, body });
   if (response.isErr()) return err(fromTransport(response.error, target));
-  if (response.value.status >= 300) return err(refusal(response.value, target));
+  if (response.value.status >= 300) return err(rejection(response.value, target));
   const parsed = parseJson(response.value.body);
   if (parsed.isErr()) return err(new ProtocolError('malformed', 'unknown', `${target}: ${parsed.error}`));
   const checked = answer.check(parsed.value);
--- a/src/protocol/resource/machine-list.ts
+++ b/src/protocol/resource/machine-list.ts
@@ -14,6 +14,7 @@
 export type Machine = Static<typeof MachineSchema>;
 
 const machines = new Validator(Type.Object({ machines: Type.Array(MachineSchema) }));
+/** Timeout of a call, milliseconds. Chosen, not measured. */
 const CALL_TIMEOUT_MS = 2_000;
 
 /** Client of the machine list at `baseUrl`. */
@@ -23,7 +24,7 @@
     private readonly baseUrl: string,
   ) {}
 
-  /** The machines as the platform knows them now. */
+  /** The machines in the platform's list. */
   async list(): Promise<Result<Machine[], ProtocolError>> {
     const url = `${this.baseUrl}/machines`;
     const answer = await exchangeJson(
--- a/src/protocol/resource/operator-client.ts
+++ b/src/protocol/resource/operator-client.ts
@@ -1,4 +1,7 @@
-/** Client of operators: what the command line uses. */
+/**
+ * Client of operators, for the command line and for programs. Reads may be repeated, and commits under the
+ * same operation ID; put, patch and remove are safe to repeat with `ifMatch`.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type TSchema } from 'typebox';
 import type { HttpClient } from '../../transport/http-client.js';
@@ -49,7 +52,7 @@
 const status = new Validator(StatusSchema);
 const problem = new Validator(ProblemSchema);
 
-/** The problem document that came with a refusal. */
+/** The problem document of a rejection, when it has one. */
 export function problemOf(error: ProtocolError): Problem | undefined {
   return problem.check(error.detail).unwrapOr(undefined as never);
 }
@@ -139,7 +142,7 @@
     return this.call('GET', '/v1/status', status);
   }
 
-  /** Lines of a watch, until the node ends it or `signal` is aborted. */
+  /** Lines of a watch, until the node ends it or `signal` is aborted. An aborted watch is no error. */
   async watch(
     kind: string,
     resourceVersion: number | undefined,
@@ -151,18 +154,11 @@
     const sent = await this.client.send({ method: 'GET', url, headers: this.headers(), signal });
     if (sent.isErr()) return err(fromTransport(sent.error, 'watch'));
     const { status: code, body } = sent.value;
-    let carry = '';
-    try {
-      for await (const chunk of body) {
-        const lines = (carry + chunk.toString('utf8')).split('\n');
-        carry = lines.pop() ?? '';
-        if (code === 200) for (const line of lines) onLine(line);
-      }
-    } catch {
-      if (!signal.aborted) return err(new ProtocolError('unavailable', 'none', 'the watch was cut'));
-    }
+    const rest = await readLines(body, code === 200 ? onLine : () => {});
+    if (rest.isErr() && !signal.aborted) return err(rest.error);
     if (code === 200) return ok(undefined);
-    return err(new ProtocolError('refused', 'none', `watch: status ${code}`, undefined, parseQuietly(carry)));
+    const detail = parseJson(rest.unwrapOr(''));
+    return err(new ProtocolError('refused', 'none', `watch: status ${code}`, undefined, detail));
   }
 
   private call<Schema extends TSchema>(
@@ -189,7 +185,26 @@
   return ifMatch === undefined ? {} : { 'if-match': `"${ifMatch}"` };
 }
 
-function parseQuietly(text: string): unknown {
+/** Passes whole lines to `onLine`; resolves to the text after the last one. Error: a cut stream. */
+async function readLines(
+  body: AsyncIterable<Buffer | string>,
+  onLine: (line: string) => void,
+): Promise<Result<string, ProtocolError>> {
+  let carry = '';
+  try {
+    for await (const chunk of body) {
+      const lines = (carry + chunk.toString('utf8')).split('\n');
+      carry = lines.pop() ?? '';
+      for (const line of lines) onLine(line);
+    }
+  } catch (cause) {
+    return err(new ProtocolError('unavailable', 'none', `the watch was cut: ${String(cause)}`));
+  }
+  return ok(carry);
+}
+
+/** The body of a rejection; `undefined` when it is not JSON: the status is reported all the same. */
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/src/protocol/resource/operator.ts
+++ b/src/protocol/resource/operator.ts
@@ -8,9 +8,9 @@
 /** Changes to commit as one revision. */
 export const ChangesetSchema = Type.Object(
   {
-    /** Settles a repeat: the same ID never commits twice. */
+    /** Idempotency key: the same ID never commits twice. */
     operationId: Type.String({ minLength: 8, maxLength: 64 }),
-    /** When true nothing is committed; the answer says what would change. */
+    /** When true nothing is committed; the response says whether something would change. */
     dryRun: Type.Optional(Type.Boolean()),
     changes: Type.Array(
       Type.Union([
@@ -39,7 +39,7 @@
 );
 export type Changeset = Static<typeof ChangesetSchema>;
 
-/** What became of a changeset. */
+/** Result of a changeset. */
 export const ChangesetAnswerSchema = Type.Object({
   revision: Type.Integer(),
   changed: Type.Boolean(),
@@ -52,7 +52,7 @@
   CLOSED,
 );
 
-/** Who holds a revision. */
+/** Nodes that hold a revision. */
 export const RevisionReportSchema = Type.Object({
   revision: Type.Integer(),
   accepted: Type.Boolean(),
@@ -62,7 +62,7 @@
 });
 export type RevisionReport = Static<typeof RevisionReportSchema>;
 
-/** State of the node that answers and of what it knows. */
+/** State of the responding node, and of members and back ends as it sees them. */
 export const StatusSchema = Type.Object({
   node: Type.Object({
     id: Type.String(),
@@ -89,7 +89,7 @@
 });
 export type Status = Static<typeof StatusSchema>;
 
-/** Answer to `explain`. */
+/** Response of `explain`. */
 export const ExplanationSchema = Type.Object({
   subject: Type.String(),
   kind: Type.Union([Type.Literal('request'), Type.Literal('sample'), Type.Literal('backend')]),
--- a/src/protocol/resource/peer.ts
+++ b/src/protocol/resource/peer.ts
@@ -6,31 +6,32 @@
 import { Validator } from '../validation.js';
 import { exchangeJson } from './json-exchange.js';
 
-/** What a node tells of itself in the store. */
+/** Record of a node in the store. */
 export const NodeRecordSchema = Type.Object({
   id: Type.String(),
   /** Base URL under which other nodes reach it. */
   address: Type.String(),
   zone: Type.String(),
-  /** Machine that it runs on, as the machine list names it. */
+  /** Name of its machine in the machine list. */
   machine: Type.String(),
-  /** Tells one life of a node from the next. */
+  /** Incarnation: differs for each process of a node. */
   life: Type.String(),
 });
 export type NodeRecord = Static<typeof NodeRecordSchema>;
 
-/** Asks for the revision in force. */
+/** Query of the revision in force. */
 export const RevisionQuerySchema = Type.Object({});
 export const RevisionAnswerSchema = Type.Object({ revision: Type.Integer() });
 export type RevisionAnswer = Static<typeof RevisionAnswerSchema>;
 
-/** Asks for decision records of a request or subject. */
+/** Query of decision records about a subject. */
 export const DecisionQuerySchema = Type.Object({ subject: Type.String() });
 const DecisionAnswerSchema = Type.Object({ decisions: Type.Array(Type.Unknown()) });
 
 const revisionAnswer = new Validator(RevisionAnswerSchema);
 const decisionAnswer = new Validator(DecisionAnswerSchema);
 
+/** Timeout of a call, milliseconds. Chosen, not measured: operators wait for these calls. */
 const CALL_TIMEOUT_MS = 500;
 
 /** Client of other nodes. */
@@ -40,12 +41,12 @@
     private readonly token: string,
   ) {}
 
-  /** Asks for the revision in force. */
+  /** Reads the revision in force. */
   revision(address: string): Promise<Result<RevisionAnswer, ProtocolError>> {
     return this.post(address, '/peer/revision', {}, revisionAnswer);
   }
 
-  /** Asks for decision records. */
+  /** Reads decision records. */
   decisions(address: string, subject: string): Promise<Result<{ decisions: unknown[] }, ProtocolError>> {
     return this.post(address, '/peer/decisions', { subject }, decisionAnswer);
   }
--- a/src/protocol/resource/problem.ts
+++ b/src/protocol/resource/problem.ts
@@ -1,11 +1,11 @@
-/** Problem documents (RFC 9457), the form of every refusal. */
+/** Problem documents (RFC 9457), the form of every rejection. */
 import Type, { type Static } from 'typebox';
 
-/** Whether the request that is refused was carried out. `no` is a promise. */
+/** Whether the rejected request has run. `no` is certain, so that a retry is safe. */
 export const ExecutedSchema = Type.Union([Type.Literal('no'), Type.Literal('unknown'), Type.Literal('yes')]);
 export type Executed = Static<typeof ExecutedSchema>;
 
-/** Reason codes of refusals. */
+/** Reason codes of rejections. */
 export const REFUSAL_CODES = [
   'invalid-request',
   'not-found',
--- a/src/protocol/resource/resource.ts
+++ b/src/protocol/resource/resource.ts
@@ -1,6 +1,8 @@
 /**
  * The resources that operators declare. These TypeBox schemas are the one source of the types, of the
- * validation and of `docs/RESOURCES.md`.
+ * validation and of `docs/RESOURCES.md`. One file, over 300 lines: it is a table of declarations without
+ * logic, read from top to bottom like the page that is generated from it, and its schemas refer to each
+ * other.
  */
 import Type, { type Static, type TSchema } from 'typebox';
 
--- a/src/protocol/resource/trainer.ts
+++ b/src/protocol/resource/trainer.ts
@@ -27,8 +27,9 @@
   {
     cursor: Type.Integer({ minimum: 1 }),
     /**
-     * Grows with each request of the trainer, also when it is sent again; milliseconds since the epoch will do. A request
-     * that was overtaken by a later one is refused, so that a node that handles it late takes back nothing.
+     * Grows with each request of the trainer, also when it is sent again; milliseconds since the epoch will
+     * do. A request that was overtaken by a later one is refused, so that a node that handles it late takes
+     * back nothing.
      */
     sequence: Type.Integer({ minimum: 1 }),
     versions: Type.Record(Type.String(), Type.Integer({ minimum: 0 })),
--- a/src/state/resource/backends/admission-limits.ts
+++ b/src/state/resource/backends/admission-limits.ts
@@ -4,9 +4,7 @@
  */
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
 
-/**
- * Requests in flight when the service declares no limits. Chosen, not measured: a quarter for any one caller.
- */
+/** Requests in flight when the service declares no limit. Chosen, not measured. */
 const DEFAULT_MAX_IN_FLIGHT = 1_024;
 const DEFAULT_MAX_IN_FLIGHT_PER_CALLER = 256;
 
--- a/src/state/resource/backends/backend-registry.ts
+++ b/src/state/resource/backends/backend-registry.ts
@@ -23,15 +23,9 @@
   quarantined: { versionsAgree: 'serving' },
 } as const;
 
-/**
- * Failures in a row until a back end is `failing`. Chosen, not measured: one may be an accident of a
- * connection.
- */
+/** Failures in a row until a back end is `failing`. Chosen, not measured. */
 const FAILURES_UNTIL_FAILING = 2;
-/**
- * Age at which a load report has lost its weight, milliseconds (docs/design/delivery.md). Chosen, not
- * measured.
- */
+/** Age at which a load report has no weight, milliseconds. Chosen, not measured. */
 const REPORT_LIFETIME_MS = 5_000;
 /** Ejection after a failure of a `failing` back end, milliseconds. Chosen, not measured. */
 const EJECTION_MS = 1_000;
@@ -75,10 +69,7 @@
     return versions.size === 1 ? [...versions][0] : undefined;
   }
 
-  /**
-   * Load in requests: own ones in flight, plus those in the last report by a weight that falls to 0 with its
-   * age.
-   */
+  /** Load in requests: own ones in flight, and the last report's by a weight that falls with its age. */
   get load(): number {
     if (!this.report) return this.inFlight;
     const weight = Math.max(0, 1 - (monotonicMs() - this.reportedAtMs) / REPORT_LIFETIME_MS);
--- a/src/state/resource/configuration/access-control.ts
+++ b/src/state/resource/configuration/access-control.ts
@@ -1,13 +1,15 @@
-/** Who may do what: bearer tokens as hashes, from the settings and from AccessPolicy resources. */
+/**
+ * Authentication: principals by hashes of bearer tokens, from the settings and from AccessPolicy resources.
+ */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { Role, TokenGrant } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from './config-view.js';
 
-/** A caller that presented a known token. */
+/** The holder of a known token. */
 export interface Principal {
   readonly identity: string;
   readonly roles: readonly Role[];
-  /** Trainer that it speaks for. */
+  /** Trainer whose calls it may make. */
   readonly trainer?: string;
 }
 
--- a/src/state/resource/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -121,10 +121,7 @@
     return rows.map((found) => found.map((row) => row.value as ConfigEntry));
   }
 
-  /**
-   * All resources. Rows may be newer than the revision that was read before them; replaying the log from
-   * there makes the view exact.
-   */
+  /** All resources. Rows may be newer than the revision; replaying the log from there is exact. */
   async snapshot(): Promise<Result<{ revision: number; resources: Resource[] }, StateError>> {
     const head = await this.head();
     if (head.isErr()) return err(head.error);
@@ -148,10 +145,7 @@
     );
   }
 
-  /**
-   * `undefined` when another writer was first or the answer was lost: the next round reads the operation's
-   * row.
-   */
+  /** `undefined` after a conflict or a lost answer: the next round reads the operation's row. */
   private async commitOnce(
     operationId: string,
     wanted: readonly WantedChange[],
--- a/src/state/resource/configuration/freshness-lease.ts
+++ b/src/state/resource/configuration/freshness-lease.ts
@@ -16,9 +16,7 @@
     if (elapsed() <= this.ageMs()) this.sinceConfirmedMs = elapsed;
   }
 
-  /**
-   * Age of the last confirmation, milliseconds; infinite when there was none, or when the clock is in doubt.
-   */
+  /** Age of the last confirmation, milliseconds; infinite without one, or when the clock is in doubt. */
   ageMs(): number {
     return this.sinceConfirmedMs();
   }
--- a/src/state/resource/decision-log.ts
+++ b/src/state/resource/decision-log.ts
@@ -58,16 +58,11 @@
 
 /** Records kept in memory. Chosen, not measured. */
 const RING_LIMIT = 20_000;
-/**
- * Interval of flushes, milliseconds: records of this time are lost when the process crashes. Chosen, not
- * measured.
- */
+/** Interval of flushes, milliseconds. Chosen, not measured: a crash loses records of this time. */
 const FLUSH_INTERVAL_MS = 2_000;
 /** Records that wait for the object store. Chosen, not measured: bounds memory. */
 const PENDING_LIMIT = 50_000;
-/**
- * Time by which a record may be later than the ID that it is searched by, milliseconds. Chosen, not measured.
- */
+/** Time by which a record may be later than the ID it is searched by, milliseconds. Chosen. */
 const CLOCK_SLACK_MS = 10 * 60 * 1_000;
 /** Tolerance at both ends of a batch's times, milliseconds. Chosen, not measured. */
 const BATCH_TIME_MARGIN_MS = 1_000;
--- a/src/state/resource/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -63,9 +63,7 @@
     readonly leaseMs: number,
   ) {}
 
-  /**
-   * Whether the session has certainly not expired. Avoids futile work; safety rests on conditions and fences.
-   */
+  /** Whether the session has certainly not expired. Saves calls; safety rests on conditions and fences. */
   get isValid(): boolean {
     return monotonicMs() - this.renewedAtMs < this.leaseMs;
   }
@@ -78,9 +76,7 @@
     return this.held.get(name);
   }
 
-  /**
-   * Renews the session. After a gap in which it may have expired, leases that were taken over are dropped.
-   */
+  /** Renews the session. After a gap in which it may have expired, lost leases are dropped. */
   async renew(): Promise<Result<void, StateError>> {
     const mayHaveExpired = !this.isValid;
     const renewed = await this.writeHeartbeat();
@@ -138,9 +134,7 @@
     this.renewedAtMs = startedAt;
   }
 
-  /**
-   * Acquires a lease that is free or whose holder's session expired; `undefined` while another node holds it.
-   */
+  /** Acquires a lease that is free or whose holder's session expired; else `undefined`. */
   async tryAcquire(name: string): Promise<Result<HeldLease | undefined, StateError>> {
     const known = this.get(name);
     if (known) return ok(known);
@@ -158,9 +152,7 @@
     return this.take(name, lease, epochRow, expired.value);
   }
 
-  /**
-   * Releases a lease, so that another node need not wait for its expiry. Best effort: otherwise it expires.
-   */
+  /** Releases a lease, so that others need not wait for its expiry. Best effort. */
   async release(lease: HeldLease): Promise<void> {
     this.held.delete(lease.name);
     const rows = await this.table.read([leaseKey(lease.name)]);
@@ -179,9 +171,7 @@
     this.held.delete(name);
   }
 
-  /**
-   * Conditions under which the holder may be replaced; `undefined` while its session may not have expired.
-   */
+  /** Conditions under which the holder may be replaced; `undefined` while it may hold the lease. */
   private async expiryConditions(
     value: LeaseRow | undefined,
   ): Promise<Result<{ key: string; version: number }[] | undefined, StateError>> {
@@ -226,10 +216,7 @@
     return ok(this.hold(name, epoch, (epochRow?.version ?? 0) + 1));
   }
 
-  /**
-   * A lease that this session was found to hold. The rows are read one after the other: both must be of one
-   * epoch.
-   */
+  /** A lease found to be this session's. Its rows are read one by one: both must be of one epoch. */
   private adopt(name: string, epoch: number, epochRow: Row | undefined): HeldLease | undefined {
     const epochValue = epochRow?.value as { epoch: number } | undefined;
     return epochRow && epochValue?.epoch === epoch ? this.hold(name, epoch, epochRow.version) : undefined;
--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -43,19 +43,14 @@
   readonly discarded: readonly DiscardedSample[];
 }
 
-/**
- * Rounds of a draw or an acknowledgement. Chosen, not measured: a round is lost to each concurrent writer.
- */
+/** Rounds of a draw or an acknowledgement: concurrent writers cost one each. Chosen, not measured. */
 const MAX_ROUNDS = 12;
 /**
  * Samples in a batch. The store takes 100 entries in a transaction and a delivered sample needs three; the
  * rest is for the cursor, the published versions and the rollouts.
  */
 const MAX_SAMPLES_DRAWN = 28;
-/**
- * Ready rows read for each wanted sample, so that a round that discards some can still fill the batch.
- * Chosen.
- */
+/** Ready rows read for each wanted sample, so that discards leave enough. Chosen, not measured. */
 const READY_ROWS_PER_SAMPLE = 2;
 
 /** Draws, redeliveries and acknowledgements. */
@@ -93,10 +88,7 @@
     return batch.value && ok({ batch: batch.value, references: row.samples, discarded });
   }
 
-  /**
-   * Acknowledges a batch. Repeating it is harmless. Error `conflict`: it is not the batch that was delivered
-   * last.
-   */
+  /** Acknowledges a batch. Repeating it is harmless. Error `conflict`: it is not the last batch. */
   async acknowledge(
     trainer: string,
     cursor: number,
--- a/src/state/resource/samples/claim-store.ts
+++ b/src/state/resource/samples/claim-store.ts
@@ -48,10 +48,7 @@
   readonly version: number;
 }
 
-/**
- * `held`: dispatch it. The others are states of an earlier request with the same key, which must not run
- * again.
- */
+/** `held`: dispatch it. The others: an earlier request has the key, and must not run again. */
 export type ClaimOutcome =
   | { readonly kind: 'held'; readonly claim: HeldClaim }
   | { readonly kind: 'answered'; readonly requestId: string; readonly answer: RecordedAnswer }
@@ -60,9 +57,7 @@
 
 /** Rounds in which a claim, or its end, is written. Chosen, not measured. */
 const MAX_SETTLE_ROUNDS = 20;
-/**
- * Delay before the end of a claim is written again, milliseconds. Chosen, not measured: with 20 rounds, 5 s.
- */
+/** Delay before a claim's end is written again, milliseconds. Chosen, not measured: 20 rounds take 5 s. */
 const SETTLE_DELAY_MS = 250;
 
 function claimKey(request: ClaimRequest): string {
@@ -76,10 +71,7 @@
     private readonly objects: Objects,
   ) {}
 
-  /**
-   * Claims a request, or returns the state of an earlier one. Error `invalid`: the key was used for another
-   * request.
-   */
+  /** Claims a request, or returns the earlier one's state. Error `invalid`: the key is another request's. */
   async claim(request: ClaimRequest): Promise<Result<ClaimOutcome, StateError>> {
     const key = claimKey(request);
     const row: ClaimRow = {
--- a/src/state/resource/samples/draw-rules.ts
+++ b/src/state/resource/samples/draw-rules.ts
@@ -98,10 +98,7 @@
   return current.acknowledged && current.samples.length > 0;
 }
 
-/**
- * Whether the request may draw the next cursor: the current batch is empty, or acknowledged, or by this
- * request.
- */
+/** Whether the next cursor may be drawn: the batch is empty, or acknowledged before or hereby. */
 function mayAdvance(current: CursorRow, { previous }: DrawRequest): boolean {
   if (current.acknowledged || current.samples.length === 0) return true;
   return previous?.attempt === current.attempt && previous.digest === current.digest;
--- a/src/state/resource/samples/ledger-rows.ts
+++ b/src/state/resource/samples/ledger-rows.ts
@@ -25,17 +25,17 @@
   readonly seed: number;
   /** Object that holds the prompts, a JSON array. */
   readonly promptsObject: string;
-  /** SHA-256 of the submission, to tell a repeat from a clash. */
+  /** SHA-256 of the submission: tells a repeat from a conflict. */
   readonly digest: string;
   readonly shards: number;
 }
 
-/** Work that a shard's owner has to do. */
+/** Marks a rollout with slots of a shard that are not won. */
 export interface OpenRow {
   readonly rolloutId: string;
 }
 
-/** How a sample came about; kept with it for `explain`. */
+/** Decision by which a sample was generated, for `explain`. */
 export interface SampleDecision {
   readonly requestId: string;
   readonly node: string;
@@ -53,7 +53,7 @@
   readonly bound: number;
 }
 
-/** Expired samples of a slot that are remembered at most. */
+/** Expired samples kept in a slot's row. Chosen, not measured: bounds the row. */
 export const EXPIRED_LIMIT = 8;
 
 /** A slot that an attempt has won, or that is to be generated again. */
@@ -77,10 +77,10 @@
   readonly model: string;
   readonly oldestVersion: number;
   readonly contentDigest: string;
-  /** Object that holds a JSON array of samples, and the place of this one in it. */
+  /** Object with a JSON array of samples, and the index of this one in it. */
   readonly object: string;
   readonly position: number;
-  /** Version of the slot row that the sample stands in. */
+  /** Version of the slot row that holds the sample. */
   readonly slotVersion: number;
   readonly expired: readonly ExpiredSample[];
 }
@@ -94,10 +94,10 @@
   readonly expired: readonly ExpiredSample[];
 }
 
-/** The batch that a trainer's newest cursor stands for. */
+/** The batch of a trainer's newest cursor. */
 export interface CursorRow {
   readonly cursor: number;
-  /** Newest request that the batch was handed out to. */
+  /** Sequence of the newest request that received the batch. */
   readonly sequence: number;
   readonly attempt: number;
   readonly digest: string;
@@ -106,7 +106,7 @@
   readonly checkedAgainst: Record<string, number>;
 }
 
-/** Where a sample was delivered. */
+/** Cursor with which a sample was delivered. */
 export interface DeliveredRow {
   readonly cursor: number;
 }
@@ -132,7 +132,7 @@
   deliveredOfRollout: (trainer: string, rolloutId: string) => `delivered/${trainer}/${trainer}:${rolloutId}:`,
 };
 
-/** What a sample ID encodes: the slot and which generation of it. */
+/** Parts of a sample ID. `generation` counts the expired samples of the slot. */
 export interface SampleIdParts {
   readonly trainer: string;
   readonly rolloutId: string;
@@ -153,12 +153,12 @@
   return { trainer, rolloutId, slot: Number(slot), generation: Number(generation) };
 }
 
-/** Age of the oldest segment. */
+/** The oldest weight version among the segments. */
 export function oldestVersion(segments: readonly Segment[]): number {
   return Math.min(...segments.map((segment) => segment.version));
 }
 
-/** Whether a version may still be delivered. */
+/** Whether a version is at most `bound` versions behind `newest`. */
 export function isWithinBound(version: number, newest: number, bound: number): boolean {
   return newest - version <= bound;
 }
--- a/src/state/resource/samples/rollout-ledger.ts
+++ b/src/state/resource/samples/rollout-ledger.ts
@@ -62,9 +62,7 @@
     private readonly objects: Objects,
   ) {}
 
-  /**
-   * Records a rollout. Repeating the same submission is harmless. Error `conflict`: the ID has other content.
-   */
+  /** Records a rollout. Repeating it is harmless. Error `conflict`: the ID has other content. */
   async submit(
     trainer: string,
     submission: RolloutSubmission,
@@ -202,9 +200,7 @@
     return ok({ rolloutId, row, rowVersion: stored.version, prompts });
   }
 
-  /**
-   * Slots of a shard that no attempt has won yet. Slot numbers are assigned to shards modulo their number.
-   */
+  /** Slots of a shard that no attempt has won. A slot's shard is its number modulo that of shards. */
   async freeSlots(
     trainer: string,
     rollout: LoadedRollout,
@@ -222,9 +218,7 @@
     });
   }
 
-  /**
-   * Removes a rollout from a shard's open work when all slots are won. When it fails, the next owner does it.
-   */
+  /** Removes a rollout from a shard's open work. Best effort: a row that stays only costs reads. */
   async closeShard(trainer: string, shard: number, rolloutId: string, lease: HeldLease): Promise<void> {
     await this.table.transact({
       conditions: [lease.condition],
--- a/src/state/resource/samples/sample-commits.ts
+++ b/src/state/resource/samples/sample-commits.ts
@@ -30,10 +30,7 @@
 /** What became of a finished sample. */
 export type CommitVerdict = 'won' | 'lost';
 
-/**
- * Rounds of a transaction. Chosen, not measured: with its caller's retries a commit goes on until the lease
- * is lost.
- */
+/** Rounds of a transaction; its caller repeats until the lease is lost. Chosen, not measured. */
 const MAX_SETTLE_ROUNDS = 6;
 
 interface PreparedCommit {
--- a/src/state/resource/tables/row-table.ts
+++ b/src/state/resource/tables/row-table.ts
@@ -1,8 +1,8 @@
 /**
- * Rows of JSON values by key, over the record store: within the node's share of the store's rate, counted, and with the
- * health of the store kept as a lifecycle (available, slow, down). Each row has a version of its own that rises by one
- * with each write; 0 means that it is absent. Configuration lies in a table of its own, so that its changes can be
- * followed without all the others.
+ * Rows of JSON values by key, over the record store: within the node's share of the store's rate, counted,
+ * and with the health of the store kept as a lifecycle (available, slow, down). Each row has a version of its
+ * own that rises by one with each write; 0 means that it is absent. Configuration lies in a table of its own,
+ * so that its changes can be followed without all the others.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { monotonicMs, sleep } from '../../../common/clock.js';
@@ -35,7 +35,7 @@
   readonly failed: readonly string[];
 }
 
-/** What a node reads and writes of the rows. */
+/** Operations on rows. */
 export interface Table {
   transact(transaction: Transaction): Promise<Result<TransactionOutcome, StateError>>;
   /** Rows by key; absent ones are left out. */
@@ -51,7 +51,7 @@
 /** Sorts after every character that keys use. */
 const AFTER_KEYS = '\u{10ffff}';
 
-/** Where the row of a key lies. */
+/** Table and partition of a row, by its key. */
 function rowAddress(key: string): RecordAddress {
   const table = key.startsWith(CONFIGURATION_PREFIX) ? CONFIGURATION_TABLE : OTHER_TABLE;
   return { table, partition: '', key };
@@ -79,19 +79,20 @@
   down: { answered: 'available', answeredLate: 'slow' },
 } as const;
 
-/** An answer that takes longer than this counts as late, milliseconds. */
+/** Duration above which a call counts as slow, milliseconds. Chosen, not measured. */
 const LATE_MS = 500;
-/** Longest wait for the node's share of the rate, milliseconds. */
+/** Longest wait for the node's share of the rate, milliseconds. Chosen, not measured. */
 const MAX_BUDGET_WAIT_MS = 2_000;
+/** Calls that may exceed the rate at once. Chosen, not measured. */
 const BURST = 64;
-/** Versions that are remembered at most. */
+/** Rows in the cache. Chosen, not measured: bounds memory. */
 const REMEMBERED_VERSIONS = 20_000;
 
 /** The rows of a node. */
 export class RowTable implements Table {
   private readonly bucket: TokenBucket;
   private readonly health: Lifecycle<Health, HealthEvent>;
-  /** What was last read or written of each row; a stale entry only costs a failed condition and another read. */
+  /** Cache of rows; a stale entry costs a failed condition and another read, no more. */
   private readonly versions = new Map<string, VersionPair>();
 
   constructor(
@@ -164,14 +165,14 @@
     return { key: record.key, version: v, value: d };
   }
 
-  /** Reads the rows of which nothing is known yet. */
+  /** Reads the rows that are not cached. */
   private async learnVersions(keys: readonly string[]): Promise<Result<void, StateError>> {
     const unknown = keys.filter((key) => !this.versions.has(key));
     const read = await this.read(unknown);
     return read.map(() => undefined);
   }
 
-  /** A condition seems to fail: what is known may be old, so the rows are read before that is said. */
+  /** Reads the rows of a transaction whose condition seems to fail: the cache may be stale. */
   private async verifyFailure(transaction: Transaction): Promise<Result<TransactionOutcome, StateError>> {
     const read = await this.read([...new Set(transaction.conditions.map((one) => one.key))]);
     if (read.isErr()) return err(read.error);
@@ -250,7 +251,7 @@
   return value === null || value === undefined;
 }
 
-/** Turns a failure of the store into one of this layer. */
+/** Converts an error of the store. */
 export function fromStore(error: RecordStoreError | StateError): StateError {
   if (error instanceof StateError) return error;
   if (error.failure === 'rate-limited') return new StateError('rate-limited', 'none', error.message);
--- a/src/state/resource/tables/settle.ts
+++ b/src/state/resource/tables/settle.ts
@@ -5,15 +5,10 @@
 import { err, type Result } from 'neverthrow';
 import { StateError } from '../../state-error.js';
 
-/**
- * Time after which a caller may repeat an operation that was not settled, milliseconds. Chosen, not measured.
- */
+/** Time after which a caller may repeat the operation, milliseconds. Chosen, not measured. */
 const UNSETTLED_RETRY_MS = 1_000;
 
-/**
- * The first result of at most `maxRounds` rounds, else the error `unavailable` of unknown effect with
- * `message`.
- */
+/** The first result of at most `maxRounds` rounds, else `unavailable`, effect unknown. */
 export async function settle<T>(
   maxRounds: number,
   message: string,
--- a/src/state/resource/tables/stored-objects.ts
+++ b/src/state/resource/tables/stored-objects.ts
@@ -1,4 +1,6 @@
-/** The store's objects as the rest of the node sees them: within the node's share of the rate, and counted. */
+/**
+ * The store's objects within the node's share of the rate, counted. A failed call is repeated, then reported.
+ */
 import { err, type Result } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
 import type { Metrics } from '../../../common/metrics.js';
@@ -7,11 +9,13 @@
 import type { StateError } from '../../state-error.js';
 import { fromStore } from './row-table.js';
 
+/** Tries of a call, and the delay between them, milliseconds. Chosen, not measured. */
 const MAX_TRIES = 3;
 const RETRY_DELAY_MS = 50;
+/** Calls that may exceed the rate at once. Chosen, not measured. */
 const BURST = 64;
 
-/** What a node reads and writes of the objects. */
+/** Operations on objects. */
 export interface Objects {
   put(name: string, bytes: Buffer): Promise<Result<void, StateError>>;
   get(name: string): Promise<Result<Buffer | undefined, StateError>>;
