--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,5 +1,4 @@
 /** Exit codes of the command line; documented in docs/OPERATIONS.md. */
-
 import type { ProtocolError } from '../protocol/protocol-error.js';
 import { problemOf } from '../protocol/resource/operator-client.js';
 
--- a/src/coordination/resource/coordination-error.ts
+++ b/src/coordination/resource/coordination-error.ts
@@ -2,6 +2,7 @@
  * Errors of the coordination layer, as they are reported to callers: code, whether the work has run,
  * Retry-After.
  */
+import type { Result } from 'neverthrow';
 import type { ProtocolError } from '../../protocol/protocol-error.js';
 import type { Executed, RefusalCode } from '../../protocol/resource/problem.js';
 import type { StateError, VersionPair } from '../../state/state-error.js';
@@ -21,6 +22,9 @@
   }
 }
 
+/** Result of an operation of this layer. */
+export type CoordinationResult<T> = Promise<Result<T, CoordinationError>>;
+
 /** Retry-After of temporary failures that name none, milliseconds. Chosen, not measured. */
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
--- a/src/coordination/resource/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -17,7 +17,7 @@
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
 import type { HeaderMap, HttpClient, IncomingResponse } from '../../../transport/http-client.js';
 import type { TransportError } from '../../../transport/transport-error.js';
-import { CoordinationError, worseOf } from '../coordination-error.js';
+import { CoordinationError, type CoordinationResult, worseOf } from '../coordination-error.js';
 import { AT_CAPACITY_RETRY_MS, rejection } from './rejection.js';
 import { isPastDeadline, type RequestContext, timeLeftMs } from './request-context.js';
 import type { Route, Router } from './router.js';
@@ -102,10 +102,7 @@
   ) {}
 
   /** Dispatches a request; resolves at the head of the response. The error says whether it has run. */
-  async dispatch(
-    context: RequestContext,
-    request: ApplicationRequest,
-  ): Promise<Result<RelayedAnswer, CoordinationError>> {
+  async dispatch(context: RequestContext, request: ApplicationRequest): CoordinationResult<RelayedAnswer> {
     const excluded = new Set<string>();
     let failure: CoordinationError | undefined;
     for (let dispatch = 0; dispatch < MAX_DISPATCHES; dispatch += 1) {
--- a/src/coordination/resource/rollouts/delivery.ts
+++ b/src/coordination/resource/rollouts/delivery.ts
@@ -3,7 +3,7 @@
  * polling it. The staleness bound is checked once more before the response, since a version may have been
  * published meanwhile.
  */
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { Metrics } from '../../../common/metrics.js';
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
@@ -12,7 +12,7 @@
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
 import type { BatchLedger, DrawOutcome, DrawTerms } from '../../../state/resource/samples/index.js';
 import { isWithinBound } from '../../../state/resource/samples/index.js';
-import { type CoordinationError, fromState } from '../coordination-error.js';
+import { type CoordinationResult, fromState } from '../coordination-error.js';
 import { newestPublished } from '../weights/index.js';
 
 /** Interval of draws while nothing is ready, milliseconds. Chosen, not measured. */
@@ -38,7 +38,7 @@
     request: DrawRequest,
     requestId: string,
     signal: AbortSignal,
-  ): Promise<Result<Batch, CoordinationError>> {
+  ): CoordinationResult<Batch> {
     const deadline = monotonicMs() + (request.waitMs ?? 0);
     const terms = termsOf(trainer);
     for (;;) {
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -15,7 +15,7 @@
 import type { BackendEntry } from '../../../state/resource/backends/index.js';
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
 import { toTransportError } from '../../../transport/transport-error.js';
-import { CoordinationError, fromBackend, worseOf } from '../coordination-error.js';
+import { CoordinationError, type CoordinationResult, fromBackend, worseOf } from '../coordination-error.js';
 import {
   AT_CAPACITY_RETRY_MS,
   isPastDeadline,
@@ -93,7 +93,7 @@
     context: RequestContext,
     order: GenerationRequest,
     sink: EventSink,
-  ): Promise<Result<EventTranscript, CoordinationError>> {
+  ): CoordinationResult<EventTranscript> {
     const run: Run = { context, order, transcript: new EventTranscript(), excluded: new Set() };
     let lastFailure: CoordinationError | undefined;
     for (let count = 0; count < MAX_DISPATCHES; count += 1) {
--- a/src/node/resource/api/api-server.ts
+++ b/src/node/resource/api/api-server.ts
@@ -4,19 +4,21 @@
  * `internal`.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
 import { newRequestId } from '../../../common/identifier.js';
 import type { Logger } from '../../../common/logging.js';
 import type { Metrics } from '../../../common/metrics.js';
-import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+} from '../../../coordination/resource/coordination-error.js';
 import type { Role } from '../../../protocol/resource/resource.js';
 import type { AccessControl, Principal } from '../../../state/resource/configuration/index.js';
 import { HttpServer } from '../../../transport/http-server.js';
 import { type Exchange, sendProblem } from './exchange.js';
 
 /** Handles an exchange: it has responded, or returns the rejection to send. */
-export type ApiHandler = (exchange: Exchange) => Promise<Result<void, CoordinationError>>;
+export type ApiHandler = (exchange: Exchange) => CoordinationResult<void>;
 
 /** A route of the interface. */
 export interface Route {
--- a/src/node/resource/api/caller-routes.ts
+++ b/src/node/resource/api/caller-routes.ts
@@ -5,7 +5,10 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
-import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+} from '../../../coordination/resource/coordination-error.js';
 import type { WorkGate } from '../../../coordination/resource/requests/index.js';
 import {
   type ApplicationRequest,
@@ -66,8 +69,8 @@
   parts: Pick<CallerParts, 'limits' | 'gate' | 'decisions'>,
   exchange: Exchange,
   service: ResourceOf<'Service'>,
-  work: () => Promise<Result<T, CoordinationError>>,
-): Promise<Result<T, CoordinationError>> {
+  work: () => CoordinationResult<T>,
+): CoordinationResult<T> {
   const open = parts.gate.check(service);
   if (open.isErr()) {
     noteRefusal(parts.decisions, exchange.requestId, open.error);
@@ -116,10 +119,7 @@
   ];
 }
 
-async function relayToService(
-  parts: CallerParts,
-  exchange: Exchange,
-): Promise<Result<void, CoordinationError>> {
+async function relayToService(parts: CallerParts, exchange: Exchange): CoordinationResult<void> {
   const name = exchange.params.service ?? '';
   const service = parts.view.get('Service', name);
   if (service?.spec.type !== 'application') {
@@ -138,7 +138,7 @@
   exchange: Exchange,
   service: ResourceOf<'Service'>,
   context: RequestContext,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const body = await readBody(
     exchange.request,
     service.spec.limits?.maxBodyBytes ?? DEFAULT_BODY_LIMIT_BYTES,
@@ -171,7 +171,7 @@
   exchange: Exchange,
   context: RequestContext,
   request: ApplicationRequest,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const answer = await parts.relay.dispatch(context, request);
   if (answer.isErr()) return err(answer.error);
   const { response, release, backend } = answer.value;
--- a/src/node/resource/api/change-routes.ts
+++ b/src/node/resource/api/change-routes.ts
@@ -5,7 +5,11 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { wallTime } from '../../../common/clock.js';
-import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+  fromState,
+} from '../../../coordination/resource/coordination-error.js';
 import { isKind } from '../../../protocol/resource/manifest.js';
 import {
   ApprovalRequestSchema,
@@ -17,10 +21,10 @@
 import type { CommitOutcome, WantedChange } from '../../../state/resource/configuration/index.js';
 import { StateError } from '../../../state/state-error.js';
 import { sendJson } from '../../../transport/http-server.js';
-import type { ApiHandler, Route } from './api-server.js';
+import type { Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readAnyJson, readJson } from './exchange.js';
 import { mergePatch } from './merge-patch.js';
-import { kindOf, type ResourceParts, withStatus } from './resource-common.js';
+import { kindOf, type ResourceParts, resourceRoute, withStatus } from './resource-common.js';
 import {
   addressMismatch,
   checkWritable,
@@ -39,33 +43,18 @@
 export function changeRoutes(parts: ResourceParts): Route[] {
   const writers = ['operator' as const, 'approver' as const];
   const publishers = [...writers, 'trainer' as const];
-  const base = '/v1/resources/:kind';
-  const bind =
-    (handler: (parts: ResourceParts, exchange: Exchange) => ReturnType<ApiHandler>): ApiHandler =>
-    (exchange) =>
-      handler(parts, exchange);
+  const name = '/v1/resources/:kind/:name';
+  const route = resourceRoute(parts);
   return [
-    { method: 'PUT', pattern: `${base}/:name`, roles: publishers, isWork: true, handler: bind(put) },
-    { method: 'PATCH', pattern: `${base}/:name`, roles: writers, isWork: true, handler: bind(patch) },
-    { method: 'DELETE', pattern: `${base}/:name`, roles: writers, isWork: true, handler: bind(remove) },
-    {
-      method: 'POST',
-      pattern: '/v1/approvals/:name',
-      roles: ['approver'],
-      isWork: true,
-      handler: bind(approve),
-    },
-    {
-      method: 'POST',
-      pattern: '/v1/changesets',
-      roles: writers,
-      isWork: true,
-      handler: bind(commitChangeset),
-    },
+    route('PUT', name, publishers, put),
+    route('PATCH', name, writers, patch),
+    route('DELETE', name, writers, remove),
+    route('POST', '/v1/approvals/:name', ['approver'], approve),
+    route('POST', '/v1/changesets', writers, commitChangeset),
   ];
 }
 
-async function put(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function put(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
   const body = await readAnyJson(exchange, BODY_LIMIT_BYTES);
@@ -89,7 +78,7 @@
   });
 }
 
-async function patch(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function patch(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
   const body = await readAnyJson(exchange, BODY_LIMIT_BYTES);
@@ -115,7 +104,7 @@
   return rejection && outcome.isErr() ? err(rejection) : outcome;
 }
 
-async function remove(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function remove(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
   if (READ_ONLY_KINDS.includes(kind.value)) {
@@ -136,7 +125,7 @@
   });
 }
 
-async function approve(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function approve(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const body = await readJson(exchange, approvalRequest, BODY_LIMIT_BYTES);
   if (body.isErr()) return err(body.error);
   const { note } = body.value;
@@ -161,7 +150,7 @@
   parts: ResourceParts,
   exchange: Exchange,
   want: WantedChange,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const committed = await commitAndAccept(parts, operationId(exchange), [want]);
   if (committed.isErr()) return err(committed.error);
   const [resource] = committed.value.resources;
@@ -192,7 +181,7 @@
   parts: ResourceParts,
   id: string,
   wanted: readonly WantedChange[],
-): Promise<Result<CommitOutcome, CoordinationError>> {
+): CoordinationResult<CommitOutcome> {
   const committed = await parts.store.commit(id, wanted);
   if (committed.isErr()) return err(fromState(committed.error));
   if (committed.value.changed && parts.view.revision < committed.value.revision)
@@ -200,10 +189,7 @@
   return ok(committed.value);
 }
 
-async function commitChangeset(
-  parts: ResourceParts,
-  exchange: Exchange,
-): Promise<Result<void, CoordinationError>> {
+async function commitChangeset(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const body = await readJson(exchange, changeset, BODY_LIMIT_BYTES);
   if (body.isErr()) return err(body.error);
   const wanted = toWanted(exchange, body.value);
--- a/src/node/resource/api/completion-routes.ts
+++ b/src/node/resource/api/completion-routes.ts
@@ -3,7 +3,10 @@
  * generation that fails after its stream began ends in an error event; a buffered one in a problem document.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+} from '../../../coordination/resource/coordination-error.js';
 import type { RequestContext } from '../../../coordination/resource/requests/index.js';
 import { REQUEST_ID_HEADER } from '../../../coordination/resource/requests/index.js';
 import type {
@@ -55,10 +58,7 @@
   return err(new InvalidRequestError([{ field, message: 'is required' }]));
 }
 
-async function complete(
-  parts: CompletionParts,
-  exchange: Exchange,
-): Promise<Result<void, CoordinationError>> {
+async function complete(parts: CompletionParts, exchange: Exchange): CoordinationResult<void> {
   const body = await readJson(exchange, validator, BODY_LIMIT_BYTES);
   if (body.isErr()) return err(body.error);
   const prompt = promptOf(exchange, body.value);
@@ -107,7 +107,7 @@
   exchange: Exchange,
   context: RequestContext,
   order: GenerationRequest,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const { response, requestId } = exchange;
   const generated = await parts.generator.generate(context, order, async (events) => {
     if (!response.headersSent) {
@@ -130,7 +130,7 @@
   exchange: Exchange,
   context: RequestContext,
   order: GenerationRequest,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const generated = await parts.generator.generate(context, order, async () => !exchange.response.destroyed);
   if (generated.isErr()) return err(generated.error);
   return sendBuffered(exchange, order, generated.value);
--- a/src/node/resource/api/exchange.ts
+++ b/src/node/resource/api/exchange.ts
@@ -1,8 +1,11 @@
 /** One HTTP exchange: principal, body, and problem documents for rejections. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
-import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+} from '../../../coordination/resource/coordination-error.js';
 import { PROBLEM_MEDIA_TYPE, type Problem, STATUS_OF_CODE } from '../../../protocol/resource/problem.js';
 import type { FieldProblem, Validator } from '../../../protocol/validation.js';
 import type { Principal } from '../../../state/resource/configuration/index.js';
@@ -59,10 +62,7 @@
 }
 
 /** Reads the body to its end. */
-export async function readBody(
-  request: IncomingMessage,
-  limitBytes: number,
-): Promise<Result<Buffer, CoordinationError>> {
+export async function readBody(request: IncomingMessage, limitBytes: number): CoordinationResult<Buffer> {
   const tooLarge = () =>
     new CoordinationError('body-too-large', 'no', `the body exceeds ${limitBytes} bytes`);
   if (Number(request.headers['content-length'] ?? 0) > limitBytes) return err(tooLarge());
@@ -79,17 +79,14 @@
   exchange: Exchange,
   validator: Validator<Schema>,
   limitBytes: number,
-): Promise<Result<Static<Schema>, CoordinationError>> {
+): CoordinationResult<Static<Schema>> {
   const value = await readAnyJson(exchange, limitBytes);
   if (value.isErr()) return err(value.error);
   return validator.check(value.value).mapErr((fields) => new InvalidRequestError(fields));
 }
 
 /** Reads a JSON body without a check of its content. */
-export async function readAnyJson(
-  exchange: Exchange,
-  limitBytes: number,
-): Promise<Result<unknown, CoordinationError>> {
+export async function readAnyJson(exchange: Exchange, limitBytes: number): CoordinationResult<unknown> {
   const body = await readBody(exchange.request, limitBytes);
   if (body.isErr()) return err(body.error);
   try {
--- a/src/node/resource/api/explain-routes.ts
+++ b/src/node/resource/api/explain-routes.ts
@@ -3,9 +3,13 @@
  * this node, from the deciding node, or from what it flushed; those of nodes that do not respond are left
  * out.
  */
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import { parseRequestId } from '../../../common/identifier.js';
-import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+  fromState,
+} from '../../../coordination/resource/coordination-error.js';
 import type { NodeRegistry } from '../../../coordination/resource/membership/index.js';
 import type { Router } from '../../../coordination/resource/requests/index.js';
 import type { Explanation, Status } from '../../../protocol/resource/operator.js';
@@ -23,6 +27,7 @@
 import { sendJson } from '../../../transport/http-server.js';
 import type { Route } from './api-server.js';
 import type { Exchange } from './exchange.js';
+import { isOperator } from './resource-common.js';
 import { statusOf } from './resource-status.js';
 
 /** Dependencies of the routes. */
@@ -68,11 +73,10 @@
   ];
 }
 
-async function explain(parts: ExplainParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function explain(parts: ExplainParts, exchange: Exchange): CoordinationResult<void> {
   const subject = exchange.params.subject ?? '';
-  const isOperator = exchange.principal.roles.some((role) => role === 'operator' || role === 'approver');
   const sample = parseSampleId(subject);
-  if (!isOperator && sample?.trainer !== exchange.principal.trainer) {
+  if (!isOperator(exchange) && sample?.trainer !== exchange.principal.trainer) {
     return err(
       new CoordinationError('forbidden', 'no', 'only operators may ask about what is not their own'),
     );
@@ -100,10 +104,7 @@
   return findFlushedDecisions(parts.objects, origin.nodeId, requestId, origin.issuedAtMs);
 }
 
-async function explainRequest(
-  parts: ExplainParts,
-  subject: string,
-): Promise<Result<Explanation, CoordinationError>> {
+async function explainRequest(parts: ExplainParts, subject: string): CoordinationResult<Explanation> {
   const decisions = await decisionsOfRequest(parts, subject);
   if (decisions.length === 0) {
     return err(new CoordinationError('not-found', 'no', `nothing is known of ${subject}`));
@@ -113,10 +114,7 @@
   return ok({ subject, kind: 'request', summary, decisions });
 }
 
-async function explainSample(
-  parts: ExplainParts,
-  subject: string,
-): Promise<Result<Explanation, CoordinationError>> {
+async function explainSample(parts: ExplainParts, subject: string): CoordinationResult<Explanation> {
   const id = parseSampleId(subject);
   if (!id) return err(new CoordinationError('not-found', 'no', `${subject} is not a sample`));
   const found = await parts.batches.find(id.trainer, id.rolloutId, id.slot, subject);
@@ -150,10 +148,7 @@
   return `${parts.join(', ')}; ${where}`;
 }
 
-async function explainBackend(
-  parts: ExplainParts,
-  subject: string,
-): Promise<Result<Explanation, CoordinationError>> {
+async function explainBackend(parts: ExplainParts, subject: string): CoordinationResult<Explanation> {
   const name = subject.slice(BACKEND_PREFIX.length);
   const backend = parts.view.get('Backend', name);
   if (!backend) return err(new CoordinationError('not-found', 'no', `no Backend ${name}`));
--- a/src/node/resource/api/keyed-relay.ts
+++ b/src/node/resource/api/keyed-relay.ts
@@ -6,9 +6,13 @@
  * Relies on: `ClaimStore`. When the claim cannot be written, nothing is dispatched; when the outcome cannot
  * be recorded, repeats are rejected as `in-progress` or `outcome-unknown`.
  */
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import { sha256Hex } from '../../../common/identifier.js';
-import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+  fromState,
+} from '../../../coordination/resource/coordination-error.js';
 import {
   type ApplicationRelay,
   type ApplicationRequest,
@@ -46,7 +50,7 @@
   context: RequestContext,
   request: ApplicationRequest,
   key: string,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   if (key.length === 0 || key.length > MAX_KEY_LENGTH) {
     const message = `must have 1 to ${MAX_KEY_LENGTH} characters`;
     return err(new InvalidRequestError([{ field: 'idempotency-key', message }]));
@@ -85,7 +89,7 @@
   context: RequestContext,
   request: ApplicationRequest,
   claim: HeldClaim,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   // The outcome is recorded for repeats, so a disconnect of the caller does not cancel the request.
   const uncancelled = { ...context, signal: AbortSignal.timeout(Math.ceil(timeLeftMs(context)) + 1) };
   const answer = await parts.relay.dispatch(uncancelled, request);
@@ -104,10 +108,7 @@
   return ok(undefined);
 }
 
-async function readAnswer(
-  answer: RelayedAnswer,
-  method: string,
-): Promise<Result<RecordedAnswer, CoordinationError>> {
+async function readAnswer(answer: RelayedAnswer, method: string): CoordinationResult<RecordedAnswer> {
   const { response, release, backend } = answer;
   try {
     if (!hasDeclaredEnd(response, method)) return err(undeclaredEnd(backend.name));
--- a/src/node/resource/api/peer-routes.ts
+++ b/src/node/resource/api/peer-routes.ts
@@ -1,9 +1,9 @@
 /**
  * Routes for other nodes: this node's revision, and its decision records. A leaving node still serves them.
  */
-import { ok, type Result } from 'neverthrow';
+import { ok } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
-import type { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import type { CoordinationResult } from '../../../coordination/resource/coordination-error.js';
 import { DecisionQuerySchema, RevisionQuerySchema } from '../../../protocol/resource/peer.js';
 import { Validator } from '../../../protocol/validation.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
@@ -26,7 +26,7 @@
   answer: (message: Static<Schema>) => unknown,
 ): Route {
   const validator = new Validator(schema);
-  const handler = async (exchange: Exchange): Promise<Result<void, CoordinationError>> => {
+  const handler = async (exchange: Exchange): CoordinationResult<void> => {
     const message = await readJson(exchange, validator, BODY_LIMIT_BYTES);
     if (message.isErr()) return message.map(() => undefined);
     sendJson(exchange.response, 200, answer(message.value));
--- a/src/node/resource/api/read-routes.ts
+++ b/src/node/resource/api/read-routes.ts
@@ -3,14 +3,18 @@
  * store, so that it shows every change that any node has accepted; while the store is not reachable it shows
  * the configuration in force on this node.
  */
-import { err, ok, type Result } from 'neverthrow';
-import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import { err, ok } from 'neverthrow';
+import {
+  CoordinationError,
+  type CoordinationResult,
+  fromState,
+} from '../../../coordination/resource/coordination-error.js';
 import { reportRevision } from '../../../coordination/resource/membership/index.js';
 import { type Resource, ROLLOUT_KIND } from '../../../protocol/resource/resource.js';
 import { sendJson } from '../../../transport/http-server.js';
-import type { ApiHandler, Route } from './api-server.js';
+import type { Route } from './api-server.js';
 import { type Exchange, InvalidRequestError } from './exchange.js';
-import { kindOf, type ResourceParts, withStatus } from './resource-common.js';
+import { kindOf, type ResourceParts, resourceRoute, withStatus } from './resource-common.js';
 import { watchResources } from './watch.js';
 
 /** Routes that read resources. */
@@ -18,24 +22,15 @@
   const readers = ['operator' as const, 'approver' as const, 'trainer' as const];
   const operators = ['operator' as const, 'approver' as const];
   const base = '/v1/resources/:kind';
-  const bind =
-    (handler: (parts: ResourceParts, exchange: Exchange) => ReturnType<ApiHandler>): ApiHandler =>
-    (exchange) =>
-      handler(parts, exchange);
+  const route = resourceRoute(parts);
   return [
-    { method: 'GET', pattern: base, roles: readers, isWork: true, handler: bind(list) },
-    { method: 'GET', pattern: `${base}/:name`, roles: readers, isWork: true, handler: bind(read) },
-    {
-      method: 'GET',
-      pattern: '/v1/revisions/:revision',
-      roles: operators,
-      isWork: true,
-      handler: bind(revision),
-    },
+    route('GET', base, readers, list),
+    route('GET', `${base}/:name`, readers, read),
+    route('GET', '/v1/revisions/:revision', operators, revision),
   ];
 }
 
-async function list(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function list(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   if (exchange.params.kind === ROLLOUT_KIND) return listRollouts(parts, exchange);
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
@@ -53,10 +48,7 @@
   return ok(undefined);
 }
 
-async function listRollouts(
-  parts: ResourceParts,
-  exchange: Exchange,
-): Promise<Result<void, CoordinationError>> {
+async function listRollouts(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const own = exchange.principal.trainer;
   const names = own ? [own] : parts.view.list('Trainer').map((trainer) => trainer.metadata.name);
   const items: unknown[] = [];
@@ -73,7 +65,7 @@
   return ok(undefined);
 }
 
-async function read(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function read(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
   await parts.follower.readNow();
@@ -88,7 +80,7 @@
   return new CoordinationError('not-found', 'no', `no ${exchange.params.kind} ${exchange.params.name}`);
 }
 
-async function revision(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function revision(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const asked = Number(exchange.params.revision);
   if (!Number.isInteger(asked) || asked < 0) {
     return err(new InvalidRequestError([{ field: 'revision', message: 'must be a whole number' }]));
--- a/src/node/resource/api/resource-common.ts
+++ b/src/node/resource/api/resource-common.ts
@@ -1,7 +1,10 @@
 /** Shared by the routes that read and change resources: dependencies, kind and role checks, status. */
 import { err, ok, type Result } from 'neverthrow';
 import type { ConfigFollower } from '../../../coordination/resource/configuration/index.js';
-import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+} from '../../../coordination/resource/coordination-error.js';
 import type { NodeRegistry } from '../../../coordination/resource/membership/index.js';
 import { isKind } from '../../../protocol/resource/manifest.js';
 import type { PeerClient } from '../../../protocol/resource/peer.js';
@@ -10,6 +13,7 @@
 import type { ConfigStore, ConfigView } from '../../../state/resource/configuration/index.js';
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
 import type { RolloutLedger } from '../../../state/resource/samples/index.js';
+import type { Route } from './api-server.js';
 import type { Exchange } from './exchange.js';
 import { statusOf } from './resource-status.js';
 
@@ -27,6 +31,16 @@
   readonly leaving: AbortSignal;
 }
 
+/** Builds routes whose handlers take the parts; all of them are work, which a leaving node rejects. */
+export const resourceRoute =
+  (parts: ResourceParts) =>
+  (
+    method: Route['method'],
+    pattern: string,
+    roles: Route['roles'],
+    handler: (parts: ResourceParts, exchange: Exchange) => CoordinationResult<void>,
+  ): Route => ({ method, pattern, roles, isWork: true, handler: (exchange) => handler(parts, exchange) });
+
 /** The kind that the route names. */
 export function kindOf(exchange: Exchange): Result<Kind, CoordinationError> {
   const { kind } = exchange.params;
--- a/src/node/resource/api/trainer-routes.ts
+++ b/src/node/resource/api/trainer-routes.ts
@@ -2,8 +2,12 @@
  * Routes of trainers: submit, draw, acknowledge, cancel, progress. Every call may be repeated: submissions
  * are identified by content, draws by cursor and sequence, acknowledgements by cursor, attempt and digest.
  */
-import { err, ok, type Result } from 'neverthrow';
-import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+import { err, ok } from 'neverthrow';
+import {
+  CoordinationError,
+  type CoordinationResult,
+  fromState,
+} from '../../../coordination/resource/coordination-error.js';
 import type { WorkGate } from '../../../coordination/resource/requests/index.js';
 import type { Delivery } from '../../../coordination/resource/rollouts/index.js';
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
@@ -39,7 +43,7 @@
   parts: TrainerParts,
   exchange: Exchange,
   trainer: ResourceOf<'Trainer'>,
-) => Promise<Result<void, CoordinationError>>;
+) => CoordinationResult<void>;
 
 /** Routes of trainers. */
 export function trainerRoutes(parts: TrainerParts): Route[] {
@@ -63,7 +67,7 @@
   parts: TrainerParts,
   exchange: Exchange,
   handler: TrainerHandler,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const name = exchange.params.trainer ?? '';
   if (exchange.principal.trainer !== name) {
     return err(new CoordinationError('forbidden', 'no', `the token does not speak for trainer ${name}`));
--- a/src/node/resource/api/watch.ts
+++ b/src/node/resource/api/watch.ts
@@ -5,7 +5,10 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
-import { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+} from '../../../coordination/resource/coordination-error.js';
 import type { ConfigEntry } from '../../../protocol/resource/configuration-entry.js';
 import type { Kind } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
@@ -43,7 +46,7 @@
   exchange: Exchange,
   kind: Kind,
   leaving: AbortSignal,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const from = startRevision(view, exchange);
   if (from.isErr()) return err(from.error);
   const signal = AbortSignal.any([callerGone(exchange.response), leaving]);
--- a/src/node/resource/node.ts
+++ b/src/node/resource/node.ts
@@ -141,10 +141,7 @@
     const { state, settings } = this;
     const { coordination } = this;
     const parts = { ...state, ...coordination };
-    const resourceParts = {
-      ...parts,
-      leaving: this.tasksStop.signal,
-    };
+    const resourceParts = { ...parts, leaving: this.tasksStop.signal };
     this.server.addRoutes([
       ...healthRoutes(this.metrics, coordination.gate),
       ...callerRoutes(parts),
--- a/src/node/resource/singleton-task-list.ts
+++ b/src/node/resource/singleton-task-list.ts
@@ -1,7 +1,6 @@
 /**
  * The singleton tasks that the configuration requires: one for each shard, each slice, and the machine list.
  */
-
 import type { MachineWatch } from '../../coordination/resource/membership/index.js';
 import { RolloutOwner, type RolloutOwnerParts } from '../../coordination/resource/rollouts/index.js';
 import type { SingletonTask } from '../../coordination/resource/singleton-tasks/index.js';
--- a/src/state/resource/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -19,7 +19,7 @@
   resourceKey,
 } from '../../../protocol/resource/resource.js';
 import { StateError } from '../../state-error.js';
-import type { Row, Transaction } from '../tables/index.js';
+import type { Row, StateResult, Transaction } from '../tables/index.js';
 import { scanAll, settle, type Table } from '../tables/index.js';
 
 const HEAD_KEY = 'config/head';
@@ -106,13 +106,13 @@
   constructor(private readonly table: Table) {}
 
   /** The newest committed revision. */
-  async head(): Promise<Result<number, StateError>> {
+  async head(): StateResult<number> {
     const rows = await this.table.read([HEAD_KEY]);
     return rows.map((found) => headRevision(new Map(found.map((row) => [row.key, row]))));
   }
 
   /** Log entries with a revision above `after` and at most `upTo`. */
-  async entries(after: number, upTo: number): Promise<Result<ConfigEntry[], StateError>> {
+  async entries(after: number, upTo: number): StateResult<ConfigEntry[]> {
     const rows = await this.table.scan(
       'config/log/',
       Math.max(1, Math.min(MAX_ENTRIES_READ, upTo - after)),
@@ -122,7 +122,7 @@
   }
 
   /** All resources. Rows may be newer than the revision; replaying the log from there is exact. */
-  async snapshot(): Promise<Result<{ revision: number; resources: Resource[] }, StateError>> {
+  async snapshot(): StateResult<{ revision: number; resources: Resource[] }> {
     const head = await this.head();
     if (head.isErr()) return err(head.error);
     const rows = await scanAll(this.table, RESOURCE_PREFIX);
@@ -136,10 +136,7 @@
    * Commits changes as one revision. The same operation ID never commits twice; repeating it, from any node,
    * returns the revision of the first time.
    */
-  async commit(
-    operationId: string,
-    wanted: readonly WantedChange[],
-  ): Promise<Result<CommitOutcome, StateError>> {
+  async commit(operationId: string, wanted: readonly WantedChange[]): StateResult<CommitOutcome> {
     return settle(MAX_COMMIT_ROUNDS, 'the commit could not be settled', () =>
       this.commitOnce(operationId, wanted),
     );
@@ -165,7 +162,7 @@
   }
 
   /** The outcome that a commit would have, without committing. */
-  async preview(wanted: readonly WantedChange[]): Promise<Result<CommitOutcome, StateError>> {
+  async preview(wanted: readonly WantedChange[]): StateResult<CommitOutcome> {
     const rows = await this.readForCommit('preview', wanted);
     if (rows.isErr()) return err(rows.error);
     const planned = await this.plan('preview', wanted, rows.value);
@@ -192,7 +189,7 @@
     operationId: string,
     wanted: readonly WantedChange[],
     rows: ReadonlyMap<string, Row>,
-  ): Promise<Result<Planned, StateError>> {
+  ): StateResult<Planned> {
     const revision = headRevision(rows) + 1;
     const changes: ConfigEntry['changes'] = [];
     const resources: (Resource | null)[] = [];
@@ -222,7 +219,7 @@
   }
 
   /** Rows that keep, for each model, the newest published version, for the staleness check of draws. */
-  private async publishedWrites(changes: ConfigEntry['changes']): Promise<Result<Transaction, StateError>> {
+  private async publishedWrites(changes: ConfigEntry['changes']): StateResult<Transaction> {
     const newest = newestVersions(changes);
     const transaction: Transaction = { conditions: [], writes: [] };
     if (newest.size === 0) return ok(transaction);
--- a/src/state/resource/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -11,10 +11,10 @@
  * Rows: `session/{nodeId}` {session, beat}, `lease/{name}` {holder, session, epoch}, `lease-epoch/{name}`
  * {epoch}.
  */
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
 import { StateError } from '../../state-error.js';
-import type { Row, Table } from '../tables/index.js';
+import type { Row, StateResult, Table } from '../tables/index.js';
 
 interface SessionRow {
   readonly session: string;
@@ -77,7 +77,7 @@
   }
 
   /** Renews the session. After a gap in which it may have expired, lost leases are dropped. */
-  async renew(): Promise<Result<void, StateError>> {
+  async renew(): StateResult<void> {
     const mayHaveExpired = !this.isValid;
     const renewed = await this.writeHeartbeat();
     if (renewed.isErr()) {
@@ -87,7 +87,7 @@
     return mayHaveExpired ? this.dropTakenOver() : renewed;
   }
 
-  private async dropTakenOver(): Promise<Result<void, StateError>> {
+  private async dropTakenOver(): StateResult<void> {
     const rows = await this.table.read([...this.held.keys()].map(leaseKey));
     if (rows.isErr()) return err(rows.error);
     const byKey = new Map(rows.value.map((row) => [row.key, row.value as LeaseRow]));
@@ -98,7 +98,7 @@
     return ok(undefined);
   }
 
-  private async writeHeartbeat(): Promise<Result<void, StateError>> {
+  private async writeHeartbeat(): StateResult<void> {
     const startedAt = monotonicMs();
     const beat = this.beat + 1;
     const value: SessionRow = { session: this.session, beat };
@@ -115,7 +115,7 @@
   }
 
   /** Reads the outcome of a renewal whose answer was lost or whose condition failed. */
-  private async settleRenewal(beat: number, startedAt: number): Promise<Result<void, StateError>> {
+  private async settleRenewal(beat: number, startedAt: number): StateResult<void> {
     const rows = await this.table.read([sessionKey(this.nodeId)]);
     if (rows.isErr()) return err(rows.error);
     const row = rows.value[0];
@@ -135,7 +135,7 @@
   }
 
   /** Acquires a lease that is free or whose holder's session expired; else `undefined`. */
-  async tryAcquire(name: string): Promise<Result<HeldLease | undefined, StateError>> {
+  async tryAcquire(name: string): StateResult<HeldLease | undefined> {
     const known = this.get(name);
     if (known) return ok(known);
     if (!this.isValid) return ok(undefined);
@@ -174,7 +174,7 @@
   /** Conditions under which the holder may be replaced; `undefined` while it may hold the lease. */
   private async expiryConditions(
     value: LeaseRow | undefined,
-  ): Promise<Result<{ key: string; version: number }[] | undefined, StateError>> {
+  ): StateResult<{ key: string; version: number }[] | undefined> {
     if (!value || value.holder === '') return ok([]);
     const rows = await this.table.read([sessionKey(value.holder)]);
     if (rows.isErr()) return err(rows.error);
@@ -196,7 +196,7 @@
     lease: Row | undefined,
     epochRow: Row | undefined,
     expiryConditions: readonly { key: string; version: number }[],
-  ): Promise<Result<HeldLease | undefined, StateError>> {
+  ): StateResult<HeldLease | undefined> {
     const epoch = ((epochRow?.value as { epoch: number } | undefined)?.epoch ?? 0) + 1;
     const value: LeaseRow = { holder: this.nodeId, session: this.session, epoch };
     const taken = await this.table.transact({
--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -13,7 +13,7 @@
 import type { Batch, DrawRequest, Sample } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
 import { publishedKey, publishedVersion } from '../configuration/index.js';
-import { type Objects, type Row, settle, type Table } from '../tables/index.js';
+import { type Objects, type Row, type StateResult, settle, type Table } from '../tables/index.js';
 import {
   type Candidate,
   cursorClash,
@@ -61,7 +61,7 @@
   ) {}
 
   /** Draws a batch. With nothing ready the batch is empty and the cursor stays free. */
-  async draw(terms: DrawTerms, request: DrawRequest): Promise<Result<DrawOutcome, StateError>> {
+  async draw(terms: DrawTerms, request: DrawRequest): StateResult<DrawOutcome> {
     const discarded: DiscardedSample[] = [];
     return settle(MAX_ROUNDS, 'the draw could not be settled', () =>
       this.drawRound(terms, request, discarded),
@@ -89,12 +89,7 @@
   }
 
   /** Acknowledges a batch. Repeating it is harmless. Error `conflict`: it is not the last batch. */
-  async acknowledge(
-    trainer: string,
-    cursor: number,
-    attempt: number,
-    digest: string,
-  ): Promise<Result<void, StateError>> {
+  async acknowledge(trainer: string, cursor: number, attempt: number, digest: string): StateResult<void> {
     return settle(MAX_ROUNDS, 'the acknowledgement could not be settled', () =>
       this.acknowledgeOnce(ledgerKeys.cursor(trainer), { cursor, attempt, digest }),
     );
@@ -137,7 +132,7 @@
     });
   }
 
-  private async readState(terms: DrawTerms, request: DrawRequest): Promise<Result<DrawState, StateError>> {
+  private async readState(terms: DrawTerms, request: DrawRequest): StateResult<DrawState> {
     const cursorKey = ledgerKeys.cursor(terms.trainer);
     const rows = await this.table.read([cursorKey, ...terms.models.map(publishedKey)]);
     return rows.map((found) => {
@@ -197,7 +192,7 @@
     request: DrawRequest,
     state: DrawState,
     redelivered: readonly ReadySample[],
-  ): Promise<Result<Selection, StateError>> {
+  ): StateResult<Selection> {
     const wanted = Math.min(request.maxSamples ?? terms.batchSize, terms.batchSize, MAX_SAMPLES_DRAWN);
     const ready = await this.table.scan(
       ledgerKeys.readyOfTrainer(terms.trainer),
@@ -233,7 +228,7 @@
     terms: DrawTerms,
     request: DrawRequest,
     row: CursorRow,
-  ): Promise<Result<Batch | undefined, StateError>> {
+  ): StateResult<Batch | undefined> {
     const samples = await this.readSamples(row.samples);
     if (samples.isErr()) return err(samples.error);
     const state = await this.readState(terms, request);
@@ -248,7 +243,7 @@
     });
   }
 
-  private async readSamples(references: readonly ReadySample[]): Promise<Result<Sample[], StateError>> {
+  private async readSamples(references: readonly ReadySample[]): StateResult<Sample[]> {
     const names = [...new Set(references.map((one) => one.object))];
     const objects = await Promise.all(names.map((name) => this.objects.get(name)));
     const contents = new Map<string, Sample[]>();
--- a/src/state/resource/samples/claim-store.ts
+++ b/src/state/resource/samples/claim-store.ts
@@ -10,7 +10,7 @@
 import { sleep } from '../../../common/clock.js';
 import { sha256Hex, uniqueId } from '../../../common/identifier.js';
 import { StateError } from '../../state-error.js';
-import { type Objects, settle, type Table } from '../tables/index.js';
+import { type Objects, type StateResult, settle, type Table } from '../tables/index.js';
 
 /** The recorded response. */
 export interface RecordedAnswer {
@@ -72,7 +72,7 @@
   ) {}
 
   /** Claims a request, or returns the earlier one's state. Error `invalid`: the key is another request's. */
-  async claim(request: ClaimRequest): Promise<Result<ClaimOutcome, StateError>> {
+  async claim(request: ClaimRequest): StateResult<ClaimOutcome> {
     const key = claimKey(request);
     const row: ClaimRow = {
       claimId: uniqueId(),
@@ -135,7 +135,7 @@
     }
   }
 
-  private async earlier(known: ClaimRow, request: ClaimRequest): Promise<Result<ClaimOutcome, StateError>> {
+  private async earlier(known: ClaimRow, request: ClaimRequest): StateResult<ClaimOutcome> {
     if (known.fingerprint !== request.fingerprint) {
       return err(new StateError('invalid', 'none', 'the Idempotency-Key was used for another request'));
     }
--- a/src/state/resource/samples/rollout-ledger.ts
+++ b/src/state/resource/samples/rollout-ledger.ts
@@ -11,7 +11,7 @@
 import type { RolloutProgress, RolloutSubmission } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
-import { type Objects, scanAll, settle, type Table } from '../tables/index.js';
+import { type Objects, type StateResult, scanAll, settle, type Table } from '../tables/index.js';
 import {
   type ExpiredSample,
   ledgerKeys,
@@ -63,11 +63,7 @@
   ) {}
 
   /** Records a rollout. Repeating it is harmless. Error `conflict`: the ID has other content. */
-  async submit(
-    trainer: string,
-    submission: RolloutSubmission,
-    shards: number,
-  ): Promise<Result<RolloutRow, StateError>> {
+  async submit(trainer: string, submission: RolloutSubmission, shards: number): StateResult<RolloutRow> {
     const { rolloutId, model, prompts, samplesPerPrompt, maxTokens, seed } = submission;
     const digest = submissionDigest(submission);
     const promptsObject = `rollouts/${trainer}/${rolloutId}/${digest}`;
@@ -111,7 +107,7 @@
   }
 
   /** Cancels a rollout: no further sample of it wins a slot or is drawn. Repeating it is harmless. */
-  async cancel(trainer: string, rolloutId: string): Promise<Result<void, StateError>> {
+  async cancel(trainer: string, rolloutId: string): StateResult<void> {
     return settle(MAX_SETTLE_ROUNDS, 'the cancellation could not be settled', () =>
       this.cancelOnce(trainer, rolloutId),
     );
@@ -137,7 +133,7 @@
   }
 
   /** Progress of a rollout; the counts are read one after the other and may lag. */
-  async progress(trainer: string, rolloutId: string): Promise<Result<RolloutProgress, StateError>> {
+  async progress(trainer: string, rolloutId: string): StateResult<RolloutProgress> {
     const rows = await this.table.read([ledgerKeys.rollout(trainer, rolloutId)]);
     if (rows.isErr()) return err(rows.error);
     const row = rows.value[0]?.value as RolloutRow | undefined;
@@ -159,7 +155,7 @@
   }
 
   /** IDs and rows of a trainer's rollouts. */
-  async list(trainer: string): Promise<Result<{ rolloutId: string; row: RolloutRow }[], StateError>> {
+  async list(trainer: string): StateResult<{ rolloutId: string; row: RolloutRow }[]> {
     const prefix = ledgerKeys.rollouts(trainer);
     const rows = await scanAll(this.table, prefix);
     return rows.map((found) =>
@@ -168,25 +164,25 @@
   }
 
   /** Rollouts of a shard that still have slots to win. */
-  async openRollouts(trainer: string, shard: number): Promise<Result<string[], StateError>> {
+  async openRollouts(trainer: string, shard: number): StateResult<string[]> {
     const rows = await scanAll(this.table, ledgerKeys.openOfShard(trainer, shard));
     return rows.map((found) => found.map((row) => (row.value as OpenRow).rolloutId));
   }
 
   /** Slots of a shard whose sample expired. */
-  async regenerations(trainer: string, shard: number): Promise<Result<SlotTask[], StateError>> {
+  async regenerations(trainer: string, shard: number): StateResult<SlotTask[]> {
     const rows = await scanAll(this.table, ledgerKeys.regenerateOfShard(trainer, shard));
     return rows.map((found) => found.map((row) => row.value as RegenerateRow));
   }
 
   /** Whether a rollout was cancelled. */
-  async isCancelled(trainer: string, rolloutId: string): Promise<Result<boolean, StateError>> {
+  async isCancelled(trainer: string, rolloutId: string): StateResult<boolean> {
     const rows = await this.table.read([ledgerKeys.rollout(trainer, rolloutId)]);
     return rows.map((found) => (found[0]?.value as RolloutRow | undefined)?.state === 'cancelled');
   }
 
   /** A rollout with its prompts; `undefined` when it does not exist. */
-  async load(trainer: string, rolloutId: string): Promise<Result<LoadedRollout | undefined, StateError>> {
+  async load(trainer: string, rolloutId: string): StateResult<LoadedRollout | undefined> {
     const rows = await this.table.read([ledgerKeys.rollout(trainer, rolloutId)]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
@@ -201,11 +197,7 @@
   }
 
   /** Slots of a shard that no attempt has won. A slot's shard is its number modulo that of shards. */
-  async freeSlots(
-    trainer: string,
-    rollout: LoadedRollout,
-    shard: number,
-  ): Promise<Result<SlotTask[], StateError>> {
+  async freeSlots(trainer: string, rollout: LoadedRollout, shard: number): StateResult<SlotTask[]> {
     const rows = await scanAll(this.table, ledgerKeys.slots(trainer, rollout.rolloutId));
     return rows.map((found) => {
       const taken = new Set(found.map((row) => Number(row.key.split('/').at(-1))));
--- a/src/state/resource/samples/sample-commits.ts
+++ b/src/state/resource/samples/sample-commits.ts
@@ -8,7 +8,7 @@
 import type { Sample } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
-import { type Objects, type Row, settle, type Table } from '../tables/index.js';
+import { type Objects, type Row, type StateResult, settle, type Table } from '../tables/index.js';
 import {
   ledgerKeys,
   oldestVersion,
@@ -56,7 +56,7 @@
     trainer: string,
     lease: HeldLease,
     finished: readonly FinishedSample[],
-  ): Promise<Result<CommitVerdict[], StateError>> {
+  ): StateResult<CommitVerdict[]> {
     const object = `samples/${trainer}/${uniqueId()}`;
     const stored = await this.objects.put(
       object,
@@ -77,10 +77,7 @@
   }
 
   /** True when the samples have won their slots, also when the answer to an earlier try was lost. */
-  private async commitPrepared(
-    lease: HeldLease,
-    prepared: readonly PreparedCommit[],
-  ): Promise<Result<boolean, StateError>> {
+  private async commitPrepared(lease: HeldLease, prepared: readonly PreparedCommit[]): StateResult<boolean> {
     return settle(MAX_SETTLE_ROUNDS, 'the samples could not be settled', () =>
       this.commitOnce(lease, prepared),
     );
@@ -104,7 +101,7 @@
   }
 
   /** Whether the slots hold exactly these attempts, identified by their request IDs. */
-  private async haveWon(prepared: readonly PreparedCommit[]): Promise<Result<boolean, StateError>> {
+  private async haveWon(prepared: readonly PreparedCommit[]): StateResult<boolean> {
     const rows = await this.table.read(prepared.map((one) => one.slotKey));
     return rows.map((found) => {
       const winners = new Map(found.map((row: Row) => [row.key, (row.value as SlotRow).decision?.requestId]));
--- a/src/state/resource/tables/index.ts
+++ b/src/state/resource/tables/index.ts
@@ -2,6 +2,7 @@
   CONFIGURATION_TABLE,
   type Row,
   RowTable,
+  type StateResult,
   scanAll,
   type Table,
   type Transaction,
--- a/src/state/resource/tables/row-table.ts
+++ b/src/state/resource/tables/row-table.ts
@@ -16,6 +16,9 @@
 } from '../../../protocol/record-store.js';
 import { StateError } from '../../state-error.js';
 
+/** Result of an operation on shared state. */
+export type StateResult<T> = Promise<Result<T, StateError>>;
+
 /** A row. */
 export interface Row {
   readonly key: string;
@@ -37,11 +40,11 @@
 
 /** Operations on rows. */
 export interface Table {
-  transact(transaction: Transaction): Promise<Result<TransactionOutcome, StateError>>;
+  transact(transaction: Transaction): StateResult<TransactionOutcome>;
   /** Rows by key; absent ones are left out. */
-  read(keys: readonly string[]): Promise<Result<Row[], StateError>>;
+  read(keys: readonly string[]): StateResult<Row[]>;
   /** Rows whose key starts with `prefix`, in key order, after the key `after`. */
-  scan(prefix: string, limit: number, after?: string): Promise<Result<Row[], StateError>>;
+  scan(prefix: string, limit: number, after?: string): StateResult<Row[]>;
 }
 
 /** Table of the configuration's rows. */
@@ -104,7 +107,7 @@
     this.health = new Lifecycle<Health, HealthEvent>('store', 'store', 'available', HEALTH_TABLE, observer);
   }
 
-  async transact(transaction: Transaction): Promise<Result<TransactionOutcome, StateError>> {
+  async transact(transaction: Transaction): StateResult<TransactionOutcome> {
     const keys = [...new Set([...transaction.conditions, ...transaction.writes].map((one) => one.key))];
     const known = await this.learnVersions(keys);
     if (known.isErr()) return err(known.error);
@@ -123,7 +126,7 @@
     return this.verifyFailure(transaction);
   }
 
-  async read(keys: readonly string[]): Promise<Result<Row[], StateError>> {
+  async read(keys: readonly string[]): StateResult<Row[]> {
     const found = await Promise.all(keys.map((key) => this.readOne(key)));
     const rows: Row[] = [];
     for (const row of found) {
@@ -133,7 +136,7 @@
     return ok(rows);
   }
 
-  async scan(prefix: string, limit: number, after?: string): Promise<Result<Row[], StateError>> {
+  async scan(prefix: string, limit: number, after?: string): StateResult<Row[]> {
     const range = { ...rowAddress(prefix), until: `${prefix}${AFTER_KEYS}` };
     const rows: Row[] = [];
     let from = after === undefined ? prefix : `${after}\0`;
@@ -149,7 +152,7 @@
     return ok(rows);
   }
 
-  private async readOne(key: string): Promise<Result<Row | undefined, StateError>> {
+  private async readOne(key: string): StateResult<Row | undefined> {
     const range = { ...rowAddress(key), from: key, until: `${key}\0`, limit: 1 };
     const page = await this.budgeted('read', () => this.store.scan(range));
     if (page.isErr()) return err(fromStore(page.error));
@@ -166,14 +169,14 @@
   }
 
   /** Reads the rows that are not cached. */
-  private async learnVersions(keys: readonly string[]): Promise<Result<void, StateError>> {
+  private async learnVersions(keys: readonly string[]): StateResult<void> {
     const unknown = keys.filter((key) => !this.versions.has(key));
     const read = await this.read(unknown);
     return read.map(() => undefined);
   }
 
   /** Reads the rows of a transaction whose condition seems to fail: the cache may be stale. */
-  private async verifyFailure(transaction: Transaction): Promise<Result<TransactionOutcome, StateError>> {
+  private async verifyFailure(transaction: Transaction): StateResult<TransactionOutcome> {
     const read = await this.read([...new Set(transaction.conditions.map((one) => one.key))]);
     if (read.isErr()) return err(read.error);
     const failed = transaction.conditions.filter((one) => this.versionOf(one.key).own !== one.version);
@@ -260,7 +263,7 @@
 }
 
 /** All rows under a prefix, read page by page. */
-export async function scanAll(table: Table, prefix: string): Promise<Result<Row[], StateError>> {
+export async function scanAll(table: Table, prefix: string): StateResult<Row[]> {
   const pageSize = 500;
   const all: Row[] = [];
   for (;;) {
--- a/src/state/resource/tables/settle.ts
+++ b/src/state/resource/tables/settle.ts
@@ -4,6 +4,7 @@
  */
 import { err, type Result } from 'neverthrow';
 import { StateError } from '../../state-error.js';
+import type { StateResult } from './row-table.js';
 
 /** Time after which a caller may repeat the operation, milliseconds. Chosen, not measured. */
 const UNSETTLED_RETRY_MS = 1_000;
@@ -13,7 +14,7 @@
   maxRounds: number,
   message: string,
   round: () => Promise<Result<T, StateError> | undefined>,
-): Promise<Result<T, StateError>> {
+): StateResult<T> {
   for (let count = 0; count < maxRounds; count += 1) {
     const result = await round();
     if (result !== undefined) return result;
--- a/src/state/resource/tables/stored-objects.ts
+++ b/src/state/resource/tables/stored-objects.ts
@@ -6,8 +6,7 @@
 import type { Metrics } from '../../../common/metrics.js';
 import { TokenBucket } from '../../../common/token-bucket.js';
 import type { RecordStore, RecordStoreError } from '../../../protocol/record-store.js';
-import type { StateError } from '../../state-error.js';
-import { fromStore } from './row-table.js';
+import { fromStore, type StateResult } from './row-table.js';
 
 /** Tries of a call, and the delay between them, milliseconds. Chosen, not measured. */
 const MAX_TRIES = 3;
@@ -17,9 +16,9 @@
 
 /** Operations on objects. */
 export interface Objects {
-  put(name: string, bytes: Buffer): Promise<Result<void, StateError>>;
-  get(name: string): Promise<Result<Buffer | undefined, StateError>>;
-  list(prefix: string): Promise<Result<string[], StateError>>;
+  put(name: string, bytes: Buffer): StateResult<void>;
+  get(name: string): StateResult<Buffer | undefined>;
+  list(prefix: string): StateResult<string[]>;
 }
 
 /** The budgeted objects. They are written once, so repeating a call is safe. */
@@ -34,22 +33,22 @@
     this.bucket = new TokenBucket(callsPerSecond, BURST);
   }
 
-  put(name: string, bytes: Buffer): Promise<Result<void, StateError>> {
+  put(name: string, bytes: Buffer): StateResult<void> {
     return this.repeated('put-object', () => this.store.putObject(name, bytes));
   }
 
-  get(name: string): Promise<Result<Buffer | undefined, StateError>> {
+  get(name: string): StateResult<Buffer | undefined> {
     return this.repeated('get-object', () => this.store.getObject(name));
   }
 
-  list(prefix: string): Promise<Result<string[], StateError>> {
+  list(prefix: string): StateResult<string[]> {
     return this.repeated('list-objects', () => this.store.listObjects(prefix));
   }
 
   private async repeated<T>(
     operation: string,
     call: () => Promise<Result<T, RecordStoreError>>,
-  ): Promise<Result<T, StateError>> {
+  ): StateResult<T> {
     let last: RecordStoreError | undefined;
     for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
       await this.awaitBudget();
