--- a/src/coordination/resource/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -17,7 +17,7 @@
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
 import type { HeaderMap, HttpClient, IncomingResponse } from '../../../transport/http-client.js';
 import type { TransportError } from '../../../transport/transport-error.js';
-import { CoordinationError, worseOf } from '../coordination-error.js';
+import { CoordinationError, type CoordinationResult, worseOf } from '../coordination-error.js';
 import { AT_CAPACITY_RETRY_MS, rejection } from './rejection.js';
 import { isPastDeadline, type RequestContext, timeLeftMs } from './request-context.js';
 import type { Route, Router } from './router.js';
@@ -41,14 +41,9 @@
   readonly release: () => void;
 }
 
-/**
- * Dispatches of a request, the first one included. Chosen, not measured: bounds the load that retries add.
- */
+/** Dispatches of a request, the first one included. Chosen, not measured: bounds the load of retries. */
 const MAX_DISPATCHES = 3;
-/**
- * Time by which the client's own timeouts follow the deadline, milliseconds, so that the request's signal
- * goes first.
- */
+/** Time by which the client's timeouts follow the deadline, milliseconds: the request's signal goes first. */
 const AFTER_DEADLINE_MS = 100;
 
 /**
@@ -91,9 +86,7 @@
   readonly mayRetry: boolean;
 }
 
-/**
- * Whether a request whose exchange failed may be dispatched again: it is repeatable, or none of it was sent.
- */
+/** Whether a failed request may be dispatched again: it is repeatable, or none of it was sent. */
 function isSafeToRetry(service: ResourceOf<'Service'>, error: TransportError): boolean {
   return service.spec.repeatable || !error.requestSent;
 }
@@ -108,13 +101,8 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /**
-   * Dispatches a request; resolves at the head of the response. The error says whether the request has run.
-   */
-  async dispatch(
-    context: RequestContext,
-    request: ApplicationRequest,
-  ): Promise<Result<RelayedAnswer, CoordinationError>> {
+  /** Dispatches a request; resolves at the head of the response. The error says whether it has run. */
+  async dispatch(context: RequestContext, request: ApplicationRequest): CoordinationResult<RelayedAnswer> {
     const excluded = new Set<string>();
     let failure: CoordinationError | undefined;
     for (let dispatch = 0; dispatch < MAX_DISPATCHES; dispatch += 1) {
@@ -238,6 +226,12 @@
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
+/** The error for a response without a declared end: the request has run. */
+export function undeclaredEnd(backend: string): CoordinationError {
+  const message = `${backend} sent an answer whose end cannot be told from a cut`;
+  return new CoordinationError('backend-failed', 'yes', message);
+}
+
 /** Writes the head of a relayed response. */
 export function writeRelayedHead(
   response: ServerResponse,
--- a/src/node/resource/api/change-routes.ts
+++ b/src/node/resource/api/change-routes.ts
@@ -1,26 +1,41 @@
-/** Routes that change resources: put, patch, delete, approve, changesets. */
+/**
+ * Routes that change resources: put, patch, delete, approve, changesets. Each commits one revision to the
+ * store; a write whose answer is lost is repeated under the same operation ID and then returns the revision
+ * of the first time.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import { wallTime } from '../../../common/clock.js';
-import { uniqueId } from '../../../common/identifier.js';
-import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
-import { checkManifest, isKind, type Manifest } from '../../../protocol/resource/manifest.js';
+import {
+  CoordinationError,
+  type CoordinationResult,
+  fromState,
+} from '../../../coordination/resource/coordination-error.js';
+import { isKind } from '../../../protocol/resource/manifest.js';
 import {
   ApprovalRequestSchema,
   type Changeset,
   ChangesetSchema,
 } from '../../../protocol/resource/operator.js';
-import { READ_ONLY_KINDS, type Resource, type ResourceOf } from '../../../protocol/resource/resource.js';
+import { READ_ONLY_KINDS, type ResourceOf } from '../../../protocol/resource/resource.js';
 import { Validator } from '../../../protocol/validation.js';
 import type { CommitOutcome, WantedChange } from '../../../state/resource/configuration/index.js';
 import { StateError } from '../../../state/state-error.js';
 import { sendJson } from '../../../transport/http-server.js';
-import type { ApiHandler, Route } from './api-server.js';
+import type { Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readAnyJson, readJson } from './exchange.js';
 import { mergePatch } from './merge-patch.js';
-import { isOperator, kindOf, type ResourceParts, withStatus } from './resource-common.js';
+import { kindOf, type ResourceParts, resourceRoute, withStatus } from './resource-common.js';
+import {
+  addressMismatch,
+  checkWritable,
+  ifMatch,
+  keepApprovals,
+  operationId,
+  prefixed,
+  trainerMayPublish,
+} from './write-rules.js';
 
 const BODY_LIMIT_BYTES = 8 * 1024 * 1024;
-const OPERATION_HEADER = 'x-operation-id';
 const changeset = new Validator(ChangesetSchema);
 const approvalRequest = new Validator(ApprovalRequestSchema);
 
@@ -28,83 +43,18 @@
 export function changeRoutes(parts: ResourceParts): Route[] {
   const writers = ['operator' as const, 'approver' as const];
   const publishers = [...writers, 'trainer' as const];
-  const base = '/v1/resources/:kind';
-  const bind =
-    (handler: (parts: ResourceParts, exchange: Exchange) => ReturnType<ApiHandler>): ApiHandler =>
-    (exchange) =>
-      handler(parts, exchange);
+  const name = '/v1/resources/:kind/:name';
+  const route = resourceRoute(parts);
   return [
-    { method: 'PUT', pattern: `${base}/:name`, roles: publishers, isWork: true, handler: bind(put) },
-    { method: 'PATCH', pattern: `${base}/:name`, roles: writers, isWork: true, handler: bind(patch) },
-    { method: 'DELETE', pattern: `${base}/:name`, roles: writers, isWork: true, handler: bind(remove) },
-    {
-      method: 'POST',
-      pattern: '/v1/approvals/:name',
-      roles: ['approver'],
-      isWork: true,
-      handler: bind(approve),
-    },
-    {
-      method: 'POST',
-      pattern: '/v1/changesets',
-      roles: writers,
-      isWork: true,
-      handler: bind(commitChangeset),
-    },
+    route('PUT', name, publishers, put),
+    route('PATCH', name, writers, patch),
+    route('DELETE', name, writers, remove),
+    route('POST', '/v1/approvals/:name', ['approver'], approve),
+    route('POST', '/v1/changesets', writers, commitChangeset),
   ];
 }
 
-/** The version in `If-Match`: a number in quotes, `*` for any. */
-function ifMatch(exchange: Exchange): Result<number | 'any' | undefined, CoordinationError> {
-  const header = exchange.request.headers['if-match'];
-  if (header === undefined) return ok(undefined);
-  if (header === '*') return ok('any');
-  const version = Number(header.replaceAll('"', ''));
-  if (Number.isInteger(version) && version >= 0) return ok(version);
-  return err(
-    new InvalidRequestError([{ field: 'if-match', message: 'must be a resourceVersion in quotes, or *' }]),
-  );
-}
-
-/** Checks a manifest and what the principal may write. */
-function checkWritable(exchange: Exchange, value: unknown): Result<Manifest, CoordinationError> {
-  const checked = checkManifest(value);
-  if (checked.isErr()) return err(new InvalidRequestError(checked.error));
-  const manifest = checked.value;
-  if (READ_ONLY_KINDS.includes(manifest.kind)) {
-    return err(
-      new InvalidRequestError([{ field: 'kind', message: `${manifest.kind} is written by the system only` }]),
-    );
-  }
-  if (!isOperator(exchange) && manifest.kind !== 'ModelVersion') {
-    return err(new CoordinationError('forbidden', 'no', 'a trainer may write ModelVersion only'));
-  }
-  return ok(manifest);
-}
-
-/** Approvals change through the approval route alone; any other write keeps those that are stored. */
-function keepApprovals(manifest: Manifest, stored: Resource | undefined): Manifest {
-  if (manifest.kind !== 'ModelVersion') return manifest;
-  const { approvals: _ignored, ...spec } = manifest.spec as Resource['spec'] & { approvals?: unknown };
-  const kept =
-    stored?.kind === 'ModelVersion' && sameWeights(stored, manifest) ? stored.spec.approvals : undefined;
-  return { ...manifest, spec: kept ? { ...spec, approvals: kept } : spec } as Manifest;
-}
-
-/** Approvals are given for certain weights; other weights under the same name are not approved. */
-function sameWeights(stored: Resource & { kind: 'ModelVersion' }, manifest: Manifest): boolean {
-  return (
-    JSON.stringify(stored.spec.weights) === JSON.stringify((manifest.spec as typeof stored.spec).weights)
-  );
-}
-
-function trainerMayPublish(parts: ResourceParts, exchange: Exchange, manifest: Manifest): boolean {
-  if (isOperator(exchange)) return true;
-  const trainer = parts.view.get('Trainer', exchange.principal.trainer ?? '');
-  return trainer?.spec.models.includes((manifest.spec as { model: string }).model) ?? false;
-}
-
-async function put(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function put(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
   const body = await readAnyJson(exchange, BODY_LIMIT_BYTES);
@@ -128,24 +78,14 @@
   });
 }
 
-function addressMismatch(exchange: Exchange, manifest: Manifest): InvalidRequestError | undefined {
-  const problems = [];
-  if (manifest.kind !== exchange.params.kind)
-    problems.push({ field: 'kind', message: `must be ${exchange.params.kind}` });
-  if (manifest.metadata.name !== exchange.params.name) {
-    problems.push({ field: 'metadata.name', message: `must be ${exchange.params.name}` });
-  }
-  return problems.length > 0 ? new InvalidRequestError(problems) : undefined;
-}
-
-async function patch(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function patch(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
   const body = await readAnyJson(exchange, BODY_LIMIT_BYTES);
   if (body.isErr()) return err(body.error);
   const match = ifMatch(exchange);
   if (match.isErr()) return err(match.error);
-  let refused: CoordinationError | undefined;
+  let rejection: CoordinationError | undefined;
   const outcome = await commitOne(parts, exchange, {
     kind: kind.value,
     name: exchange.params.name ?? '',
@@ -155,15 +95,16 @@
         return err(new StateError('not-found', 'none', `no ${kind.value} ${exchange.params.name}`));
       const manifest = checkWritable(exchange, mergePatch(stored, body.value));
       const mismatch = manifest.isOk() ? addressMismatch(exchange, manifest.value) : undefined;
-      refused = manifest.isErr() ? manifest.error : mismatch;
-      if (manifest.isErr() || mismatch) return err(new StateError('invalid', 'none', refused?.message ?? ''));
+      rejection = manifest.isErr() ? manifest.error : mismatch;
+      if (manifest.isErr() || mismatch)
+        return err(new StateError('invalid', 'none', rejection?.message ?? ''));
       return ok(keepApprovals(manifest.value, stored));
     },
   });
-  return refused && outcome.isErr() ? err(refused) : outcome;
+  return rejection && outcome.isErr() ? err(rejection) : outcome;
 }
 
-async function remove(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function remove(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
   if (READ_ONLY_KINDS.includes(kind.value)) {
@@ -184,7 +125,7 @@
   });
 }
 
-async function approve(parts: ResourceParts, exchange: Exchange): Promise<Result<void, CoordinationError>> {
+async function approve(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const body = await readJson(exchange, approvalRequest, BODY_LIMIT_BYTES);
   if (body.isErr()) return err(body.error);
   const { note } = body.value;
@@ -204,17 +145,12 @@
   });
 }
 
-function operationId(exchange: Exchange): string {
-  const header = exchange.request.headers[OPERATION_HEADER];
-  return typeof header === 'string' && header.length >= 8 ? header : uniqueId();
-}
-
 /** Commits one change, waits until it is accepted, and answers with the resource. */
 async function commitOne(
   parts: ResourceParts,
   exchange: Exchange,
   want: WantedChange,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const committed = await commitAndAccept(parts, operationId(exchange), [want]);
   if (committed.isErr()) return err(committed.error);
   const [resource] = committed.value.resources;
@@ -228,7 +164,7 @@
   return ok(undefined);
 }
 
-/** Keeps who took a back end out of use or back into it, for `explain`. */
+/** Records who started or ended the drain of a back end, for `explain`. */
 function noteBackendChange(parts: ResourceParts, exchange: Exchange, backend: ResourceOf<'Backend'>): void {
   const { name, resourceVersion } = backend.metadata;
   parts.decisions.record({
@@ -240,12 +176,12 @@
   });
 }
 
-/** A change is accepted when the store has committed it; this node then takes it before it answers. */
+/** Commits to the store, then brings this node to the new revision before it responds. */
 async function commitAndAccept(
   parts: ResourceParts,
   id: string,
   wanted: readonly WantedChange[],
-): Promise<Result<CommitOutcome, CoordinationError>> {
+): CoordinationResult<CommitOutcome> {
   const committed = await parts.store.commit(id, wanted);
   if (committed.isErr()) return err(fromState(committed.error));
   if (committed.value.changed && parts.view.revision < committed.value.revision)
@@ -253,10 +189,7 @@
   return ok(committed.value);
 }
 
-async function commitChangeset(
-  parts: ResourceParts,
-  exchange: Exchange,
-): Promise<Result<void, CoordinationError>> {
+async function commitChangeset(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const body = await readJson(exchange, changeset, BODY_LIMIT_BYTES);
   if (body.isErr()) return err(body.error);
   const wanted = toWanted(exchange, body.value);
@@ -304,8 +237,3 @@
   }
   return ok(wanted);
 }
-
-function prefixed(error: CoordinationError, prefix: string): CoordinationError {
-  if (!(error instanceof InvalidRequestError)) return error;
-  return new InvalidRequestError(error.fields.map((one) => ({ ...one, field: `${prefix}.${one.field}` })));
-}
--- a/src/node/resource/api/peer-routes.ts
+++ b/src/node/resource/api/peer-routes.ts
@@ -1,7 +1,9 @@
-/** Routes of other nodes. */
-import { ok, type Result } from 'neverthrow';
+/**
+ * Routes for other nodes: this node's revision, and its decision records. A leaving node still serves them.
+ */
+import { ok } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
-import type { CoordinationError } from '../../../coordination/resource/coordination-error.js';
+import type { CoordinationResult } from '../../../coordination/resource/coordination-error.js';
 import { DecisionQuerySchema, RevisionQuerySchema } from '../../../protocol/resource/peer.js';
 import { Validator } from '../../../protocol/validation.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
@@ -10,7 +12,7 @@
 import type { Route } from './api-server.js';
 import { type Exchange, readJson } from './exchange.js';
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface PeerParts {
   readonly view: ConfigView;
   readonly decisions: DecisionLog;
@@ -24,7 +26,7 @@
   answer: (message: Static<Schema>) => unknown,
 ): Route {
   const validator = new Validator(schema);
-  const handler = async (exchange: Exchange): Promise<Result<void, CoordinationError>> => {
+  const handler = async (exchange: Exchange): CoordinationResult<void> => {
     const message = await readJson(exchange, validator, BODY_LIMIT_BYTES);
     if (message.isErr()) return message.map(() => undefined);
     sendJson(exchange.response, 200, answer(message.value));
--- a/src/node/resource/api/trainer-routes.ts
+++ b/src/node/resource/api/trainer-routes.ts
@@ -1,6 +1,13 @@
-/** Routes of trainers: submit, draw, acknowledge, cancel, progress. */
-import { err, ok, type Result } from 'neverthrow';
-import { CoordinationError, fromState } from '../../../coordination/resource/coordination-error.js';
+/**
+ * Routes of trainers: submit, draw, acknowledge, cancel, progress. Every call may be repeated: submissions
+ * are identified by content, draws by cursor and sequence, acknowledgements by cursor, attempt and digest.
+ */
+import { err, ok } from 'neverthrow';
+import {
+  CoordinationError,
+  type CoordinationResult,
+  fromState,
+} from '../../../coordination/resource/coordination-error.js';
 import type { WorkGate } from '../../../coordination/resource/requests/index.js';
 import type { Delivery } from '../../../coordination/resource/rollouts/index.js';
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
@@ -16,7 +23,7 @@
 import type { ApiHandler, Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readJson } from './exchange.js';
 
-/** What the routes need. */
+/** Dependencies of the routes. */
 export interface TrainerParts {
   readonly view: ConfigView;
   readonly gate: WorkGate;
@@ -25,6 +32,7 @@
   readonly delivery: Delivery;
 }
 
+// Chosen, not measured.
 const SUBMISSION_LIMIT_BYTES = 32 * 1024 * 1024;
 const SMALL_BODY_LIMIT_BYTES = 64 * 1024;
 const submission = new Validator(RolloutSubmissionSchema);
@@ -35,7 +43,7 @@
   parts: TrainerParts,
   exchange: Exchange,
   trainer: ResourceOf<'Trainer'>,
-) => Promise<Result<void, CoordinationError>>;
+) => CoordinationResult<void>;
 
 /** Routes of trainers. */
 export function trainerRoutes(parts: TrainerParts): Route[] {
@@ -54,12 +62,12 @@
   ];
 }
 
-/** A token speaks for one trainer and no other. */
+/** A trainer's token is valid for that trainer alone. */
 async function forOwnTrainer(
   parts: TrainerParts,
   exchange: Exchange,
   handler: TrainerHandler,
-): Promise<Result<void, CoordinationError>> {
+): CoordinationResult<void> {
   const name = exchange.params.trainer ?? '';
   if (exchange.principal.trainer !== name) {
     return err(new CoordinationError('forbidden', 'no', `the token does not speak for trainer ${name}`));
--- a/src/state/resource/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -19,7 +19,7 @@
   resourceKey,
 } from '../../../protocol/resource/resource.js';
 import { StateError } from '../../state-error.js';
-import type { Row, Transaction } from '../tables/index.js';
+import type { Row, StateResult, Transaction } from '../tables/index.js';
 import { scanAll, settle, type Table } from '../tables/index.js';
 
 const HEAD_KEY = 'config/head';
@@ -106,13 +106,13 @@
   constructor(private readonly table: Table) {}
 
   /** The newest committed revision. */
-  async head(): Promise<Result<number, StateError>> {
+  async head(): StateResult<number> {
     const rows = await this.table.read([HEAD_KEY]);
     return rows.map((found) => headRevision(new Map(found.map((row) => [row.key, row]))));
   }
 
   /** Log entries with a revision above `after` and at most `upTo`. */
-  async entries(after: number, upTo: number): Promise<Result<ConfigEntry[], StateError>> {
+  async entries(after: number, upTo: number): StateResult<ConfigEntry[]> {
     const rows = await this.table.scan(
       'config/log/',
       Math.max(1, Math.min(MAX_ENTRIES_READ, upTo - after)),
@@ -121,11 +121,8 @@
     return rows.map((found) => found.map((row) => row.value as ConfigEntry));
   }
 
-  /**
-   * All resources. Rows may be newer than the revision that was read before them; replaying the log from
-   * there makes the view exact.
-   */
-  async snapshot(): Promise<Result<{ revision: number; resources: Resource[] }, StateError>> {
+  /** All resources. Rows may be newer than the revision; replaying the log from there is exact. */
+  async snapshot(): StateResult<{ revision: number; resources: Resource[] }> {
     const head = await this.head();
     if (head.isErr()) return err(head.error);
     const rows = await scanAll(this.table, RESOURCE_PREFIX);
@@ -139,19 +136,13 @@
    * Commits changes as one revision. The same operation ID never commits twice; repeating it, from any node,
    * returns the revision of the first time.
    */
-  async commit(
-    operationId: string,
-    wanted: readonly WantedChange[],
-  ): Promise<Result<CommitOutcome, StateError>> {
+  async commit(operationId: string, wanted: readonly WantedChange[]): StateResult<CommitOutcome> {
     return settle(MAX_COMMIT_ROUNDS, 'the commit could not be settled', () =>
       this.commitOnce(operationId, wanted),
     );
   }
 
-  /**
-   * `undefined` when another writer was first or the answer was lost: the next round reads the operation's
-   * row.
-   */
+  /** `undefined` after a conflict or a lost answer: the next round reads the operation's row. */
   private async commitOnce(
     operationId: string,
     wanted: readonly WantedChange[],
@@ -171,7 +162,7 @@
   }
 
   /** The outcome that a commit would have, without committing. */
-  async preview(wanted: readonly WantedChange[]): Promise<Result<CommitOutcome, StateError>> {
+  async preview(wanted: readonly WantedChange[]): StateResult<CommitOutcome> {
     const rows = await this.readForCommit('preview', wanted);
     if (rows.isErr()) return err(rows.error);
     const planned = await this.plan('preview', wanted, rows.value);
@@ -198,7 +189,7 @@
     operationId: string,
     wanted: readonly WantedChange[],
     rows: ReadonlyMap<string, Row>,
-  ): Promise<Result<Planned, StateError>> {
+  ): StateResult<Planned> {
     const revision = headRevision(rows) + 1;
     const changes: ConfigEntry['changes'] = [];
     const resources: (Resource | null)[] = [];
@@ -228,7 +219,7 @@
   }
 
   /** Rows that keep, for each model, the newest published version, for the staleness check of draws. */
-  private async publishedWrites(changes: ConfigEntry['changes']): Promise<Result<Transaction, StateError>> {
+  private async publishedWrites(changes: ConfigEntry['changes']): StateResult<Transaction> {
     const newest = newestVersions(changes);
     const transaction: Transaction = { conditions: [], writes: [] };
     if (newest.size === 0) return ok(transaction);
--- a/src/state/resource/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -11,10 +11,10 @@
  * Rows: `session/{nodeId}` {session, beat}, `lease/{name}` {holder, session, epoch}, `lease-epoch/{name}`
  * {epoch}.
  */
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
 import { StateError } from '../../state-error.js';
-import type { Row, Table } from '../tables/index.js';
+import type { Row, StateResult, Table } from '../tables/index.js';
 
 interface SessionRow {
   readonly session: string;
@@ -63,9 +63,7 @@
     readonly leaseMs: number,
   ) {}
 
-  /**
-   * Whether the session has certainly not expired. Avoids futile work; safety rests on conditions and fences.
-   */
+  /** Whether the session has certainly not expired. Saves calls; safety rests on conditions and fences. */
   get isValid(): boolean {
     return monotonicMs() - this.renewedAtMs < this.leaseMs;
   }
@@ -78,10 +76,8 @@
     return this.held.get(name);
   }
 
-  /**
-   * Renews the session. After a gap in which it may have expired, leases that were taken over are dropped.
-   */
-  async renew(): Promise<Result<void, StateError>> {
+  /** Renews the session. After a gap in which it may have expired, lost leases are dropped. */
+  async renew(): StateResult<void> {
     const mayHaveExpired = !this.isValid;
     const renewed = await this.writeHeartbeat();
     if (renewed.isErr()) {
@@ -91,7 +87,7 @@
     return mayHaveExpired ? this.dropTakenOver() : renewed;
   }
 
-  private async dropTakenOver(): Promise<Result<void, StateError>> {
+  private async dropTakenOver(): StateResult<void> {
     const rows = await this.table.read([...this.held.keys()].map(leaseKey));
     if (rows.isErr()) return err(rows.error);
     const byKey = new Map(rows.value.map((row) => [row.key, row.value as LeaseRow]));
@@ -102,7 +98,7 @@
     return ok(undefined);
   }
 
-  private async writeHeartbeat(): Promise<Result<void, StateError>> {
+  private async writeHeartbeat(): StateResult<void> {
     const startedAt = monotonicMs();
     const beat = this.beat + 1;
     const value: SessionRow = { session: this.session, beat };
@@ -119,7 +115,7 @@
   }
 
   /** Reads the outcome of a renewal whose answer was lost or whose condition failed. */
-  private async settleRenewal(beat: number, startedAt: number): Promise<Result<void, StateError>> {
+  private async settleRenewal(beat: number, startedAt: number): StateResult<void> {
     const rows = await this.table.read([sessionKey(this.nodeId)]);
     if (rows.isErr()) return err(rows.error);
     const row = rows.value[0];
@@ -138,10 +134,8 @@
     this.renewedAtMs = startedAt;
   }
 
-  /**
-   * Acquires a lease that is free or whose holder's session expired; `undefined` while another node holds it.
-   */
-  async tryAcquire(name: string): Promise<Result<HeldLease | undefined, StateError>> {
+  /** Acquires a lease that is free or whose holder's session expired; else `undefined`. */
+  async tryAcquire(name: string): StateResult<HeldLease | undefined> {
     const known = this.get(name);
     if (known) return ok(known);
     if (!this.isValid) return ok(undefined);
@@ -158,9 +152,7 @@
     return this.take(name, lease, epochRow, expired.value);
   }
 
-  /**
-   * Releases a lease, so that another node need not wait for its expiry. Best effort: otherwise it expires.
-   */
+  /** Releases a lease, so that others need not wait for its expiry. Best effort. */
   async release(lease: HeldLease): Promise<void> {
     this.held.delete(lease.name);
     const rows = await this.table.read([leaseKey(lease.name)]);
@@ -179,12 +171,10 @@
     this.held.delete(name);
   }
 
-  /**
-   * Conditions under which the holder may be replaced; `undefined` while its session may not have expired.
-   */
+  /** Conditions under which the holder may be replaced; `undefined` while it may hold the lease. */
   private async expiryConditions(
     value: LeaseRow | undefined,
-  ): Promise<Result<{ key: string; version: number }[] | undefined, StateError>> {
+  ): StateResult<{ key: string; version: number }[] | undefined> {
     if (!value || value.holder === '') return ok([]);
     const rows = await this.table.read([sessionKey(value.holder)]);
     if (rows.isErr()) return err(rows.error);
@@ -206,7 +196,7 @@
     lease: Row | undefined,
     epochRow: Row | undefined,
     expiryConditions: readonly { key: string; version: number }[],
-  ): Promise<Result<HeldLease | undefined, StateError>> {
+  ): StateResult<HeldLease | undefined> {
     const epoch = ((epochRow?.value as { epoch: number } | undefined)?.epoch ?? 0) + 1;
     const value: LeaseRow = { holder: this.nodeId, session: this.session, epoch };
     const taken = await this.table.transact({
@@ -226,10 +216,7 @@
     return ok(this.hold(name, epoch, (epochRow?.version ?? 0) + 1));
   }
 
-  /**
-   * A lease that this session was found to hold. The rows are read one after the other: both must be of one
-   * epoch.
-   */
+  /** A lease found to be this session's. Its rows are read one by one: both must be of one epoch. */
   private adopt(name: string, epoch: number, epochRow: Row | undefined): HeldLease | undefined {
     const epochValue = epochRow?.value as { epoch: number } | undefined;
     return epochRow && epochValue?.epoch === epoch ? this.hold(name, epoch, epochRow.version) : undefined;
--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -13,7 +13,7 @@
 import type { Batch, DrawRequest, Sample } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
 import { publishedKey, publishedVersion } from '../configuration/index.js';
-import { type Objects, type Row, settle, type Table } from '../tables/index.js';
+import { type Objects, type Row, type StateResult, settle, type Table } from '../tables/index.js';
 import {
   type Candidate,
   cursorClash,
@@ -43,19 +43,14 @@
   readonly discarded: readonly DiscardedSample[];
 }
 
-/**
- * Rounds of a draw or an acknowledgement. Chosen, not measured: a round is lost to each concurrent writer.
- */
+/** Rounds of a draw or an acknowledgement: concurrent writers cost one each. Chosen, not measured. */
 const MAX_ROUNDS = 12;
 /**
  * Samples in a batch. The store takes 100 entries in a transaction and a delivered sample needs three; the
  * rest is for the cursor, the published versions and the rollouts.
  */
 const MAX_SAMPLES_DRAWN = 28;
-/**
- * Ready rows read for each wanted sample, so that a round that discards some can still fill the batch.
- * Chosen.
- */
+/** Ready rows read for each wanted sample, so that discards leave enough. Chosen, not measured. */
 const READY_ROWS_PER_SAMPLE = 2;
 
 /** Draws, redeliveries and acknowledgements. */
@@ -66,7 +61,7 @@
   ) {}
 
   /** Draws a batch. With nothing ready the batch is empty and the cursor stays free. */
-  async draw(terms: DrawTerms, request: DrawRequest): Promise<Result<DrawOutcome, StateError>> {
+  async draw(terms: DrawTerms, request: DrawRequest): StateResult<DrawOutcome> {
     const discarded: DiscardedSample[] = [];
     return settle(MAX_ROUNDS, 'the draw could not be settled', () =>
       this.drawRound(terms, request, discarded),
@@ -93,16 +88,8 @@
     return batch.value && ok({ batch: batch.value, references: row.samples, discarded });
   }
 
-  /**
-   * Acknowledges a batch. Repeating it is harmless. Error `conflict`: it is not the batch that was delivered
-   * last.
-   */
-  async acknowledge(
-    trainer: string,
-    cursor: number,
-    attempt: number,
-    digest: string,
-  ): Promise<Result<void, StateError>> {
+  /** Acknowledges a batch. Repeating it is harmless. Error `conflict`: it is not the last batch. */
+  async acknowledge(trainer: string, cursor: number, attempt: number, digest: string): StateResult<void> {
     return settle(MAX_ROUNDS, 'the acknowledgement could not be settled', () =>
       this.acknowledgeOnce(ledgerKeys.cursor(trainer), { cursor, attempt, digest }),
     );
@@ -145,7 +132,7 @@
     });
   }
 
-  private async readState(terms: DrawTerms, request: DrawRequest): Promise<Result<DrawState, StateError>> {
+  private async readState(terms: DrawTerms, request: DrawRequest): StateResult<DrawState> {
     const cursorKey = ledgerKeys.cursor(terms.trainer);
     const rows = await this.table.read([cursorKey, ...terms.models.map(publishedKey)]);
     return rows.map((found) => {
@@ -205,7 +192,7 @@
     request: DrawRequest,
     state: DrawState,
     redelivered: readonly ReadySample[],
-  ): Promise<Result<Selection, StateError>> {
+  ): StateResult<Selection> {
     const wanted = Math.min(request.maxSamples ?? terms.batchSize, terms.batchSize, MAX_SAMPLES_DRAWN);
     const ready = await this.table.scan(
       ledgerKeys.readyOfTrainer(terms.trainer),
@@ -241,7 +228,7 @@
     terms: DrawTerms,
     request: DrawRequest,
     row: CursorRow,
-  ): Promise<Result<Batch | undefined, StateError>> {
+  ): StateResult<Batch | undefined> {
     const samples = await this.readSamples(row.samples);
     if (samples.isErr()) return err(samples.error);
     const state = await this.readState(terms, request);
@@ -256,7 +243,7 @@
     });
   }
 
-  private async readSamples(references: readonly ReadySample[]): Promise<Result<Sample[], StateError>> {
+  private async readSamples(references: readonly ReadySample[]): StateResult<Sample[]> {
     const names = [...new Set(references.map((one) => one.object))];
     const objects = await Promise.all(names.map((name) => this.objects.get(name)));
     const contents = new Map<string, Sample[]>();
