--- a/src/coordination/service/jobs/result-lister.ts
+++ b/src/coordination/service/jobs/result-lister.ts
@@ -4,7 +4,7 @@
  * A submitter continues only when all groups that it waits for are complete, and it reads about twice a
  * second at most. A result that is listed alone ends a waiting read, and the last one then waits for the next
  * read. So results are gathered, and listed at once when the submitter has what it waits for, or when they
- * are due (docs/design/rounds.md, results together).
+ * are due (docs/design/batch-jobs.md).
  *
  * Relies on the store: a batch that it does not accept is retried until the job is stopped, at the same
  * positions.
--- a/src/coordination/service/membership/session-rules.ts
+++ b/src/coordination/service/membership/session-rules.ts
@@ -4,11 +4,11 @@
  * store all waits grow with it.
  */
 
-/** Interval of a holder's heartbeats. Kept after a trial (docs/design/rounds.md, sooner loss). */
+/** Interval of a holder's heartbeats. Kept after a trial (docs/design/membership-and-time.md). */
 export const HEARTBEAT_MS = 250;
 /**
  * Interval of reads of holders, of nodes with a suspect, and of all nodes of a small fleet. With half of it
- * 400 nodes would use 1,600 of the store's 2,000 reads a second (docs/design/cedarline.md).
+ * 400 nodes would use 1,600 of the store's 2,000 reads a second (docs/design/membership-and-time.md).
  */
 const POLL_MS = 500;
 /** Share of `POLL_MS` by which reads of different nodes are spread. Chosen, not measured. */
--- a/src/coordination/service/requests/request-quarantine.ts
+++ b/src/coordination/service/requests/request-quarantine.ts
@@ -3,7 +3,7 @@
  * crash; the rules of the verdict are in `crash-history.ts`.
  *
  * Owns: the crash history of this node. Relies on the store to share reports with all nodes
- * (docs/design/fatal-requests.md) and to hold them for nodes that start later. It never waits for the store:
+ * (docs/design/retries-hedges-and-quarantine.md) and to hold them for nodes that start later. It never waits for the store:
  * without it a node decides by what it knows, and exchanges reports with peers (`quarantine-exchange.ts`).
  */
 import type { DecisionLogger } from '../../../common/decision-logger.js';
--- a/src/state/service/replicas/crash-history.ts
+++ b/src/state/service/replicas/crash-history.ts
@@ -38,7 +38,7 @@
 const SOLE_SUSPECT_CRASHES = 2;
 /**
  * Quarantine after the last crash, milliseconds. Chosen, not measured. The short one exceeds the restart of
- * replicas, some three seconds on the recorded day (docs/design/fatal-requests.md), and costs a wrong suspect
+ * replicas, some three seconds on the recorded day (docs/design/retries-hedges-and-quarantine.md), and costs a wrong suspect
  * little; the long one bounds the damage, and lets a request run again whose cause was fixed.
  */
 const SHORT_QUARANTINE_MS = 4_000;
--- a/src/state/service/usage/usage-record.ts
+++ b/src/state/service/usage/usage-record.ts
@@ -9,7 +9,7 @@
 /**
  * Partitions of counts, over which nodes are spread, and the one of reports. A partition executes 300 writes
  * a second, one by one: in one with the heartbeats and leases of all nodes, counts would delay these
- * (docs/design/shifted.md).
+ * (docs/design/usage.md).
  */
 export const COUNT_PARTITIONS: readonly string[] = ['usage-0', 'usage-1', 'usage-2', 'usage-3'];
 export const REPORT_PARTITION = 'usage-reports';
--- a/test/docs/pages.test.ts
+++ b/test/docs/pages.test.ts
@@ -69,13 +69,22 @@
     .filter((name) => !new RegExp(`const ${name}\\b`).test(all));
 }
 
+/** Pages that a source file's comments name and that do not exist. */
+function missingPages(source: string): string[] {
+  return [...textOf(source).matchAll(/docs\/[A-Za-z0-9_./-]+\.md/g)]
+    .filter(([page]) => !existsSync(join(ROOT, page)))
+    .map(([page]) => `${source}: ${page}`);
+}
+
 describe('the pages', () => {
   it('name files that exist', () => {
     expect(pages.flatMap(missingFiles)).to.deep.equal([]);
   });
 
-  it('link to pages that exist', () => {
-    expect(pages.flatMap(missingLinks)).to.deep.equal([]);
+  it('link to pages that exist, and so do the comments of the code', () => {
+    expect([...pages.flatMap(missingLinks), ...[...pages, ...sources].flatMap(missingPages)]).to.deep.equal(
+      [],
+    );
   });
 
   it('name in DECISIONS.md functions and constants that exist, each row with a function', () => {
