--- a/src/coordination/feeds/record-feed.ts
+++ b/src/coordination/feeds/record-feed.ts
@@ -129,7 +129,7 @@
     if (canFollow && !isOld) {
       this.isPartial = false;
       this.mayBeOld = true;
-      this.report('read whole');
+      this.report('snapshot read');
       return true;
     }
     return (await this.readKnown(version)) || canFollow;
@@ -162,7 +162,7 @@
     this.handler.replaceAll(read.value.content);
     this.position = read.value.version;
     this.isPartial = false;
-    this.report('read whole');
+    this.report('snapshot read');
   }
 
   /** Returns when the table must be read whole again. */
--- a/src/coordination/service/jobs/job-ownership.ts
+++ b/src/coordination/service/jobs/job-ownership.ts
@@ -162,7 +162,7 @@
   cancelRuns(): void {
     for (const run of this.runs.values()) {
       if (run.isStopped) continue;
-      this.report(run.head, 'given up', 'the store serves other nodes, not this one');
+      this.report(run.head, 'runs cancelled', 'the store serves other nodes, not this one');
       this.cancelled.add(run.head.jobId);
       run.stop();
     }
--- a/src/coordination/service/jobs/ownership-policy.ts
+++ b/src/coordination/service/jobs/ownership-policy.ts
@@ -20,7 +20,7 @@
   isLost: (owner: OwnerReference) => boolean,
 ): string | undefined {
   if (owner === null) return 'handed back';
-  if (owner.node === self.node) return 'my former self';
+  if (owner.node === self.node) return 'held by an earlier process of this node';
   return isLost(owner) ? `${owner.node} is lost` : undefined;
 }
 
--- a/src/coordination/service/membership/peer-configuration.ts
+++ b/src/coordination/service/membership/peer-configuration.ts
@@ -98,7 +98,7 @@
       event: 'belief-changed',
       subject: 'configuration',
       name: 'changes',
-      change: isFollowed ? 'the store reports them' : 'the store has not told of them within their bound',
+      change: isFollowed ? 'followed again' : 'not followed within the bound',
       version: this.services.version(),
     });
   }
@@ -108,7 +108,7 @@
       event: 'belief-changed',
       subject: 'configuration',
       name: `from ${address}`,
-      change: 'brought by another node',
+      change: 'received from another node',
       version: this.services.version(),
     });
   }
--- a/src/coordination/service/membership/replica-announcements.ts
+++ b/src/coordination/service/membership/replica-announcements.ts
@@ -95,7 +95,7 @@
     this.unsettled.delete(replica.id);
     const name = replica.id;
     if (order === 'first') this.report(name, `joined ${replica.service} at ${replica.address}`, version);
-    else if (order === 'next') this.report(name, `started again, born ${replica.startedAtMs}`, version);
+    else if (order === 'next') this.report(name, `restarted, started at ${replica.startedAtMs}`, version);
     else if (before?.isDraining !== replica.isDraining)
       this.report(name, replica.isDraining ? 'draining' : 'no longer draining', version);
   }
@@ -103,7 +103,11 @@
   private awaitConfirmation(replica: Replica, version: number): void {
     this.unsettled.set(replica.id, replica);
     this.services.directory.markUnconfirmed(replica.id);
-    this.report(replica.id, `may be a late word of before, born ${replica.startedAtMs}`, version);
+    this.report(
+      replica.id,
+      `possibly a delayed announcement of an earlier incarnation, started at ${replica.startedAtMs}`,
+      version,
+    );
     void this.settle(replica, version);
   }
 
@@ -116,14 +120,14 @@
     directory.replace(replica);
     this.report(
       replica.id,
-      `started again with an earlier time of day, born ${replica.startedAtMs}`,
+      `restarted with an earlier time of day, started at ${replica.startedAtMs}`,
       version,
     );
   }
 
   private rejectRecord(id: string, problem: string, version: number): void {
     this.services.metrics.unreadableReplicas.inc({});
-    this.report(id, `names no replica: ${problem}`, version);
+    this.report(id, `invalid announcement: ${problem}`, version);
     this.remove(id, 'gone with its record', version);
   }
 
--- a/src/node/service/service-process.ts
+++ b/src/node/service/service-process.ts
@@ -150,7 +150,7 @@
     if (delayMs > LOGGED_PAUSE_MS)
       this.parts.logger.record({
         event: 'process-changed',
-        change: 'stood still',
+        change: 'process paused',
         detail: `${Math.round(delayMs)} ms`,
       });
     const limits = this.parts.node.routing.current?.limits;
--- a/test/coordination/service/jobs/job-policies.test.ts
+++ b/test/coordination/service/jobs/job-policies.test.ts
@@ -48,7 +48,9 @@
     const never = () => false;
     const other = { node: 'node-2', life: 'x' };
     expect(claimReason(null, SELF, never)).to.equal('handed back');
-    expect(claimReason({ node: 'node-1', life: 'old' }, SELF, never)).to.equal('my former self');
+    expect(claimReason({ node: 'node-1', life: 'old' }, SELF, never)).to.equal(
+      'held by an earlier process of this node',
+    );
     expect(claimReason(other, SELF, never)).to.equal(undefined);
     expect(claimReason(other, SELF, () => true)).to.equal('node-2 is lost');
   });
--- a/test/coordination/service/jobs/service-jobs.test.ts
+++ b/test/coordination/service/jobs/service-jobs.test.ts
@@ -145,7 +145,7 @@
     const claimed = await until('the job is claimed', () =>
       next.log.find((record) => record.context.change === 'claimed'),
     );
-    expect(claimed.context.detail).to.equal('my former self');
+    expect(claimed.context.detail).to.equal('held by an earlier process of this node');
     expectWhole(await system.trainer.readAll([next.url], 'job-1', 6), job('job-1'), 40);
   });
 
@@ -179,7 +179,7 @@
     expectWhole(await system.trainer.readAll(urls, 'job-1', 2), job('job-1', { groups: 1 }), 60);
     expect(ownerOf('job-1')).to.equal(owner);
     for (const { log } of nodes)
-      expect(log.some(({ context }) => context.change === 'given up')).to.equal(false);
+      expect(log.some(({ context }) => context.change === 'runs cancelled')).to.equal(false);
   });
 
   /** Waits until each of two nodes knows where the other one is. */
@@ -190,7 +190,7 @@
       ),
     );
 
-  it('is cancelled (given up) by an owner rejected by the store while it serves others: slots are free for the next', async () => {
+  it('is cancelled by an owner rejected by the store while it serves others: slots are free for the next', async () => {
     const engine = await system.addEngine({ events: 60, workMs: 100 });
     await system.addApplication();
     const urls = await startNodes(2);
@@ -200,8 +200,8 @@
     await until('items run', () => engine.running === 2);
     const owner = nodeNamed(ownerOf('job-1'));
     owner.proxy.set('cut');
-    await until('the job is given up', () =>
-      owner.log.some(({ context }) => context.jobId === 'job-1' && context.change === 'given up'),
+    await until('its runs are cancelled', () =>
+      owner.log.some(({ context }) => context.jobId === 'job-1' && context.change === 'runs cancelled'),
     );
     await until('another node owns it', () => ownerOf('job-1') !== owner.name);
     const others = nodes.filter(({ name }) => name !== owner.name).map(({ url }) => url);
@@ -218,8 +218,8 @@
     expect(await system.trainer.submit(urls[0] as string, submitted)).to.equal(202);
     const owner = nodeNamed(ownerOf('job-1'));
     owner.proxy.set('cut');
-    await until('the job is given up', () =>
-      owner.log.some(({ context }) => context.jobId === 'job-1' && context.change === 'given up'),
+    await until('its runs are cancelled', () =>
+      owner.log.some(({ context }) => context.jobId === 'job-1' && context.change === 'runs cancelled'),
     );
     owner.proxy.set('pass');
     expectWhole(await system.trainer.readAll(urls, 'job-1', 2), submitted, 60);
--- a/test/coordination/service/requests/replica-restart.test.ts
+++ b/test/coordination/service/requests/replica-restart.test.ts
@@ -82,7 +82,7 @@
     for (let count = 0; count < 6; count += 1) await lookup();
     slow.workMs = 5;
     await slow.startAgain();
-    await until('the next life is known', () => heard('started again'));
+    await until('the next life is known', () => heard('restarted, started at'));
     const before = slow.received.length;
     await until('it is used like the other', async () => {
       await lookup();
@@ -153,7 +153,7 @@
     await until('it drains', () => heard('draining'));
     const received = leaving.received.length;
     system.store.rows.put(TABLE.replicas, leaving.id, { ...before, born: leaving.bornMs - 5 });
-    await until('the late record is heard of', () => heard('may be a late word of before'));
+    await until('the late record is heard of', () => heard('possibly a delayed announcement'));
     for (let count = 0; count < 20; count += 1) expect((await lookup())?.status).to.equal(200);
     expect(leaving.received.length).to.equal(received);
     expect(staying.received.length).to.be.greaterThan(0);
@@ -182,7 +182,7 @@
     const deep = fc.sample(fc.json({ maxDepth: 8 }), { numRuns: 40, seed: SEED });
     for (const [at, text] of deep.entries())
       rows.put(TABLE.replicas, `drawn-${at}`, JSON.parse(text) as object);
-    await until('they are heard of', () => heard('names no replica'));
+    await until('they are heard of', () => heard('invalid announcement'));
     for (let count = 0; count < 30; count += 1) expect((await lookup())?.status).to.equal(200);
     expect(strange.received).to.have.length(0);
     expect(replica.received.length).to.be.at.least(30);
