--- a/src/coordination/resource/membership/node-registry.ts
+++ b/src/coordination/resource/membership/node-registry.ts
@@ -41,7 +41,7 @@
   readonly table = NODE_TABLE;
   private readonly nodes = new Map<string, Observed>();
   private readonly feed: RecordFeed<readonly StoredRecord[]>;
-  private beat = 0;
+  private heartbeat = 0;
   private answeredAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -133,8 +133,8 @@
 
   private async heartbeatLoop(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.beat += 1;
-      const value = Buffer.from(JSON.stringify({ record: this.own, beat: this.beat }), 'utf8');
+      this.heartbeat += 1;
+      const value = Buffer.from(JSON.stringify({ record: this.own, beat: this.heartbeat }), 'utf8');
       await this.store.transact({ conditions: [], writes: [{ ...this.address, value }], removals: [] });
       await sleep(this.options.beatMs, signal);
     }
--- a/src/coordination/resource/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -48,8 +48,8 @@
 
 /**
  * Headers of one connection, and those that this node sets itself. Those of the platform's interface differ
- * (`platform/ingress.ts`): it drops what the `Connection` header lists, and forwards the caller's key where
- * no tenants are declared; here the bearer token is this node's own and is never forwarded.
+ * (`platform/route-ingress.ts`): it drops what the `Connection` header lists, and forwards the caller's key
+ * where no tenants are declared; here the bearer token is this node's own and is never forwarded.
  */
 const HOP_HEADERS = new Set([
   'connection',
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -67,7 +67,7 @@
 /** One generation in progress. */
 interface Run {
   readonly context: RequestContext;
-  readonly order: GenerationRequest;
+  readonly request: GenerationRequest;
   readonly transcript: EventTranscript;
   /** Engines at which an attempt failed. */
   readonly excluded: Set<string>;
@@ -91,10 +91,10 @@
    */
   async generate(
     context: RequestContext,
-    order: GenerationRequest,
+    request: GenerationRequest,
     sink: EventSink,
   ): CoordinationResult<EventTranscript> {
-    const run: Run = { context, order, transcript: new EventTranscript(), excluded: new Set() };
+    const run: Run = { context, request, transcript: new EventTranscript(), excluded: new Set() };
     let lastFailure: CoordinationError | undefined;
     for (let count = 0; count < MAX_DISPATCHES; count += 1) {
       if (context.signal.aborted) return err(this.abandoned(context, run.transcript));
@@ -114,17 +114,17 @@
 
   /** Chooses an engine and opens a stream that resumes after the transcript. */
   private async dispatch(run: Run): Promise<Result<Dispatch, DispatchFailure>> {
-    const { context, order, transcript } = run;
-    const open = this.gate.check(order.service);
+    const { context, request, transcript } = run;
+    const open = this.gate.check(request.service);
     if (open.isErr()) return err({ mayRetry: false, failure: open.error });
     const resume = readResume(transcript);
     if (resume.isErr()) return err({ mayRetry: false, failure: resume.error });
-    const minVersion = order.minVersion?.();
+    const minVersion = request.minVersion?.();
     const route = this.choose(run, minVersion);
     if (route.isErr()) return err({ mayRetry: false, failure: route.error });
     const { backend, release } = route.value;
-    const request = engineRequest(context, order, resume.value, minVersion);
-    const started = await this.engines.generate(backend.declaration.spec.address, request, context.signal);
+    const body = engineRequest(context, request, resume.value, minVersion);
+    const started = await this.engines.generate(backend.declaration.spec.address, body, context.signal);
     if (started.isErr()) {
       release();
       return err(this.noteFailedDispatch(run, backend, started.error));
@@ -133,9 +133,9 @@
     return ok({ stream: started.value, backend, release });
   }
 
-  private choose({ context, order, excluded }: Run, minVersion: number | undefined) {
-    const route = this.router.choose({ ...routeQuery(order, excluded), minVersion });
-    const subjects = subjectsOf(context, order);
+  private choose({ context, request, excluded }: Run, minVersion: number | undefined) {
+    const route = this.router.choose({ ...routeQuery(request, excluded), minVersion });
+    const subjects = subjectsOf(context, request);
     if (route.isErr()) {
       const { reason, inputs } = route.error;
       this.decisions.record({ kind: 'refuse', subjects, choice: 'none', reason, inputs });
@@ -158,11 +158,11 @@
     { stream, backend, release }: Dispatch,
     sink: EventSink,
   ): Promise<Result<void, DispatchFailure>> {
-    const { context, order, transcript } = run;
+    const { context, request, transcript } = run;
     const end = await this.relay(stream, transcript, sink).finally(release);
     if (end === 'complete') {
       backend.noteSuccess();
-      this.metrics.attempts.inc({ service: order.service.metadata.name, outcome: 'complete' });
+      this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'complete' });
       return ok(undefined);
     }
     if (end === 'receiver-gone' || context.signal.aborted) {
@@ -175,14 +175,14 @@
   }
 
   private noteFailedDispatch(run: Run, backend: BackendEntry, error: ProtocolError): DispatchFailure {
-    const { context, order, excluded } = run;
-    this.metrics.attempts.inc({ service: order.service.metadata.name, outcome: error.failure });
+    const { context, request, excluded } = run;
+    this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: error.failure });
     if (context.signal.aborted) return { mayRetry: false, failure: this.abandoned(context) };
     if (error.failure !== 'refused') backend.noteFailure(error.message);
     excluded.add(backend.name);
     this.decisions.record({
       kind: 'retry',
-      subjects: subjectsOf(context, order),
+      subjects: subjectsOf(context, request),
       choice: 'another engine',
       reason: error.failure,
       inputs: { note: `${backend.name}: ${error.message}` },
@@ -210,14 +210,14 @@
     return transcript.isComplete ? 'complete' : 'cut';
   }
 
-  private noteCut({ context, order, transcript, excluded }: Run, backend: BackendEntry): void {
+  private noteCut({ context, request, transcript, excluded }: Run, backend: BackendEntry): void {
     backend.noteFailure('stream cut');
     excluded.add(backend.name);
-    this.metrics.attempts.inc({ service: order.service.metadata.name, outcome: 'cut' });
+    this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'cut' });
     if (!transcript.isEmpty) this.metrics.resumes.inc();
     this.decisions.record({
       kind: 'resume',
-      subjects: subjectsOf(context, order),
+      subjects: subjectsOf(context, request),
       choice: 'another engine',
       reason: 'stream-cut',
       inputs: { note: `${backend.name} ended without an end marker` },
@@ -233,12 +233,12 @@
   }
 }
 
-function subjectsOf(context: RequestContext, order: GenerationRequest): string[] {
-  return [context.requestId, ...order.subjects];
+function subjectsOf(context: RequestContext, request: GenerationRequest): string[] {
+  return [context.requestId, ...request.subjects];
 }
 
-function routeQuery(order: GenerationRequest, excluded: ReadonlySet<string>): RouteQuery {
-  const { service, model, residency, preferNewest } = order;
+function routeQuery(request: GenerationRequest, excluded: ReadonlySet<string>): RouteQuery {
+  const { service, model, residency, preferNewest } = request;
   return { service, model, residency, preferNewest, excluded };
 }
 
@@ -251,18 +251,18 @@
 
 function engineRequest(
   context: RequestContext,
-  order: GenerationRequest,
+  request: GenerationRequest,
   resume: EngineRequest['resume'],
   minVersion: number | undefined,
 ): EngineRequest {
   return {
     request_id: context.requestId,
-    model: order.model,
-    prompt: order.prompt,
-    max_tokens: order.maxTokens,
-    priority: order.priority,
-    seed: order.seed,
-    ...(order.eventTokens !== undefined ? { event_tokens: order.eventTokens } : {}),
+    model: request.model,
+    prompt: request.prompt,
+    max_tokens: request.maxTokens,
+    priority: request.priority,
+    seed: request.seed,
+    ...(request.eventTokens !== undefined ? { event_tokens: request.eventTokens } : {}),
     ...(resume ? { resume } : {}),
     ...(minVersion !== undefined ? { min_version: minVersion } : {}),
   };
--- a/src/node/resource/api/api-server.ts
+++ b/src/node/resource/api/api-server.ts
@@ -79,11 +79,11 @@
     response.once('close', () => this.count(route, response, startedAt));
     const principal = this.authorize(route, request);
     if (principal instanceof CoordinationError) {
-      this.refuse(response, principal, requestId);
+      this.reject(response, principal, requestId);
       return;
     }
     if (route.isWork && this.parts.isLeaving()) {
-      this.refuse(
+      this.reject(
         response,
         new CoordinationError('leaving', 'no', 'this node is leaving', LEAVING_RETRY_MS),
         requestId,
@@ -109,7 +109,7 @@
 
   private async handle(route: Route, exchange: Exchange): Promise<void> {
     const outcome = await route.handler(exchange);
-    if (outcome.isErr()) this.refuse(exchange.response, outcome.error, exchange.requestId);
+    if (outcome.isErr()) this.reject(exchange.response, outcome.error, exchange.requestId);
   }
 
   private authorize(route: Route, request: IncomingMessage): Principal | CoordinationError {
@@ -120,7 +120,7 @@
     return new CoordinationError('forbidden', 'no', `one of the roles ${route.roles.join(', ')} is required`);
   }
 
-  private refuse(response: ServerResponse, error: CoordinationError, requestId: string): void {
+  private reject(response: ServerResponse, error: CoordinationError, requestId: string): void {
     this.parts.metrics.refusals.inc({ code: error.code });
     sendProblem(response, error, requestId);
   }
@@ -147,7 +147,7 @@
   private async answerNotFound(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const requestId = newRequestId(this.parts.nodeId);
     const message = `nothing answers ${request.method} ${toUrl(request).pathname}`;
-    this.refuse(response, new CoordinationError('not-found', 'no', message), requestId);
+    this.reject(response, new CoordinationError('not-found', 'no', message), requestId);
   }
 
   private answerFailed(cause: unknown, request: IncomingMessage, response: ServerResponse): void {
@@ -157,7 +157,7 @@
     });
     const error = new CoordinationError('internal', 'unknown', 'the node failed to handle the request');
     if (response.headersSent) response.destroy();
-    else this.refuse(response, error, newRequestId(this.parts.nodeId));
+    else this.reject(response, error, newRequestId(this.parts.nodeId));
   }
 }
 
--- a/src/node/resource/api/caller-routes.ts
+++ b/src/node/resource/api/caller-routes.ts
@@ -73,20 +73,20 @@
 ): CoordinationResult<T> {
   const open = parts.gate.check(service);
   if (open.isErr()) {
-    noteRefusal(parts.decisions, exchange.requestId, open.error);
+    noteRejection(parts.decisions, exchange.requestId, open.error);
     return err(open.error);
   }
   const { identity } = exchange.principal;
   const reached = parts.limits.admit(service, identity);
   if (reached) {
-    const refusal = new CoordinationError(
+    const rejection = new CoordinationError(
       'overloaded',
       'no',
       `${reached} of ${service.metadata.name}`,
       OVERLOAD_RETRY_MS,
     );
-    noteRefusal(parts.decisions, exchange.requestId, refusal);
-    return err(refusal);
+    noteRejection(parts.decisions, exchange.requestId, rejection);
+    return err(rejection);
   }
   try {
     return await work();
@@ -96,7 +96,7 @@
 }
 
 /** Records why a request was rejected. */
-export function noteRefusal(decisions: DecisionLog, requestId: string, error: CoordinationError): void {
+export function noteRejection(decisions: DecisionLog, requestId: string, error: CoordinationError): void {
   decisions.record({
     kind: 'refuse',
     subjects: [requestId],
@@ -156,7 +156,7 @@
   const outcome = isKeyed
     ? await relayKeyed(parts, exchange, context, request, String(key))
     : await relayUnkeyed(parts, exchange, context, request);
-  if (outcome.isErr()) noteRefusal(parts.decisions, exchange.requestId, outcome.error);
+  if (outcome.isErr()) noteRejection(parts.decisions, exchange.requestId, outcome.error);
   return outcome;
 }
 
--- a/src/node/resource/api/completion-routes.ts
+++ b/src/node/resource/api/completion-routes.ts
@@ -19,7 +19,7 @@
 import { sendJson } from '../../../transport/http-server.js';
 import { writeChunk } from '../../../transport/stream-write.js';
 import type { Route } from './api-server.js';
-import { type CallerParts, contextOf, noteRefusal, withinLimits } from './caller-routes.js';
+import { type CallerParts, contextOf, noteRejection, withinLimits } from './caller-routes.js';
 import { type Exchange, InvalidRequestError, readJson, toProblem } from './exchange.js';
 
 /** Dependencies of the routes. */
@@ -63,15 +63,15 @@
   if (body.isErr()) return err(body.error);
   const prompt = promptOf(exchange, body.value);
   if (prompt.isErr()) return err(prompt.error);
-  const order = generationOf(parts, body.value, prompt.value);
-  if (order.isErr()) return err(order.error);
-  const { service } = order.value;
+  const request = generationOf(parts, body.value, prompt.value);
+  if (request.isErr()) return err(request.error);
+  const { service } = request.value;
   const context = contextOf(exchange, service.spec.limits?.timeoutMs ?? DEFAULT_TIMEOUT_MS);
   if (context.isErr()) return err(context.error);
   const run = body.value.stream === true ? streamed : buffered;
   return withinLimits(parts, exchange, service, async () => {
-    const outcome = await run(parts, exchange, context.value, order.value);
-    if (outcome.isErr()) noteRefusal(parts.decisions, exchange.requestId, outcome.error);
+    const outcome = await run(parts, exchange, context.value, request.value);
+    if (outcome.isErr()) noteRejection(parts.decisions, exchange.requestId, outcome.error);
     return outcome;
   });
 }
@@ -106,10 +106,10 @@
   parts: CompletionParts,
   exchange: Exchange,
   context: RequestContext,
-  order: GenerationRequest,
+  request: GenerationRequest,
 ): CoordinationResult<void> {
   const { response, requestId } = exchange;
-  const generated = await parts.generator.generate(context, order, async (events) => {
+  const generated = await parts.generator.generate(context, request, async (events) => {
     if (!response.headersSent) {
       response.writeHead(200, { 'content-type': 'text/event-stream', [REQUEST_ID_HEADER]: requestId });
     }
@@ -120,7 +120,7 @@
     return ok(undefined);
   }
   if (!response.headersSent) return err(generated.error);
-  noteRefusal(parts.decisions, requestId, generated.error);
+  noteRejection(parts.decisions, requestId, generated.error);
   response.end(`event: error\ndata: ${JSON.stringify({ error: toProblem(generated.error, requestId) })}\n\n`);
   return ok(undefined);
 }
@@ -129,16 +129,20 @@
   parts: CompletionParts,
   exchange: Exchange,
   context: RequestContext,
-  order: GenerationRequest,
+  request: GenerationRequest,
 ): CoordinationResult<void> {
-  const generated = await parts.generator.generate(context, order, async () => !exchange.response.destroyed);
+  const generated = await parts.generator.generate(
+    context,
+    request,
+    async () => !exchange.response.destroyed,
+  );
   if (generated.isErr()) return err(generated.error);
-  return sendBuffered(exchange, order, generated.value);
+  return sendBuffered(exchange, request, generated.value);
 }
 
 function sendBuffered(
   exchange: Exchange,
-  order: GenerationRequest,
+  request: GenerationRequest,
   transcript: EventTranscript,
 ): Result<void, CoordinationError> {
   const read = transcript.read();
@@ -152,7 +156,7 @@
     {
       id: exchange.requestId,
       object: isChat ? 'chat.completion' : 'text_completion',
-      model: order.model,
+      model: request.model,
       choices: [{ index: 0, ...choice, finish_reason: finishReason }],
       usage: { completion_tokens: tokens },
       segments,
--- a/src/state/resource/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -52,7 +52,7 @@
   private readonly held = new Map<string, HeldLease>();
   private readonly observations = new Map<string, Observation>();
   private sessionVersion = 0;
-  private beat = 0;
+  private heartbeat = 0;
   private renewedAtMs = Number.NEGATIVE_INFINITY;
 
   /** `leaseMs`: time without a heartbeat after which others may acquire a holder's leases, milliseconds. */
@@ -100,37 +100,37 @@
 
   private async writeHeartbeat(): StateResult<void> {
     const startedAt = monotonicMs();
-    const beat = this.beat + 1;
-    const value: SessionRow = { session: this.session, beat };
+    const heartbeat = this.heartbeat + 1;
+    const value: SessionRow = { session: this.session, beat: heartbeat };
     const written = await this.table.transact({
       conditions: [{ key: sessionKey(this.nodeId), version: this.sessionVersion }],
       writes: [{ key: sessionKey(this.nodeId), value }],
     });
     if (written.isOk() && written.value.committed) {
-      this.noteRenewed(this.sessionVersion + 1, beat, startedAt);
+      this.noteRenewed(this.sessionVersion + 1, heartbeat, startedAt);
       return ok(undefined);
     }
     if (written.isErr() && written.error.effect === 'none') return err(written.error);
-    return this.settleRenewal(beat, startedAt);
+    return this.settleRenewal(heartbeat, startedAt);
   }
 
   /** Reads the outcome of a renewal whose answer was lost or whose condition failed. */
-  private async settleRenewal(beat: number, startedAt: number): StateResult<void> {
+  private async settleRenewal(heartbeat: number, startedAt: number): StateResult<void> {
     const rows = await this.table.read([sessionKey(this.nodeId)]);
     if (rows.isErr()) return err(rows.error);
     const row = rows.value[0];
     const value = row?.value as SessionRow | undefined;
     this.sessionVersion = row?.version ?? 0;
-    if (value?.session === this.session && value.beat === beat) {
-      this.noteRenewed(this.sessionVersion, beat, startedAt);
+    if (value?.session === this.session && value.beat === heartbeat) {
+      this.noteRenewed(this.sessionVersion, heartbeat, startedAt);
       return ok(undefined);
     }
     return err(new StateError('conflict', 'none', 'the session row was written by another one'));
   }
 
-  private noteRenewed(version: number, beat: number, startedAt: number): void {
+  private noteRenewed(version: number, heartbeat: number, startedAt: number): void {
     this.sessionVersion = version;
-    this.beat = beat;
+    this.heartbeat = heartbeat;
     this.renewedAtMs = startedAt;
   }
 
--- a/test/cli/job-timeline.test.ts
+++ b/test/cli/job-timeline.test.ts
@@ -78,7 +78,7 @@
 }
 
 describe('timelines of jobs', () => {
-  it('tell when parts of the items and of the wanted groups were whole', () => {
+  it('report when shares of the items and of the wanted groups were complete', () => {
     const job = only(LINES);
     expect(job.acceptedAtMs).to.equal(ACCEPTED_MS);
     expect([job.firstStartMs, job.lastStartMs]).to.deep.equal([50, 1_250]);
@@ -87,7 +87,7 @@
     expect([job.declined, job.owners, job.endedMs]).to.deep.equal([1, 1, 4_000]);
   });
 
-  it('tell what the last item of the last wanted group waited for', () => {
+  it('report what the last item of the last wanted group waited for', () => {
     expect(only(LINES).lastWanted).to.deep.include({
       id: 'a2',
       waits: { queueMs: 250, declinedMs: 0, brokenMs: 1_000, runMs: 1_800, scoringMs: 50, listingMs: 30 },
@@ -100,7 +100,7 @@
     expect(job.inFlightByReplica.r1).to.deep.equal([1, 1, 0]);
   });
 
-  it('tell the idle time of a trainer and the staleness of its samples', () => {
+  it('report the idle time of a trainer and the staleness of its samples', () => {
     const [trainer] = timelineOf(LINES).trainers;
     expect(trainer).to.deep.include({ model: 'm', jobs: 1, medianWantedMs: 3_130, medianIdleMs: 4_000 });
     expect(trainer?.staleness).to.be.closeTo(1 / 3, 1e-9);
@@ -125,7 +125,7 @@
     expect(second?.lastWanted?.group).to.equal('a');
   });
 
-  it('take the clock of the first owner when a job had several', () => {
+  it('use the clock of the first owner when a job had several', () => {
     const job = only([...LINES, planned(2_000)]);
     expect([job.owners, job.acceptedAtMs]).to.deep.equal([2, ACCEPTED_MS]);
   });
--- a/test/coordination/resource/configuration/configuration.test.ts
+++ b/test/coordination/resource/configuration/configuration.test.ts
@@ -35,7 +35,7 @@
     }
   });
 
-  it('is never acted on in an old form by a node that was paused', async () => {
+  it('is never used in an old revision by a node whose process was paused', async () => {
     node(C).process.child.kill('SIGSTOP');
     (await drain(A, true))._unsafeUnwrap();
     await until('the paused node is taken for dead', async () => {
@@ -50,7 +50,7 @@
     }
   });
 
-  it('is accepted once it is committed, and nodes that the store cannot reach refuse instead of acting on the old one', async () => {
+  it('is accepted once it is committed; nodes that do not reach the store reject work instead of using the old one', async () => {
     system.isolate(node(A));
     for (const index of [B, C]) node(index).platformProxy.set('cut');
     (await drain(A, true))._unsafeUnwrap();
@@ -89,7 +89,7 @@
     }
   });
 
-  it('keeps a cut-off node without the table from taking work, and it says that nothing was run', async () => {
+  it('expires at a partitioned node, which rejects work as not run', async () => {
     system.isolate(node(C));
     node(C).platformProxy.set('cut');
     const refusal = await until('the node refuses', async () => {
@@ -129,7 +129,7 @@
     expect((await call(C)).json.code).to.equal('no-backend');
   });
 
-  it('is committed once although answers of the table are lost, and a repeat of the operation tells its revision', async () => {
+  it('is committed once although responses of the store are lost, and a repeat of the operation returns its revision', async () => {
     await system.control(system.platformAddress, '/control/table/faults', { loseAnswers: 6 });
     const operationId = uniqueId();
     const manifest = {
--- a/test/coordination/resource/requests/at-most-once.test.ts
+++ b/test/coordination/resource/requests/at-most-once.test.ts
@@ -27,7 +27,7 @@
     );
   });
 
-  it('are not sent again when the answer was lost, and the caller is told that the outcome is unknown', async () => {
+  it('are not dispatched again when the response was lost; the caller gets outcome-unknown', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { loseAnswers: 1 });
     const workId = uniqueId();
@@ -38,7 +38,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('are sent to another back end when the first one certainly received nothing', async () => {
+  it('are dispatched to another back end when the first one certainly received nothing', async () => {
     const [refusing] = system.applications as [SystemBackend];
     await system.control(refusing.direct, '/control/faults', { refuse: true });
     for (let count = 0; count < 8; count += 1) {
@@ -48,7 +48,7 @@
     }
   });
 
-  it('have not run when the refusal says so', async () => {
+  it('have not run when the rejection says so', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { refuse: true });
     const workId = uniqueId();
@@ -58,7 +58,7 @@
     expect((await system.runs())[workId]).to.equal(undefined);
   });
 
-  it('run once under an Idempotency-Key whichever node repeats them, and get the recorded answer', async () => {
+  it('run once under an Idempotency-Key through any node, and repeats get the recorded response', async () => {
     const workId = uniqueId();
     const key = { 'idempotency-key': workId };
     const answer = (await system.callApplication(first, workId, key))._unsafeUnwrap();
@@ -71,7 +71,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('run once under a key when the answer was lost, and every repeat is told that the outcome is unknown', async () => {
+  it('run once under a key when the response was lost; every repeat gets outcome-unknown', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { loseAnswers: 1 });
     const workId = uniqueId();
@@ -108,7 +108,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('are refused as not run under a key while the table is away, and go on without one', async () => {
+  it('are rejected as not run under a key while the store is not reachable, and run without a key', async () => {
     first.platformProxy.set('cut');
     const keyed = uniqueId();
     const answer = (await system.callApplication(first, keyed, { 'idempotency-key': keyed }))._unsafeUnwrap();
@@ -123,7 +123,7 @@
     expect((await system.runs())[unkeyed]).to.equal(1);
   });
 
-  it('refuse a key that was used for another request', async () => {
+  it('are rejected with a key that was used for another request', async () => {
     const workId = uniqueId();
     await system.callApplication(first, workId, { 'idempotency-key': workId });
     const other = uniqueId();
--- a/test/coordination/resource/requests/callers.test.ts
+++ b/test/coordination/resource/requests/callers.test.ts
@@ -41,7 +41,7 @@
   const setWork = (workMs: number) => system.control(application.direct, '/control/faults', { workMs });
   const authorization = `Bearer ${EMULATOR_TOKENS.caller}`;
 
-  it('get their final answer when their deadline has passed, and it does not claim that nothing ran', async () => {
+  it('get their final response at the deadline, and it does not claim that nothing ran', async () => {
     await setWork(60_000);
     const answer = (
       await system.callApplication(first, uniqueId(), { 'x-request-timeout-ms': '300' })
@@ -50,7 +50,7 @@
     expect(answer.json).to.include({ code: 'deadline-passed', executed: 'unknown' });
   });
 
-  it('that name a deadline which is not a number are told so', async () => {
+  it('with a deadline that is not a number get the field in the error', async () => {
     const answer = (
       await system.callApplication(first, uniqueId(), { 'x-request-timeout-ms': 'soon' })
     )._unsafeUnwrap();
@@ -58,7 +58,7 @@
     expect(JSON.stringify(answer.json.fields)).to.contain('x-request-timeout-ms');
   });
 
-  it('that leave cancel the generation behind them', async () => {
+  it('that disconnect cancel their generation', async () => {
     const engines = new EngineClient(system.client);
     const running = async () => (await engines.state(engine.direct))._unsafeUnwrap().running;
     const leave = new AbortController();
@@ -77,7 +77,7 @@
     await until('the engine has stopped', async () => (await running()) === 0);
   });
 
-  it('beyond their limit are refused at once with when to come back, and the others are served', async () => {
+  it('beyond their limit are rejected at once with Retry-After, and the others are served', async () => {
     await setWork(1_500);
     const answers = await Promise.all(
       Array.from({ length: LIMIT + 2 }, () => system.callApplication(first, uniqueId())),
@@ -89,7 +89,7 @@
     expect(Number(refused?.headers['retry-after'])).to.be.at.least(1);
   });
 
-  it('can have a refusal explained through another node, also after the node that refused was killed', async () => {
+  it('get a rejection explained through another node, even after the rejecting node was killed', async () => {
     (
       await system.operator(first).patch('Backend', application.name, { spec: { draining: true } })
     )._unsafeUnwrap();
@@ -117,7 +117,7 @@
     expect(await until('the flushed decision is found', explain)).to.contain('"reason":"draining"');
   });
 
-  it('that are trainers may ask about their own samples and nobody else’s', async () => {
+  it('that are trainers may read decisions about their own samples only', async () => {
     const explain = (subject: string) =>
       system.client.exchange({
         method: 'GET',
--- a/test/coordination/resource/requests/drain.test.ts
+++ b/test/coordination/resource/requests/drain.test.ts
@@ -10,7 +10,7 @@
 
 const CALLS = 20;
 
-describe('leaving back ends', () => {
+describe('draining back ends', () => {
   const system = new TestSystem({ nodes: 3, engines: 2, applications: 2 });
   let node: SystemNode;
 
@@ -30,7 +30,7 @@
     return names;
   }
 
-  it('receive nothing new once the drain is accepted, and explain says why', async () => {
+  it('receive no new requests once the drain is accepted, and explain shows the reason', async () => {
     const operator = system.operator(node);
     (
       await operator.patch('Backend', 'app-0', { spec: { draining: true, drainReason: 'disk swap' } })
@@ -47,7 +47,7 @@
     await until('it is in use again', async () => (await answeredBy(node)).has('app-0'));
   });
 
-  it('receive nothing new once their machine is listed as leaving', async () => {
+  it('receive no new requests once their machine is listed as leaving', async () => {
     const machine = { name: 'm-app-1', zone: 'zone-a', state: 'leaving' };
     await system.control(system.platformAddress, '/control/machines', machine);
     for (const one of system.nodes)
@@ -56,7 +56,7 @@
     await until('it is in use again', async () => (await answeredBy(node)).has('app-1'));
   });
 
-  it('that are engines refuse new work themselves by a fenced order', async () => {
+  it('that are engines reject new requests themselves by a fenced command', async () => {
     (await system.operator(node).patch('Backend', 'engine-0', { spec: { draining: true } }))._unsafeUnwrap();
     const engines = new EngineClient(system.client);
     const [engine] = system.engines as [SystemBackend];
@@ -73,7 +73,7 @@
     (await system.operator(node).patch('Backend', 'engine-0', { spec: { draining: null } }))._unsafeUnwrap();
   });
 
-  it('receive nothing from a node that was paused while they were drained', async () => {
+  it('receive nothing from a node whose process was paused while they were drained', async () => {
     const paused = system.nodes[1] as SystemNode;
     expect((await answeredBy(paused)).has('app-0')).to.equal(true);
     paused.process.child.kill('SIGSTOP');
@@ -109,7 +109,7 @@
   });
   after(() => system.stop());
 
-  it('lets a long stream end, refuses new work as not run, hands its duties over, and ends with code 0', async () => {
+  it('lets a long stream end, rejects new work as not run, releases its leases, and ends with code 0', async () => {
     const sent = await system.client.send({
       method: 'POST',
       url: `${node.address}/v1/completions`,
--- a/test/coordination/resource/requests/request-context.test.ts
+++ b/test/coordination/resource/requests/request-context.test.ts
@@ -22,7 +22,7 @@
     deadlineMs: monotonicMs() + LATER_MS,
   });
 
-  it('has passed when its timer has gone off, also before its time', async () => {
+  it('has passed when its timer fired, even early', async () => {
     const signal = AbortSignal.any([new AbortController().signal, AbortSignal.timeout(1)]);
     const context = contextOf(signal);
     expect(isPastDeadline(context)).to.equal(false);
@@ -30,7 +30,7 @@
     expect(isPastDeadline(context)).to.equal(true);
   });
 
-  it('has not passed when the caller has gone', () => {
+  it('has not passed when the caller disconnected', () => {
     const caller = new AbortController();
     const context = contextOf(AbortSignal.any([caller.signal, AbortSignal.timeout(LATER_MS)]));
     caller.abort();
--- a/test/coordination/resource/rollouts/event-transcript.test.ts
+++ b/test/coordination/resource/rollouts/event-transcript.test.ts
@@ -49,7 +49,7 @@
     );
   });
 
-  it('goes on in another engine from the last whole event, and the half event before is dropped', () => {
+  it('resumes at another engine after the last whole event, and the partial one is dropped', () => {
     const transcript = new EventTranscript();
     transcript.beginPart('e1');
     transcript.append(Buffer.from(`${event('a', 1, 1)}data: {"id":`));
--- a/test/coordination/resource/rollouts/exactly-once.test.ts
+++ b/test/coordination/resource/rollouts/exactly-once.test.ts
@@ -69,7 +69,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('holds when the owner is paused beyond its lease and goes on unaware', async () => {
+  it('holds when the owner is paused beyond its lease and resumes unaware', async () => {
     const running = trainer(3).run();
     const paused = await owner();
     await sleep(200);
@@ -79,7 +79,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('holds when answers of the table service are lost after they took effect', async () => {
+  it('holds when responses of the store are lost after the writes took effect', async () => {
     const running = trainer(3).run();
     for (let round = 0; round < 12; round += 1) {
       await system.control(system.platformAddress, '/control/table/faults', { loseAnswers: 4 });
@@ -89,7 +89,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('holds when the platform is down, then slow, in the middle of a step', async () => {
+  it('holds when the store is down, then slow, in the middle of a step', async () => {
     const running = trainer(3).run();
     await owner();
     const set = (faults: object) =>
--- a/test/coordination/resource/singleton-tasks/singleton-tasks.test.ts
+++ b/test/coordination/resource/singleton-tasks/singleton-tasks.test.ts
@@ -6,7 +6,7 @@
 
 const SHARDS = 12;
 
-describe('duties', () => {
+describe('singleton tasks', () => {
   const system = new TestSystem({
     nodes: 1,
     engines: 1,
@@ -33,7 +33,7 @@
     });
   });
 
-  it('go on after the move', async () => {
+  it('continue after the move', async () => {
     const [node] = system.nodes as [(typeof system.nodes)[0]];
     const submission = {
       rolloutId: 'r',
--- a/test/coordination/resource/weights/staleness.test.ts
+++ b/test/coordination/resource/weights/staleness.test.ts
@@ -66,7 +66,7 @@
     expect(explained.summary).to.contain('discarded: version 1');
   });
 
-  it('voids a batch that became too old between two answers, and mints a new attempt of its cursor', async () => {
+  it('voids a batch that became too old between two deliveries, and creates a new attempt of its cursor', async () => {
     await submit('redelivered', 4);
     await allReady('redelivered', 4);
     const lost = await drawSamples(first, 2);
--- a/test/coordination/resource/weights/weights.test.ts
+++ b/test/coordination/resource/weights/weights.test.ts
@@ -75,7 +75,7 @@
     await untilAllAt(2);
   });
 
-  it('are named token by token when they change in the middle of a sample', async () => {
+  it('are reported per token when they change in the middle of a sample', async () => {
     await system.trainer(node).submit({
       rolloutId: 'swapped',
       model: EMULATOR_MODEL,
@@ -96,7 +96,7 @@
     await untilAllAt(3);
   });
 
-  it('that mix after a failed swap take the engine out of use until it reports one version', async () => {
+  it('that differ between shards after a failed load quarantine the engine until it reports one', async () => {
     const [failing] = system.engines as [SystemBackend];
     await system.control(failing.direct, '/control/fail-swaps', { count: 2 });
     await publish(4);
@@ -116,7 +116,7 @@
     });
   });
 
-  it('are not changed by an order whose fence is too low', async () => {
+  it('are not changed by a command whose fence is too low', async () => {
     const [engine] = system.engines as [SystemBackend];
     const order = { fence: 0, order: 'load' as const, model: EMULATOR_MODEL, version: 1, object: 'w/1' };
     const refused = await engines.order(engine.direct, order);
--- a/test/node/resource/full-path.test.ts
+++ b/test/node/resource/full-path.test.ts
@@ -18,7 +18,7 @@
   });
   after(() => system.stop());
 
-  it('delivers a rollout that one node took to a draw at another one', async () => {
+  it('delivers a rollout submitted at one node to a draw at another one', async () => {
     const submission = {
       rolloutId: 'r1',
       model: EMULATOR_MODEL,
--- a/test/node/resource/operators.test.ts
+++ b/test/node/resource/operators.test.ts
@@ -52,7 +52,7 @@
     expect(stored.spec).to.deep.equal(winner?.spec);
   });
 
-  it('read at any node what another one has accepted', async () => {
+  it('read at any node what another one accepted', async () => {
     for (let change = 0; change < 25; change += 1) {
       const name = `accepted-${change}`;
       (await system.operator(first).put(service(name) as never))._unsafeUnwrap();
@@ -77,7 +77,7 @@
     expect(Object.keys(stored.metadata.labels as object)).to.have.length(8);
   });
 
-  it('see changes by a watch, and learn when their version is too old', async () => {
+  it('receive changes by a watch, and watch-expired when their version is too old', async () => {
     const stop = new AbortController();
     const lines: { type: string; name?: string }[] = [];
     const from = (await system.operator(second).list('Service'))._unsafeUnwrap().resourceVersion;
@@ -157,7 +157,7 @@
     expect((await cli('drain', 'app-0', '--undo')).code).to.equal(0);
   });
 
-  it('are told of bad declarations by file and field, with exit code 2 and nothing sent', async () => {
+  it('get bad declarations reported by file and field, with exit code 2 and nothing sent', async () => {
     writeFileSync(
       join(folder, 'a.yaml'),
       stringify(service('bad', { repeatable: 'yes', limits: { maxInFlight: 0 }, colour: 1 })),
