--- a/src/state/resource/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -20,7 +20,7 @@
 } from '../../../protocol/resource/resource.js';
 import { StateError } from '../../state-error.js';
 import type { Row, StateResult, Transaction } from '../tables/index.js';
-import { scanAll, settle, type Table } from '../tables/index.js';
+import { type RoundResult, scanAll, settle, type Table } from '../tables/index.js';
 
 const HEAD_KEY = 'config/head';
 const RESOURCE_PREFIX = 'config/resource/';
@@ -143,10 +143,7 @@
   }
 
   /** `undefined` after a conflict or a lost answer: the next round reads the operation's row. */
-  private async commitOnce(
-    operationId: string,
-    wanted: readonly WantedChange[],
-  ): Promise<Result<CommitOutcome, StateError> | undefined> {
+  private async commitOnce(operationId: string, wanted: readonly WantedChange[]): RoundResult<CommitOutcome> {
     const rows = await this.readForCommit(operationId, wanted);
     if (rows.isErr()) return err(rows.error);
     const settled = rows.value.get(operationKey(operationId));
--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -9,11 +9,18 @@
  * A draw whose outcome stays unknown for `MAX_ROUNDS` rounds fails as `unavailable`; repeating it with the
  * same cursor is safe.
  */
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import type { Batch, DrawRequest, Sample } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
 import { publishedKey, publishedVersion } from '../configuration/index.js';
-import { type Objects, type Row, type StateResult, settle, type Table } from '../tables/index.js';
+import {
+  type Objects,
+  type RoundResult,
+  type Row,
+  type StateResult,
+  settle,
+  type Table,
+} from '../tables/index.js';
 import {
   type Candidate,
   cursorClash,
@@ -73,7 +80,7 @@
     terms: DrawTerms,
     request: DrawRequest,
     discarded: DiscardedSample[],
-  ): Promise<Result<DrawOutcome, StateError> | undefined> {
+  ): RoundResult<DrawOutcome> {
     const state = await this.readState(terms, request);
     if (state.isErr()) return err(state.error);
     const clash = cursorClash(state.value.cursorRow, request);
@@ -98,7 +105,7 @@
   private async acknowledgeOnce(
     key: string,
     batch: Pick<CursorRow, 'cursor' | 'attempt' | 'digest'>,
-  ): Promise<Result<void, StateError> | undefined> {
+  ): RoundResult<void> {
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
--- a/src/state/resource/samples/claim-store.ts
+++ b/src/state/resource/samples/claim-store.ts
@@ -10,7 +10,7 @@
 import { sleep } from '../../../common/clock.js';
 import { sha256Hex, uniqueId } from '../../../common/identifier.js';
 import { StateError } from '../../state-error.js';
-import { type Objects, type StateResult, settle, type Table } from '../tables/index.js';
+import { type Objects, type RoundResult, type StateResult, settle, type Table } from '../tables/index.js';
 
 /** The recorded response. */
 export interface RecordedAnswer {
@@ -85,11 +85,7 @@
     );
   }
 
-  private async claimOnce(
-    key: string,
-    row: ClaimRow,
-    request: ClaimRequest,
-  ): Promise<Result<ClaimOutcome, StateError> | undefined> {
+  private async claimOnce(key: string, row: ClaimRow, request: ClaimRequest): RoundResult<ClaimOutcome> {
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
@@ -111,20 +107,20 @@
     const stored = await this.objects.put(bodyObject, answer.body);
     if (stored.isErr()) return this.recordUnknown(claim);
     const { status, headers } = answer;
-    await this.settle(claim, { ...claim.row, state: 'answered', status, headers, bodyObject });
+    await this.recordEnd(claim, { ...claim.row, state: 'answered', status, headers, bodyObject });
   }
 
   /** Records that the outcome cannot be known. */
   recordUnknown(claim: HeldClaim): Promise<void> {
-    return this.settle(claim, { ...claim.row, state: 'unknown' });
+    return this.recordEnd(claim, { ...claim.row, state: 'unknown' });
   }
 
   /** Releases the claim: the request certainly did not run, so a repeat may. */
   release(claim: HeldClaim): Promise<void> {
-    return this.settle(claim, { ...claim.row, state: 'released' });
+    return this.recordEnd(claim, { ...claim.row, state: 'released' });
   }
 
-  private async settle(claim: HeldClaim, row: ClaimRow): Promise<void> {
+  private async recordEnd(claim: HeldClaim, row: ClaimRow): Promise<void> {
     for (let attempt = 0; attempt < MAX_SETTLE_ROUNDS; attempt += 1) {
       const written = await this.table.transact({
         conditions: [{ key: claim.key, version: claim.version }],
--- a/src/state/resource/samples/rollout-ledger.ts
+++ b/src/state/resource/samples/rollout-ledger.ts
@@ -6,12 +6,19 @@
  * Owns no state. Writes are conditional; one whose outcome stays unknown fails as `unavailable` and may be
  * repeated.
  */
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import { sha256Hex } from '../../../common/identifier.js';
 import type { RolloutProgress, RolloutSubmission } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
-import { type Objects, type StateResult, scanAll, settle, type Table } from '../tables/index.js';
+import {
+  type Objects,
+  type RoundResult,
+  type StateResult,
+  scanAll,
+  settle,
+  type Table,
+} from '../tables/index.js';
 import {
   type ExpiredSample,
   ledgerKeys,
@@ -85,11 +92,7 @@
     );
   }
 
-  private async submitOnce(
-    trainer: string,
-    rolloutId: string,
-    row: RolloutRow,
-  ): Promise<Result<RolloutRow, StateError> | undefined> {
+  private async submitOnce(trainer: string, rolloutId: string, row: RolloutRow): RoundResult<RolloutRow> {
     const key = ledgerKeys.rollout(trainer, rolloutId);
     const open = { rolloutId } satisfies OpenRow;
     const written = await this.table.transact({
@@ -113,10 +116,7 @@
     );
   }
 
-  private async cancelOnce(
-    trainer: string,
-    rolloutId: string,
-  ): Promise<Result<void, StateError> | undefined> {
+  private async cancelOnce(trainer: string, rolloutId: string): RoundResult<void> {
     const key = ledgerKeys.rollout(trainer, rolloutId);
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
--- a/src/state/resource/samples/sample-commits.ts
+++ b/src/state/resource/samples/sample-commits.ts
@@ -3,12 +3,19 @@
  * on the slot being free, the rollout not being cancelled, and the lease of the generating node being the
  * newest one. So an owner that was paused and superseded cannot commit.
  */
-import { err, ok, type Result } from 'neverthrow';
+import { err, ok } from 'neverthrow';
 import { sha256Hex, uniqueId } from '../../../common/identifier.js';
 import type { Sample } from '../../../protocol/resource/trainer.js';
 import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
-import { type Objects, type Row, type StateResult, settle, type Table } from '../tables/index.js';
+import {
+  type Objects,
+  type RoundResult,
+  type Row,
+  type StateResult,
+  settle,
+  type Table,
+} from '../tables/index.js';
 import {
   ledgerKeys,
   oldestVersion,
@@ -83,10 +90,7 @@
     );
   }
 
-  private async commitOnce(
-    lease: HeldLease,
-    prepared: readonly PreparedCommit[],
-  ): Promise<Result<boolean, StateError> | undefined> {
+  private async commitOnce(lease: HeldLease, prepared: readonly PreparedCommit[]): RoundResult<boolean> {
     const written = await this.table.transact({
       conditions: [lease.condition, ...prepared.flatMap((one) => one.conditions)],
       writes: prepared.flatMap((one) => one.writes),
--- a/src/state/resource/tables/settle.ts
+++ b/src/state/resource/tables/settle.ts
@@ -9,11 +9,14 @@
 /** Time after which a caller may repeat the operation, milliseconds. Chosen, not measured. */
 const UNSETTLED_RETRY_MS = 1_000;
 
+/** Result of one round; `undefined` to go into the next one. */
+export type RoundResult<T> = Promise<Result<T, StateError> | undefined>;
+
 /** The first result of at most `maxRounds` rounds, else `unavailable`, effect unknown. */
 export async function settle<T>(
   maxRounds: number,
   message: string,
-  round: () => Promise<Result<T, StateError> | undefined>,
+  round: () => RoundResult<T>,
 ): StateResult<T> {
   for (let count = 0; count < maxRounds; count += 1) {
     const result = await round();
