--- a/src/cli/job-accounts.ts
+++ b/src/cli/job-accounts.ts
@@ -1,11 +1,11 @@
 /** Batch jobs as operators see them, read from the store without a call to any node. */
+
 import { ok, type Result } from 'neverthrow';
+import { MILLISECONDS_PER_SECOND } from '../common/clock.js';
 import type { JobHead, JobRepository } from '../state/service/jobs/index.js';
 import type { StateError } from '../state/state-error.js';
 import { formatTable } from './output.js';
 
-const MS_PER_SECOND = 1000;
-
 /** Summary of a job. */
 export interface JobAccount {
   readonly id: string;
@@ -35,7 +35,7 @@
     epoch: record.epoch,
     model: record.model,
     items: record.total,
-    ageSeconds: Math.round((nowMs - record.acceptedAtMs) / MS_PER_SECOND),
+    ageSeconds: Math.round((nowMs - record.acceptedAtMs) / MILLISECONDS_PER_SECOND),
   };
 }
 
--- a/src/cli/job-timeline.ts
+++ b/src/cli/job-timeline.ts
@@ -2,6 +2,7 @@
  * How the time of jobs was spent, from log lines. Times are milliseconds after the acceptance of the job
  * unless noted. Attempts that are missing from the logs are missing here as well.
  */
+import { MILLISECONDS_PER_SECOND } from '../common/clock.js';
 import { groupBy } from '../common/collections.js';
 import { median } from '../common/statistics.js';
 import {
@@ -18,7 +19,6 @@
 /** Shares of a job's items, or of the groups that its submitter waits for, whose completion is reported. */
 export const MILESTONES = [0.5, 0.9, 0.97, 1] as const;
 
-const SECOND_MS = 1000;
 /** The lines of a job. */
 interface PlannedJob {
   readonly jobId: string;
@@ -167,14 +167,18 @@
 /** Mean number of attempts in flight in each second. */
 function bySecond(attempts: readonly Attempt[]): number[] {
   const endMs = Math.max(0, ...attempts.map((attempt) => attempt.endMs));
-  return Array.from({ length: Math.ceil(endMs / SECOND_MS) }, (_, second) => {
-    const fromMs = second * SECOND_MS;
+  return Array.from({ length: Math.ceil(endMs / MILLISECONDS_PER_SECOND) }, (_, second) => {
+    const fromMs = second * MILLISECONDS_PER_SECOND;
     const busyMs = attempts.reduce(
       (sum, attempt) =>
-        sum + Math.max(0, Math.min(attempt.endMs, fromMs + SECOND_MS) - Math.max(attempt.startMs, fromMs)),
+        sum +
+        Math.max(
+          0,
+          Math.min(attempt.endMs, fromMs + MILLISECONDS_PER_SECOND) - Math.max(attempt.startMs, fromMs),
+        ),
       0,
     );
-    return Math.round(busyMs / SECOND_MS);
+    return Math.round(busyMs / MILLISECONDS_PER_SECOND);
   });
 }
 
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -3,6 +3,8 @@
  * of different machines disagree; wall time is used only in records that people read.
  */
 
+export const MILLISECONDS_PER_SECOND = 1_000;
+
 /** Milliseconds on this process's monotonic clock. The origin has no meaning across processes. */
 export function monotonicMs(): number {
   return performance.now();
--- a/src/common/decision-logger.ts
+++ b/src/common/decision-logger.ts
@@ -3,6 +3,7 @@
  * limit are counted, and the counts are written once a second. A slow reader never delays the node: its lines
  * are dropped and counted.
  */
+import { MILLISECONDS_PER_SECOND } from './clock.js';
 import './roarr-environment.js';
 import { ROARR, Roarr } from 'roarr';
 import type { DecisionRecord } from './decision-records.js';
@@ -15,7 +16,6 @@
  */
 const LINES_PER_SECOND = 100;
 const BURST_LINES = 400;
-const MILLISECONDS_PER_SECOND = 1000;
 /** Longest wait for the reader at the end, milliseconds. Chosen, not measured: below the grace of a stop. */
 const FLUSH_LIMIT_MS = 200;
 
--- a/src/common/token-bucket.ts
+++ b/src/common/token-bucket.ts
@@ -1,7 +1,5 @@
 /** A token bucket: a rate limit with a bounded burst, on the monotonic clock. */
-import { monotonicMs } from './clock.js';
-
-const MILLISECONDS_PER_SECOND = 1000;
+import { MILLISECONDS_PER_SECOND, monotonicMs } from './clock.js';
 
 /** Grants `ratePerSecond` tokens in the long run, at most `burst` at once. */
 export class TokenBucket {
--- a/src/coordination/service/jobs/result-lister.ts
+++ b/src/coordination/service/jobs/result-lister.ts
@@ -9,7 +9,7 @@
  * Relies on the store: a batch that it does not accept is retried until the job is stopped, at the same
  * positions.
  */
-import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
+import { type Clock, MILLISECONDS_PER_SECOND, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { JobResult } from '../../../protocol/service/batch-job.js';
@@ -24,7 +24,6 @@
 const LONGEST_GATHER_MS = 1_000;
 /** Longest effort to list a batch before it is retried, milliseconds. Chosen, not measured. */
 const EFFORT_MS = 5_000;
-const MILLISECONDS_PER_SECOND = 1000;
 
 /** Dependencies of a lister. */
 export interface ListerServices {
--- a/src/node/resource/api/exchange.ts
+++ b/src/node/resource/api/exchange.ts
@@ -1,7 +1,9 @@
 /** One HTTP exchange: principal, body, and problem documents for rejections. */
+
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { err, ok } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
+import { MILLISECONDS_PER_SECOND } from '../../../common/clock.js';
 import {
   CoordinationError,
   type CoordinationResult,
@@ -30,8 +32,6 @@
   readonly params: Readonly<Record<string, string>>;
 }
 
-const MILLISECONDS_PER_SECOND = 1_000;
-
 /** The problem document of a failure. */
 export function toProblem(error: CoordinationError, requestId: string): Problem {
   const seconds =
--- a/src/node/service/drain.ts
+++ b/src/node/service/drain.ts
@@ -6,6 +6,7 @@
 const FINISH_REQUESTS_FRACTION = 0.9;
 /** Time until load balancers have seen that a node is not ready. Chosen, not measured. */
 const MOVE_AWAY_MS = 3_000;
+/** Interval of checks whether a step is over. Chosen, not measured. */
 const DRAIN_POLL_MS = 50;
 
 /** Ends of the steps. */
--- a/src/node/service/job-parts.ts
+++ b/src/node/service/job-parts.ts
@@ -5,6 +5,7 @@
  * Without the store calls are forwarded to nodes that reach it, and owned jobs are cancelled here once others
  * are known to reach it.
  */
+import { MILLISECONDS_PER_SECOND } from '../../common/clock.js';
 import type { CrashCheck } from '../../coordination/service/dispatch/index.js';
 import { Placement, SampleLengths, SampleScorer } from '../../coordination/service/generation/index.js';
 import { JobCalls, JobForwarding, JobOwnership } from '../../coordination/service/jobs/index.js';
@@ -17,7 +18,6 @@
 
 /** Share of the process's memory that cached results may take. Chosen, not measured. */
 const RESULT_CACHE_FRACTION = 0.05;
-const MILLISECONDS_PER_SECOND = 1000;
 
 /** What jobs work with. */
 export interface JobPartsServices {
--- a/src/node/service/node-feeds.ts
+++ b/src/node/service/node-feeds.ts
@@ -5,6 +5,7 @@
  * Owns: one feed per table, and how fresh each is. Relies on: the store's long polls. While they fail, the
  * feeds age and `isConfigurationFollowed` becomes false; each feed retries by itself.
  */
+import { MILLISECONDS_PER_SECOND } from '../../common/clock.js';
 import type { DecisionLogger } from '../../common/decision-logger.js';
 import {
   type FeedHandler,
@@ -25,8 +26,6 @@
 import { changePauseMs, isConfigurationFollowed, isFeedFollowed } from './readiness.js';
 import type { NodeContext } from './service-node-parts.js';
 
-const MILLISECONDS_PER_SECOND = 1000;
-
 /** Who takes what the feeds bring, and what sets their pace. */
 export interface NodeFeedServices {
   readonly fleet: FleetDirectory;
--- a/src/node/service/service-process.ts
+++ b/src/node/service/service-process.ts
@@ -5,7 +5,7 @@
  * an uncaught exception is logged and ends the process, SIGTERM and SIGINT drain the node first.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { monotonicMs } from '../../common/clock.js';
+import { MILLISECONDS_PER_SECOND, monotonicMs } from '../../common/clock.js';
 import type { StandardOutputLogger } from '../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import type { ServiceSettings } from '../../protocol/service/service-settings.js';
@@ -20,7 +20,6 @@
 const PULSE_MS = 500;
 /** Delay of a measurement above which a process pause is logged, milliseconds. Chosen, not measured. */
 const LOGGED_PAUSE_MS = 400;
-const MILLISECONDS_PER_SECOND = 1000;
 /** Kept longer than callers may reuse an idle connection, milliseconds. Chosen, not measured. */
 const KEEP_ALIVE_MARGIN_MS = 1_000;
 /** Time for which an idle connection of a peer is kept: longer than peers keep theirs (45 s). */
--- a/src/protocol/resource/json-exchange.ts
+++ b/src/protocol/resource/json-exchange.ts
@@ -1,6 +1,8 @@
 /** JSON request and response over the transport, with the response checked against a schema. */
+
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
+import { MILLISECONDS_PER_SECOND } from '../../common/clock.js';
 import type { BufferedResponse, HttpClient, OutgoingRequest } from '../../transport/http-client.js';
 import { fromTransport, ProtocolError } from '../protocol-error.js';
 import { formatProblems, type Validator } from '../validation.js';
@@ -13,7 +15,6 @@
 
 const HTTP_CONFLICT = 409;
 const HTTP_TOO_MANY_REQUESTS = 429;
-const MILLISECONDS_PER_SECOND = 1000;
 
 /**
  * Reads the `Retry-After` of a response, milliseconds; `undefined` unless it is in seconds. Computing the
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -20,6 +20,7 @@
 /** Largest message with its body, bytes: above the largest body of a replica's answer. */
 export const MAX_DISPATCH_BYTES = 17 * 1024 * 1024;
 
+/** Bounds of a message: characters of a name, replicas that are excluded. Chosen, not measured: far above those in use. */
 const MAX_NAME = 512;
 const MAX_EXCLUDED = 64;
 const LINE_END = 0x0a;
--- a/src/state/service/replicas/slow-start.ts
+++ b/src/state/service/replicas/slow-start.ts
@@ -1,6 +1,5 @@
 /** Limit of the requests that this node sends to a replica in slow start. Monotonic clock. */
-
-const MS_PER_SECOND = 1_000;
+import { MILLISECONDS_PER_SECOND } from '../../../common/clock.js';
 
 export class SlowStart {
   private untilMs = 0;
@@ -19,7 +18,7 @@
   /** Whether one more request keeps the limit; below one a second, one in the time that each may take. */
   allows(maxPerSecond: number, nowMs: number): boolean {
     if (nowMs >= this.untilMs) return true;
-    const sinceMs = nowMs - MS_PER_SECOND * Math.max(1, 1 / maxPerSecond);
+    const sinceMs = nowMs - MILLISECONDS_PER_SECOND * Math.max(1, 1 / maxPerSecond);
     while (this.sentAtMs.length > 0 && (this.sentAtMs[0] ?? 0) <= sinceMs) this.sentAtMs.shift();
     return this.sentAtMs.length < Math.max(1, Math.floor(maxPerSecond));
   }
--- a/src/state/service/store/instrumented-store.ts
+++ b/src/state/service/store/instrumented-store.ts
@@ -6,7 +6,7 @@
  * none is repeated here.
  */
 import type { Result } from 'neverthrow';
-import { monotonicMs } from '../../../common/clock.js';
+import { MILLISECONDS_PER_SECOND, monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import { Lifecycle } from '../../../common/lifecycle.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
@@ -32,7 +32,6 @@
 
 /** Usual time of an answer above which the store is logged as slow, milliseconds. Chosen, not measured. */
 const SLOW_ANSWER_MS = 100;
-const MILLISECONDS_PER_SECOND = 1000;
 
 /**
  * The store counts as not answering after this time without an answer, milliseconds, or this many usual
