--- a/src/cli/job-timeline.ts
+++ b/src/cli/job-timeline.ts
@@ -54,7 +54,7 @@
   /** When each of `MILESTONES` of the items was listed. */
   readonly itemsListedMs: readonly (number | undefined)[];
   /** When each of `MILESTONES` of the wanted groups was whole. */
-  readonly groupsCompleteMs: readonly (number | undefined)[];
+  readonly groupsWholeMs: readonly (number | undefined)[];
   /** When the submitter ended the job; until then it had nothing new to train on. */
   readonly endedMs: number | undefined;
   /** The item that made the last wanted group whole. */
@@ -148,7 +148,7 @@
     firstStartMs: starts.length > 0 ? Math.min(...starts) : undefined,
     lastStartMs: starts.length > 0 ? Math.max(...starts) : undefined,
     itemsListedMs: milestonesOf(items, total),
-    groupsCompleteMs: milestonesOf(complete, wantedGroups),
+    groupsWholeMs: milestonesOf(complete, wantedGroups),
     endedMs: ended && ended.timeMs - acceptedAtMs,
     lastWanted: complete[wantedGroups - 1],
     inFlight: bySecond(runs),
@@ -199,7 +199,7 @@
   return {
     model,
     jobs: jobs.length,
-    medianWantedMs: medianOrZero(defined(jobs.map((job) => job.groupsCompleteMs.at(-1)))),
+    medianWantedMs: medianOrZero(defined(jobs.map((job) => job.groupsWholeMs.at(-1)))),
     medianIdleMs: medianOrZero(idle),
     totalIdleMs: idle.reduce((sum, value) => sum + value, 0),
     staleness: mean(jobs.map((job) => job.staleness)),
--- a/src/cli/timeline-table.ts
+++ b/src/cli/timeline-table.ts
@@ -54,7 +54,7 @@
     time(job.firstStartMs),
     time(job.lastStartMs),
     ...job.itemsListedMs.map(time),
-    ...job.groupsCompleteMs.map(time),
+    ...job.groupsWholeMs.map(time),
     time(job.endedMs),
     String(job.declined),
     String(job.owners),
--- a/test/cli/job-timeline.test.ts
+++ b/test/cli/job-timeline.test.ts
@@ -78,12 +78,29 @@
 }
 
 describe('timelines of jobs', () => {
+  it('have the published names of fields: scripts read them as JSON', () => {
+    const { jobs, trainers } = timelineOf(LINES);
+    expect(
+      Object.keys(jobs[0] as object)
+        .sort()
+        .join(' '),
+    ).to.equal(
+      'acceptedAtMs carriedGroups declined endedMs firstStartMs groupsWholeMs inFlight inFlightByReplica items ' +
+        'itemsListedMs jobId lastStartMs lastWanted model owners slots staleness wantedGroups',
+    );
+    expect(
+      Object.keys(trainers[0] as object)
+        .sort()
+        .join(' '),
+    ).to.equal('jobs medianIdleMs medianWantedMs model staleness totalIdleMs');
+  });
+
   it('report when shares of the items and of the wanted groups were complete', () => {
     const job = only(LINES);
     expect(job.acceptedAtMs).to.equal(ACCEPTED_MS);
     expect([job.firstStartMs, job.lastStartMs]).to.deep.equal([50, 1_250]);
     expect(job.itemsListedMs).to.deep.equal([2_220, undefined, undefined, undefined]);
-    expect(job.groupsCompleteMs).to.deep.equal([3_130, 3_130, 3_130, 3_130]);
+    expect(job.groupsWholeMs).to.deep.equal([3_130, 3_130, 3_130, 3_130]);
     expect([job.declined, job.owners, job.endedMs]).to.deep.equal([1, 1, 4_000]);
   });
 
