--- a/emulator/engine/engine-server.ts
+++ b/emulator/engine/engine-server.ts
@@ -8,7 +8,7 @@
 } from '../../src/protocol/resource/engine.js';
 import { formatProblems, Validator } from '../../src/protocol/validation.js';
 import { HttpClient } from '../../src/transport/http-client.js';
-import { callerGone, type HttpServer, sendJson } from '../../src/transport/http-server.js';
+import { disconnectSignal, type HttpServer, sendJson } from '../../src/transport/http-server.js';
 import { createStandInServer, readControlJson } from '../faults.js';
 import { DEFAULT_ENGINE_OPTIONS, Engine, type EngineOptions, type SequenceSink } from './engine.js';
 
@@ -79,7 +79,9 @@
     }
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     response.flushHeaders();
-    callerGone(response).addEventListener('abort', () => this.engine.cancel(checked.value.request_id, sink));
+    disconnectSignal(response).addEventListener('abort', () =>
+      this.engine.cancel(checked.value.request_id, sink),
+    );
   }
 
   private async order(request: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/src/common/backoff.ts
+++ b/src/common/backoff.ts
@@ -1,4 +1,4 @@
 /** Exponential back-off, milliseconds: `firstMs` doubled `repeats` times, at most `maxMs`. */
-export function exponentialMs(firstMs: number, repeats: number, maxMs: number): number {
-  return Math.min(maxMs, firstMs * 2 ** repeats);
+export function exponentialBackoffMs(firstMs: number, retries: number, maxMs: number): number {
+  return Math.min(maxMs, firstMs * 2 ** retries);
 }
--- a/src/common/condition-variable.ts
+++ b/src/common/condition-variable.ts
@@ -3,24 +3,24 @@
 
 /** A condition variable: tasks wait until another one notifies them that their condition may hold now. */
 export class ConditionVariable {
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
 
   /** Resolves at the next `notifyAll`, or when `signal` is aborted. Never rejects. */
   wait(signal: AbortSignal): Promise<void> {
     if (signal.aborted) return Promise.resolve();
     return new Promise((resolve) => {
       const wake = () => {
-        this.waiting.delete(wake);
+        this.waiters.delete(wake);
         signal.removeEventListener('abort', wake);
         resolve();
       };
-      this.waiting.add(wake);
+      this.waiters.add(wake);
       signal.addEventListener('abort', wake, { once: true });
     });
   }
 
   /** Like `wait`, but resolves after `ms` milliseconds at the latest. */
-  async waitAtMost(ms: number, signal: AbortSignal, clock: Clock = SYSTEM_CLOCK): Promise<void> {
+  async waitWithTimeout(ms: number, signal: AbortSignal, clock: Clock = SYSTEM_CLOCK): Promise<void> {
     const controller = new AbortController();
     const abort = () => controller.abort();
     if (signal.aborted) return;
@@ -32,6 +32,6 @@
 
   /** Wakes all waiting tasks. */
   notifyAll(): void {
-    for (const wake of [...this.waiting]) wake();
+    for (const wake of [...this.waiters]) wake();
   }
 }
--- a/src/common/decision-logger.ts
+++ b/src/common/decision-logger.ts
@@ -17,7 +17,7 @@
 const LINES_PER_SECOND = 100;
 const BURST_LINES = 400;
 /** Longest wait for the reader at the end, milliseconds. Chosen, not measured: below the grace of a stop. */
-const FLUSH_LIMIT_MS = 200;
+const FLUSH_TIMEOUT_MS = 200;
 
 /** Takes decision records. */
 export interface DecisionLogger {
@@ -30,14 +30,14 @@
 interface RateLimit {
   readonly bucket: TokenBucket;
   /** Lines not written since the last summary. */
-  leftOut: number;
+  suppressed: number;
 }
 
 /** The logger of a process. */
 export class StandardOutputLogger implements DecisionLogger {
   private readonly limits = new Map<string, RateLimit>();
   private readonly log;
-  private readonly summaryTimer: NodeJS.Timeout;
+  private readonly reportTimer: NodeJS.Timeout;
 
   constructor(
     node: string,
@@ -47,8 +47,8 @@
       this.writer.write(line);
     };
     this.log = Roarr.child({ node });
-    this.summaryTimer = setInterval(() => this.summarize(), MILLISECONDS_PER_SECOND);
-    this.summaryTimer.unref();
+    this.reportTimer = setInterval(() => this.reportSuppressed(), MILLISECONDS_PER_SECOND);
+    this.reportTimer.unref();
   }
 
   /** Lines dropped because the reader was too slow. */
@@ -59,18 +59,18 @@
   record(record: DecisionRecord): void {
     let limit = this.limits.get(record.event);
     if (!limit) {
-      limit = { bucket: new TokenBucket(LINES_PER_SECOND, BURST_LINES), leftOut: 0 };
+      limit = { bucket: new TokenBucket(LINES_PER_SECOND, BURST_LINES), suppressed: 0 };
       this.limits.set(record.event, limit);
     }
     if (limit.bucket.take() === 0) this.emit(record);
-    else limit.leftOut += 1;
+    else limit.suppressed += 1;
   }
 
   /** Writes what is left before the process ends. */
   async close(): Promise<void> {
-    clearInterval(this.summaryTimer);
-    this.summarize();
-    await this.writer.flush(FLUSH_LIMIT_MS);
+    clearInterval(this.reportTimer);
+    this.reportSuppressed();
+    await this.writer.flush(FLUSH_TIMEOUT_MS);
   }
 
   private emit(record: DecisionRecord): void {
@@ -78,11 +78,11 @@
     this.log.info(fields, event);
   }
 
-  private summarize(): void {
+  private reportSuppressed(): void {
     for (const [kind, limit] of this.limits) {
-      if (limit.leftOut === 0) continue;
-      this.emit({ event: 'lines-left-out', kind, count: limit.leftOut });
-      limit.leftOut = 0;
+      if (limit.suppressed === 0) continue;
+      this.emit({ event: 'lines-left-out', kind, count: limit.suppressed });
+      limit.suppressed = 0;
     }
   }
 }
--- a/src/common/decision-records.ts
+++ b/src/common/decision-records.ts
@@ -59,7 +59,7 @@
 }
 
 /** A call about a batch job was forwarded to another node, because the store does not answer this one. */
-export interface JobCallPassedOn {
+export interface JobCallForwarded {
   readonly event: 'job-call-passed-on';
   readonly call: 'submit' | 'read' | 'item' | 'end';
   readonly jobId: string;
@@ -131,7 +131,7 @@
 }
 
 /** What the node takes for true of its fleet, its replicas or the configuration changed. */
-export interface BeliefChanged {
+export interface LocalViewChanged {
   readonly event: 'belief-changed';
   /** `home` is a dispatcher, `session` the liveness of a node. */
   readonly subject:
@@ -150,7 +150,7 @@
 }
 
 /** A replica crashed while it ran a request: the quarantine decision for this request. */
-export interface RequestSuspected {
+export interface QuarantineDecided {
   readonly event: 'request-suspected';
   readonly digest: string;
   /** The replica, or the name of the crash record. */
@@ -167,7 +167,7 @@
 }
 
 /** Admission control rejected a request at the dispatcher of its service. It has not run. */
-export interface RequestRefused {
+export interface RequestRejected {
   readonly event: 'request-refused';
   readonly requestId: string;
   readonly service: string;
@@ -251,7 +251,7 @@
 }
 
 /** Lines that were not written, because their event exceeded its rate limit. */
-export interface LinesLeftOut {
+export interface LinesSuppressed {
   readonly event: 'lines-left-out';
   readonly kind: string;
   readonly count: number;
@@ -262,18 +262,18 @@
   | RequestAnswered
   | AttemptEnded
   | JobCallAnswered
-  | JobCallPassedOn
+  | JobCallForwarded
   | JobChanged
   | JobPlanned
   | ItemChanged
   | ResultsListed
-  | BeliefChanged
-  | RequestSuspected
-  | RequestRefused
+  | LocalViewChanged
+  | QuarantineDecided
+  | RequestRejected
   | LeadershipChanged
   | LoadCommandSent
   | UsageDecided
   | UsageReported
   | ProcessStarted
   | ProcessChanged
-  | LinesLeftOut;
+  | LinesSuppressed;
--- a/src/common/elapsed-time.ts
+++ b/src/common/elapsed-time.ts
@@ -18,15 +18,17 @@
 export const SYSTEM_TIME: TimeSources = { monotonicMs, timeOfDayMs: Date.now };
 
 /** Disagreement due to a slewed time of day and its resolution, milliseconds. Chosen, not measured. */
-const TOLERANCE_MS = 50;
+const CLOCK_TOLERANCE_MS = 50;
 
 /** Returns a function for the milliseconds since now; infinite when the clocks contradict each other. */
-export function startElapsed(sources: TimeSources = SYSTEM_TIME): () => number {
-  const startedMs = sources.monotonicMs();
-  const startedAtMs = sources.timeOfDayMs();
+export function startStopwatch(sources: TimeSources = SYSTEM_TIME): () => number {
+  const startMonotonicMs = sources.monotonicMs();
+  const startWallClockMs = sources.timeOfDayMs();
   return () => {
-    const elapsedMs = sources.monotonicMs() - startedMs;
-    const shownMs = sources.timeOfDayMs() - startedAtMs;
-    return shownMs < elapsedMs - TOLERANCE_MS ? Number.POSITIVE_INFINITY : Math.max(elapsedMs, shownMs);
+    const elapsedMs = sources.monotonicMs() - startMonotonicMs;
+    const wallClockElapsedMs = sources.timeOfDayMs() - startWallClockMs;
+    return wallClockElapsedMs < elapsedMs - CLOCK_TOLERANCE_MS
+      ? Number.POSITIVE_INFINITY
+      : Math.max(elapsedMs, wallClockElapsedMs);
   };
 }
--- a/src/common/identifier.ts
+++ b/src/common/identifier.ts
@@ -45,10 +45,10 @@
 
 /** The parts of a request ID, or `undefined` when the text, which comes from a caller, is not one. */
 export function parseRequestId(text: string): RequestIdParts | undefined {
-  const at = text.lastIndexOf(SEPARATOR);
-  if (at <= 0) return undefined;
+  const separatorIndex = text.lastIndexOf(SEPARATOR);
+  if (separatorIndex <= 0) return undefined;
   try {
-    return { nodeId: text.slice(0, at), issuedAtMs: decodeTime(text.slice(at + 1)) };
+    return { nodeId: text.slice(0, separatorIndex), issuedAtMs: decodeTime(text.slice(separatorIndex + 1)) };
   } catch {
     // `decodeTime` throws on any text that is no ULID.
     return undefined;
--- a/src/common/lifecycle.ts
+++ b/src/common/lifecycle.ts
@@ -70,7 +70,7 @@
   }
 
   /** Applies an event only when the current state accepts it: for signals that may come in any state. */
-  sendIfTaken(event: Event, reason = ''): boolean {
+  sendIfAccepted(event: Event, reason = ''): boolean {
     return this.table[this.current][event] === undefined ? false : this.send(event, reason);
   }
 
--- a/src/common/line-writer.ts
+++ b/src/common/line-writer.ts
@@ -39,9 +39,9 @@
   }
 
   /** Waits until the reader has read everything, at most `limitMs`. */
-  async flush(limitMs: number): Promise<void> {
+  async flush(timeoutMs: number): Promise<void> {
     this.writeBatch();
-    for (let waitedMs = 0; this.stream.writableLength > 0 && waitedMs < limitMs; waitedMs += FLUSH_POLL_MS)
+    for (let waitedMs = 0; this.stream.writableLength > 0 && waitedMs < timeoutMs; waitedMs += FLUSH_POLL_MS)
       await sleep(FLUSH_POLL_MS);
   }
 
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -30,10 +30,10 @@
 
   /** Up to `count` different elements, in random order. */
   sample<T>(items: readonly T[], count: number): T[] {
-    const rest = [...items];
+    const remaining = [...items];
     const chosen: T[] = [];
-    while (rest.length > 0 && chosen.length < count) {
-      const [item] = rest.splice(this.integer(rest.length), 1);
+    while (remaining.length > 0 && chosen.length < count) {
+      const [item] = remaining.splice(this.integer(remaining.length), 1);
       chosen.push(item as T);
     }
     return chosen;
--- a/src/common/service-metrics.ts
+++ b/src/common/service-metrics.ts
@@ -61,7 +61,7 @@
     ['service', 'rank'],
   );
   readonly waitedSeconds = this.histogram('thymecove_waited_seconds', 'Time queued for a slot', ['service']);
-  readonly waitingRequests = this.gauge('thymecove_waiting_requests', 'Requests queued for a slot', [
+  readonly queuedRequests = this.gauge('thymecove_waiting_requests', 'Requests queued for a slot', [
     'service',
   ]);
   readonly freeSlots = this.gauge('thymecove_free_places', 'Free slots known here; exact at the dispatcher', [
--- a/src/coordination/feeds/index.ts
+++ b/src/coordination/feeds/index.ts
@@ -1,7 +1,7 @@
 export {
-  FEED_WAIT_MS,
   type FeedHandler,
   type FeedObserver,
+  LONG_POLL_TIMEOUT_MS,
   RecordFeed,
   readPartition,
 } from './record-feed.js';
--- a/src/coordination/feeds/record-feed.ts
+++ b/src/coordination/feeds/record-feed.ts
@@ -28,19 +28,19 @@
  * Longest wait of one long poll, milliseconds. Chosen, not measured: it bounds a quiet feed's age and its
  * rate of calls.
  */
-export const FEED_WAIT_MS = 1_200;
+export const LONG_POLL_TIMEOUT_MS = 1_200;
 /** Back-off after failed calls, doubled each time and spread by half. Chosen, not measured. */
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 400;
+const MIN_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 400;
 /** Time between two whole reads of a table that was read in part, milliseconds. Chosen, not measured. */
-const REREAD_MS = 1_000;
+const SNAPSHOT_RETRY_INTERVAL_MS = 1_000;
 
 /** A table read whole, and the version from which its changes continue. */
 export interface TableContent<T> {
   readonly content: T;
   readonly version: number;
   /** Whether the table is shown as of an earlier moment. Default: false. */
-  readonly isOld?: boolean;
+  readonly isStale?: boolean;
 }
 
 /** What a follower does with the records. */
@@ -69,12 +69,12 @@
   private currentAsOfMs = Number.NEGATIVE_INFINITY;
   private position = 0;
   /** Position at the last loss of history: a whole read that shows no more is old. */
-  private lostAt = -1;
+  private historyLostAt = -1;
   /** Whether the last whole read may be old, since no answer about changes has followed it. */
-  private mayBeOld = true;
+  private mayBeStale = true;
   /** Whether there may be unknown records, because no whole read was new. */
   private isPartial = false;
-  private readAtMs = Number.NEGATIVE_INFINITY;
+  private lastReadAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly store: RecordStore,
@@ -101,45 +101,45 @@
     while (!signal.aborted) {
       if (!(await this.readSnapshot(signal))) return;
       await this.followChanges(signal);
-      await sleep(spreadPause(FIRST_PAUSE_MS), signal);
+      await sleep(withJitter(MIN_BACKOFF_MS), signal);
     }
   }
 
   private async readSnapshot(signal: AbortSignal): Promise<boolean> {
-    let pauseMs = FIRST_PAUSE_MS;
+    let backoffMs = MIN_BACKOFF_MS;
     while (!signal.aborted) {
-      if (await this.tryToRead()) return true;
-      await sleep(spreadPause(pauseMs), signal);
-      pauseMs = nextPauseMs(pauseMs);
+      if (await this.tryReadSnapshot()) return true;
+      await sleep(withJitter(backoffMs), signal);
+      backoffMs = nextBackoffMs(backoffMs);
     }
     return false;
   }
 
   /** Returns whether changes can be followed from now on. */
-  private async tryToRead(): Promise<boolean> {
-    this.readAtMs = monotonicMs();
+  private async tryReadSnapshot(): Promise<boolean> {
+    this.lastReadAtMs = monotonicMs();
     const read = await this.handler.readAll();
     if (read.isErr()) return false;
-    const { content, version, isOld = false } = read.value;
+    const { content, version, isStale = false } = read.value;
     if (version >= this.position) {
       this.handler.replaceAll(content);
       this.position = version;
     }
-    const canFollow = version >= this.position && version > this.lostAt;
-    if (canFollow && !isOld) {
+    const canFollow = version >= this.position && version > this.historyLostAt;
+    if (canFollow && !isStale) {
       this.isPartial = false;
-      this.mayBeOld = true;
+      this.mayBeStale = true;
       this.report('snapshot read');
       return true;
     }
-    return (await this.readKnown(version)) || canFollow;
+    return (await this.readKnownRecords(version)) || canFollow;
   }
 
   /** Reads the known records as they are now, since the whole read shows `oldVersion`. */
-  private async readKnown(oldVersion: number): Promise<boolean> {
+  private async readKnownRecords(staleVersion: number): Promise<boolean> {
     const addresses = this.handler.knownAddresses?.() ?? [];
     if (addresses.length === 0) return false;
-    const askedAtMs = monotonicMs();
+    const requestedAtMs = monotonicMs();
     const current = await readCurrent(this.store, addresses);
     if (current.isErr()) return false;
     const { records, version } = current.value;
@@ -148,17 +148,17 @@
       this.handler.apply(found.get(address.key) ?? { ...address, value: undefined, version });
     this.position = Math.max(this.position, version);
     this.isPartial = true;
-    this.mayBeOld = false;
-    this.noteAnswer(askedAtMs);
-    this.report(`read in part: a whole read shows version ${oldVersion}`);
+    this.mayBeStale = false;
+    this.recordAnswer(requestedAtMs);
+    this.report(`read in part: a whole read shows version ${staleVersion}`);
     return true;
   }
 
   /** Reads a table whole that was read in part. An old read is dropped: changes applied since are newer. */
-  private async complete(): Promise<void> {
-    this.readAtMs = monotonicMs();
+  private async completeSnapshot(): Promise<void> {
+    this.lastReadAtMs = monotonicMs();
     const read = await this.handler.readAll();
-    if (read.isErr() || read.value.isOld || read.value.version < this.position) return;
+    if (read.isErr() || read.value.isStale || read.value.version < this.position) return;
     this.handler.replaceAll(read.value.content);
     this.position = read.value.version;
     this.isPartial = false;
@@ -167,49 +167,50 @@
 
   /** Returns when the table must be read whole again. */
   private async followChanges(signal: AbortSignal): Promise<void> {
-    let pauseMs = FIRST_PAUSE_MS;
+    let backoffMs = MIN_BACKOFF_MS;
     while (!signal.aborted) {
-      const askedAtMs = monotonicMs();
-      const waitMs = this.mayBeOld ? 0 : FEED_WAIT_MS;
+      const requestedAtMs = monotonicMs();
+      const waitMs = this.mayBeStale ? 0 : LONG_POLL_TIMEOUT_MS;
       const outcome = await this.store.changes(this.handler.table, this.position, waitMs, signal);
       if (outcome.isOk()) {
-        pauseMs = FIRST_PAUSE_MS;
-        await this.takeAnswer(outcome.value, askedAtMs, signal);
-      } else if (this.mustReadAgain(outcome.error)) return;
+        backoffMs = MIN_BACKOFF_MS;
+        await this.handleChanges(outcome.value, requestedAtMs, signal);
+      } else if (this.needsSnapshot(outcome.error)) return;
       else {
-        await sleep(spreadPause(pauseMs), signal);
-        pauseMs = nextPauseMs(pauseMs);
+        await sleep(withJitter(backoffMs), signal);
+        backoffMs = nextBackoffMs(backoffMs);
       }
     }
   }
 
-  private async takeAnswer(
+  private async handleChanges(
     { changes, version }: RecordChanges,
-    askedAtMs: number,
+    requestedAtMs: number,
     signal: AbortSignal,
   ): Promise<void> {
-    this.mayBeOld = false;
-    this.take(changes, version, askedAtMs);
-    if (this.isPartial && monotonicMs() - this.readAtMs > REREAD_MS) await this.complete();
+    this.mayBeStale = false;
+    this.applyChanges(changes, version, requestedAtMs);
+    if (this.isPartial && monotonicMs() - this.lastReadAtMs > SNAPSHOT_RETRY_INTERVAL_MS)
+      await this.completeSnapshot();
     if (changes.length > 0) await this.pause(signal);
   }
 
   /** A refused position is dropped like one whose history is lost; any other failure is transient. */
-  private mustReadAgain({ failure, message }: RecordStoreError): boolean {
+  private needsSnapshot({ failure, message }: RecordStoreError): boolean {
     if (failure !== 'history-lost' && failure !== 'refused') return false;
-    if (failure === 'history-lost') this.lostAt = this.position;
+    if (failure === 'history-lost') this.historyLostAt = this.position;
     this.report(`history lost: ${message}`);
     return true;
   }
 
-  private take(changes: readonly ChangedRecord[], version: number, askedAtMs: number): void {
+  private applyChanges(changes: readonly ChangedRecord[], version: number, requestedAtMs: number): void {
     for (const change of changes) if (change.version > this.position) this.handler.apply(change);
     this.position = Math.max(this.position, version);
-    this.noteAnswer(askedAtMs);
+    this.recordAnswer(requestedAtMs);
   }
 
-  private noteAnswer(askedAtMs: number): void {
-    this.currentAsOfMs = askedAtMs;
+  private recordAnswer(requestedAtMs: number): void {
+    this.currentAsOfMs = requestedAtMs;
     this.observer.answered?.(this.handler.table);
   }
 
@@ -219,12 +220,12 @@
 }
 
 /** Spread by half around its length, so that nodes do not call together. */
-function spreadPause(pauseMs: number): number {
-  return pauseMs * (0.5 + Math.random());
+function withJitter(backoffMs: number): number {
+  return backoffMs * (0.5 + Math.random());
 }
 
-function nextPauseMs(pauseMs: number): number {
-  return Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+function nextBackoffMs(backoffMs: number): number {
+  return Math.min(MAX_BACKOFF_MS, backoffMs * 2);
 }
 
 /** Reads one partition of a table whole, with `allowsOld` also as of an earlier moment. */
@@ -232,8 +233,8 @@
   store: RecordStore,
   table: string,
   partition: string,
-  allowsOld = false,
+  allowStale = false,
 ): Promise<Result<TableContent<StoredRecord[]>, StateError>> {
-  const range = await readRange(store, table, partition, undefined, undefined, allowsOld);
-  return range.map(({ records, version, isOld }) => ({ content: records, version, isOld }));
+  const range = await readRange(store, table, partition, undefined, undefined, allowStale);
+  return range.map(({ records, version, isStale }) => ({ content: records, version, isStale: isStale }));
 }
--- a/src/coordination/resource/configuration/config-follower.ts
+++ b/src/coordination/resource/configuration/config-follower.ts
@@ -4,7 +4,7 @@
  * a partition makes it expire; it then stays in force, but `WorkGate` rejects new work.
  */
 import { sleep } from '../../../common/clock.js';
-import { startElapsed } from '../../../common/elapsed-time.js';
+import { startStopwatch } from '../../../common/elapsed-time.js';
 import type { LifecycleObserver } from '../../../common/lifecycle.js';
 import type { RecordStore } from '../../../protocol/record-store.js';
 import type { ConfigStore, ConfigView, FreshnessLease } from '../../../state/resource/configuration/index.js';
@@ -45,7 +45,7 @@
 
   /** Catches up with the store now; true when the configuration is confirmed. */
   async readNow(): Promise<boolean> {
-    const elapsed = startElapsed();
+    const elapsed = startStopwatch();
     const head = await this.configuration.head();
     if (head.isErr()) return false;
     if (!this.hasLoaded && !(await this.loadSnapshot())) return false;
@@ -70,7 +70,7 @@
   }
 
   private async awaitChange(signal: AbortSignal): Promise<boolean> {
-    const elapsed = startElapsed();
+    const elapsed = startStopwatch();
     const answer = await this.store.changes(CONFIGURATION_TABLE, this.position, this.holdMs, signal);
     if (answer.isErr()) return answer.error.failure === 'history-lost' ? this.load() : false;
     if (answer.value.changes.length > 0 && !(await this.readNow())) return false;
--- a/src/coordination/resource/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -144,7 +144,7 @@
   ): Promise<void> {
     const { model, version, weights } = target.spec;
     const swap = this.swap(backend.name);
-    swap.sendIfTaken('ordered', `version ${version}`);
+    swap.sendIfAccepted('ordered', `version ${version}`);
     const command: EngineCommand = {
       fence: this.lease.epoch,
       order: 'load',
@@ -157,10 +157,10 @@
     this.noteLoad(backend, target, isLoaded, loaded.isErr() ? loaded.error : describeShards(loaded.value));
     if (isLoaded) {
       this.failures.delete(backend.name);
-      swap.sendIfTaken('loaded');
+      swap.sendIfAccepted('loaded');
       return;
     }
-    swap.sendIfTaken('loadFailed', loaded.isErr() ? loaded.error : describeShards(loaded.value));
+    swap.sendIfAccepted('loadFailed', loaded.isErr() ? loaded.error : describeShards(loaded.value));
     const failures = (this.failures.get(backend.name) ?? 0) + 1;
     this.failures.set(backend.name, failures);
     await sleep(Math.min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2 ** (failures - 1)), signal);
--- a/src/coordination/service/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -34,7 +34,7 @@
 }
 
 /** A replica that a request was sent to. */
-export interface UsedReplica {
+export interface AttemptedReplica {
   readonly id: string;
   /** `IP:PORT`. */
   readonly address: string;
@@ -51,17 +51,17 @@
 export interface DispatchResult {
   readonly outcome: AttemptOutcome;
   /** The last replica that it was sent to; none where it was sent to none. */
-  readonly replica?: UsedReplica;
+  readonly replica?: AttemptedReplica;
   /** Whether the replica has crashed while it ran the request; a planned end is none. */
   readonly hasCrashedReplica: boolean;
   /** Retry-After of a request that has not run, milliseconds. */
   readonly retryAfterMs?: number;
   readonly capacity?: ServiceCapacity;
   /** Whether it was rejected only because its dispatcher is leaving. */
-  readonly isClosed?: boolean;
+  readonly isLeaving?: boolean;
   /** Name of the dispatcher, for the logs. */
   readonly via?: string;
 }
 
 /** The result of a call that its caller has cancelled. */
-export const CANCELLED: DispatchResult = { outcome: { kind: 'cancelled' }, hasCrashedReplica: false };
+export const CANCELLED_RESULT: DispatchResult = { outcome: { kind: 'cancelled' }, hasCrashedReplica: false };
--- a/src/coordination/service/dispatch/dispatch-messages.ts
+++ b/src/coordination/service/dispatch/dispatch-messages.ts
@@ -88,7 +88,7 @@
 
 /** The message of a result. */
 export function toOutcomeMessage(result: DispatchResult): Framed<DispatchOutcomeMessage> {
-  const { outcome, replica, hasCrashedReplica, retryAfterMs, capacity, isClosed } = result;
+  const { outcome, replica, hasCrashedReplica, retryAfterMs, capacity, isLeaving: isClosed } = result;
   const shared = {
     kind: outcome.kind,
     hasEndedReplica: hasCrashedReplica,
--- a/src/coordination/service/dispatch/dispatcher-candidates.ts
+++ b/src/coordination/service/dispatch/dispatcher-candidates.ts
@@ -27,7 +27,7 @@
 
 interface ReportedCapacity {
   readonly capacity: ServiceCapacity;
-  readonly atMs: number;
+  readonly reportedAtMs: number;
 }
 
 export class DispatcherCandidates {
@@ -39,17 +39,17 @@
   /** `onSelected` is called with the names, separated by spaces, when the dispatchers of a service change. */
   constructor(
     private readonly services: CandidateServices,
-    private readonly takesCalls: (name: string) => boolean,
+    private readonly isCallable: (name: string) => boolean,
     private readonly onSelected: (service: string, names: string) => void,
   ) {}
 
   /** The fleet or the replicas have changed. */
-  noteChange(): void {
+  invalidate(): void {
     this.selections.clear();
   }
 
-  noteCapacity(name: string, capacity: ServiceCapacity): void {
-    this.capacities.set(name, { capacity, atMs: monotonicMs() });
+  recordCapacity(name: string, capacity: ServiceCapacity): void {
+    this.capacities.set(name, { capacity, reportedAtMs: monotonicMs() });
   }
 
   /** Whether the service has dispatchers; else each node dispatches for itself. */
@@ -60,9 +60,9 @@
   /** Nodes to call, in this order; none where this node dispatches by itself. May contain this node. */
   of(service: string): FleetMember[] {
     const { dispatchers, fallback } = this.selectionOf(service);
-    const healthy = dispatchers.filter(({ name }) => this.takesCalls(name));
-    if (healthy.length > 0) return [this.lessLoaded(healthy), ...(fallback ? [fallback] : [])];
-    return fallback && this.takesCalls(fallback.name) ? [fallback] : [];
+    const healthy = dispatchers.filter(({ name }) => this.isCallable(name));
+    if (healthy.length > 0) return [this.pickLessLoaded(healthy), ...(fallback ? [fallback] : [])];
+    return fallback && this.isCallable(fallback.name) ? [fallback] : [];
   }
 
   private selectionOf(service: string): DispatcherSelection {
@@ -82,7 +82,7 @@
     this.onSelected(service, names);
   }
 
-  private lessLoaded(dispatchers: readonly FleetMember[]): FleetMember {
+  private pickLessLoaded(dispatchers: readonly FleetMember[]): FleetMember {
     const one = dispatchers[Math.floor(Math.random() * dispatchers.length)] as FleetMember;
     const other = dispatchers[Math.floor(Math.random() * dispatchers.length)] as FleetMember;
     return this.load(other.name) < this.load(one.name) ? other : one;
@@ -91,7 +91,7 @@
   /** Occupied slots and queued requests for each slot; 0 where nothing recent is known. */
   private load(name: string): number {
     const last = this.capacities.get(name);
-    if (!last || monotonicMs() - last.atMs > MAX_CAPACITY_AGE_MS) return 0;
+    if (!last || monotonicMs() - last.reportedAtMs > MAX_CAPACITY_AGE_MS) return 0;
     const { free, slots, waiting } = last.capacity;
     return (slots - free + waiting) / Math.max(1, slots);
   }
--- a/src/coordination/service/dispatch/dispatcher-client.ts
+++ b/src/coordination/service/dispatch/dispatcher-client.ts
@@ -12,9 +12,9 @@
 import { ACKNOWLEDGE_TIMEOUT_MS, type DispatcherHealth } from './dispatcher-health.js';
 
 /** Unacknowledged time after which a repeatable request ends here, milliseconds. Chosen, not measured. */
-const REPEAT_AFTER_MS = 2.5 * ACKNOWLEDGE_TIMEOUT_MS;
+const REPEATABLE_ACKNOWLEDGE_TIMEOUT_MS = 2.5 * ACKNOWLEDGE_TIMEOUT_MS;
 /** Time for the dispatcher's answer beyond the request's deadline, milliseconds. Chosen, not measured. */
-const ANSWER_MARGIN_MS = 250;
+const ANSWER_TIMEOUT_MARGIN_MS = 250;
 
 /** Sends a message to the node at an address. Never rejects. */
 export type PeerCall = (
@@ -42,15 +42,15 @@
     const abort = () => controller.abort();
     call.signal.addEventListener('abort', abort, { once: true });
     const number = this.health.begin(dispatcher.name);
-    const unacknowledged = isRepeatable ? setTimeout(abort, REPEAT_AFTER_MS) : undefined;
-    const onTaken = () => {
+    const unacknowledged = isRepeatable ? setTimeout(abort, REPEATABLE_ACKNOWLEDGE_TIMEOUT_MS) : undefined;
+    const onAcknowledged = () => {
       clearTimeout(unacknowledged);
       this.health.acknowledge(dispatcher.name, number);
     };
-    const timeoutMs = Math.max(1, call.deadlineMs - monotonicMs() + ANSWER_MARGIN_MS);
+    const timeoutMs = Math.max(1, call.deadlineMs - monotonicMs() + ANSWER_TIMEOUT_MARGIN_MS);
     try {
       const message = toMessage(call, this.services.isStoreAnswering());
-      const options = { onTaken, timeoutMs, signal: controller.signal };
+      const options = { onAcknowledged: onAcknowledged, timeoutMs, signal: controller.signal };
       return await this.services.call(dispatcher.peerAddress, message, options);
     } finally {
       clearTimeout(unacknowledged);
--- a/src/coordination/service/dispatch/dispatcher-health.ts
+++ b/src/coordination/service/dispatch/dispatcher-health.ts
@@ -5,7 +5,7 @@
  *
  * Owns the state of each dispatcher, in memory. The first call after an ejection is the probe.
  */
-import { exponentialMs } from '../../../common/backoff.js';
+import { exponentialBackoffMs } from '../../../common/backoff.js';
 import { monotonicMs } from '../../../common/clock.js';
 
 /**
@@ -22,12 +22,12 @@
   private readonly unacknowledged = new Map<number, number>();
   private ejectedUntilMs = 0;
   private ejections = 0;
-  private calls = 0;
+  private lastCallNumber = 0;
 
   begin(): number {
-    this.calls += 1;
-    this.unacknowledged.set(this.calls, monotonicMs());
-    return this.calls;
+    this.lastCallNumber += 1;
+    this.unacknowledged.set(this.lastCallNumber, monotonicMs());
+    return this.lastCallNumber;
   }
 
   end(call: number): void {
@@ -41,7 +41,8 @@
   }
 
   eject(): void {
-    this.ejectedUntilMs = monotonicMs() + exponentialMs(MIN_EJECTION_MS, this.ejections, MAX_EJECTION_MS);
+    this.ejectedUntilMs =
+      monotonicMs() + exponentialBackoffMs(MIN_EJECTION_MS, this.ejections, MAX_EJECTION_MS);
     this.ejections += 1;
   }
 
@@ -63,7 +64,7 @@
   constructor(private readonly onEjected: (name: string, reason: string) => void) {}
 
   /** Whether a dispatcher may be called; ejects it if a call to it is overdue. */
-  takesCalls(name: string): boolean {
+  isCallable(name: string): boolean {
     const dispatcher = this.dispatchers.get(name);
     if (dispatcher?.isOverdue) this.eject(name, 'a call was not acknowledged');
     return !dispatcher?.isEjected;
@@ -93,7 +94,7 @@
   }
 
   /** Removes the state of nodes that are no longer members. */
-  keepOnly(names: ReadonlySet<string>): void {
+  retainOnly(names: ReadonlySet<string>): void {
     for (const name of this.dispatchers.keys()) if (!names.has(name)) this.dispatchers.delete(name);
   }
 
--- a/src/coordination/service/dispatch/index.ts
+++ b/src/coordination/service/dispatch/index.ts
@@ -1,8 +1,13 @@
 export { CrashCheck } from './crash-check.js';
-export type { DispatchCall, DispatchResult, UsedReplica } from './dispatch-call.js';
+export type { AttemptedReplica, DispatchCall, DispatchResult } from './dispatch-call.js';
 export { toCall, toOutcomeMessage } from './dispatch-messages.js';
 export type { PeerCall } from './dispatcher-client.js';
 export { RemoteDispatch } from './remote-dispatch.js';
-export { type AttemptOutcome, type BufferedAnswer, defectOf, ReplicaExchange } from './replica-exchange.js';
+export {
+  type AttemptOutcome,
+  answerDefect,
+  type BufferedAnswer,
+  ReplicaExchange,
+} from './replica-exchange.js';
 export { digestOf, type IdentifiedRequest } from './request-digest.js';
 export { ServiceQueues } from './service-queues.js';
--- a/src/coordination/service/dispatch/queue-entry.ts
+++ b/src/coordination/service/dispatch/queue-entry.ts
@@ -1,9 +1,9 @@
 /** A request in the queue of a service, from its arrival to its result. */
 import { monotonicMs } from '../../../common/clock.js';
-import type { Waiting } from '../../../state/service/admission/index.js';
+import type { QueuedRequest } from '../../../state/service/admission/index.js';
 import type { DispatchCall, DispatchResult } from './dispatch-call.js';
 
-export interface QueueEntry extends Waiting {
+export interface QueueEntry extends QueuedRequest {
   readonly call: DispatchCall;
   /** Replicas that it is not sent to, by id; emptied when no other replica is available. */
   readonly excluded: Set<string>;
@@ -16,14 +16,17 @@
 }
 
 /** What an entry is made of besides its call. */
-export interface EntryFields extends Pick<QueueEntry, 'serviceTimeMs' | 'resolve'> {
+export interface QueueEntryInput extends Pick<QueueEntry, 'serviceTimeMs' | 'resolve'> {
   /** Replicas at which another attempt of the request runs. */
   readonly runningAt: Iterable<string>;
   readonly onAbort: (entry: QueueEntry) => void;
 }
 
 /** The entry of a call that arrives now. */
-export function toEntry(call: DispatchCall, { runningAt, onAbort, ...fields }: EntryFields): QueueEntry {
+export function toQueueEntry(
+  call: DispatchCall,
+  { runningAt, onAbort, ...fields }: QueueEntryInput,
+): QueueEntry {
   const { priority, flow, isBackground, targetAtMs, deadlineMs } = call;
   const entry: QueueEntry = {
     ...fields,
--- a/src/coordination/service/dispatch/remote-dispatch.ts
+++ b/src/coordination/service/dispatch/remote-dispatch.ts
@@ -15,7 +15,12 @@
   MAX_DISPATCHED_BODY_BYTES,
 } from '../../../protocol/service/dispatch-peer.js';
 import type { FleetMember } from '../../../state/service/replicas/index.js';
-import { CANCELLED, type DispatchCall, type DispatchResult, type ServiceCapacity } from './dispatch-call.js';
+import {
+  CANCELLED_RESULT,
+  type DispatchCall,
+  type DispatchResult,
+  type ServiceCapacity,
+} from './dispatch-call.js';
 import { toResult } from './dispatch-messages.js';
 import { type CandidateServices, DispatcherCandidates } from './dispatcher-candidates.js';
 import { DispatcherClient, type DispatcherClientServices } from './dispatcher-client.js';
@@ -38,16 +43,16 @@
     this.health = new DispatcherHealth((name, reason) => this.report(name, `ejected: ${reason}`));
     this.candidates = new DispatcherCandidates(
       services,
-      (name) => this.health.takesCalls(name),
+      (name) => this.health.isCallable(name),
       (service, names) => this.report(service, names === '' ? 'no dispatchers' : `dispatchers ${names}`),
     );
     this.client = new DispatcherClient(services, this.health);
   }
 
   /** The fleet or the replicas have changed: dispatchers are selected anew. */
-  noteChange(): void {
-    this.candidates.noteChange();
-    this.health.keepOnly(new Set(this.services.members().map(({ name }) => name)));
+  invalidateSelections(): void {
+    this.candidates.invalidate();
+    this.health.retainOnly(new Set(this.services.members().map(({ name }) => name)));
   }
 
   /**
@@ -63,7 +68,7 @@
       }
     this.services.metrics.dispatcherCalls.inc({ outcome: 'here' });
     const result = await this.services.queues.dispatch(call);
-    return result.isClosed ? this.forward(call, isRepeatable, result) : result;
+    return result.isLeaving ? this.forwardRejected(call, isRepeatable, result) : result;
   }
 
   /** Whether this node dispatches for the service. */
@@ -78,12 +83,12 @@
   }
 
   /** Sends a request that was queued here when this node began to leave to another node, if there is any. */
-  private async forward(
+  private async forwardRejected(
     call: DispatchCall,
     isRepeatable: boolean,
     rejected: DispatchResult,
   ): Promise<DispatchResult> {
-    this.noteChange();
+    this.invalidateSelections();
     for (const dispatcher of this.candidates.of(call.service)) {
       if (dispatcher.name === this.services.nodeName) continue;
       const result = await this.dispatchAt(dispatcher, call, isRepeatable);
@@ -98,7 +103,7 @@
     call: DispatchCall,
     isRepeatable: boolean,
   ): Promise<DispatchResult | undefined> {
-    if (call.signal.aborted) return CANCELLED;
+    if (call.signal.aborted) return CANCELLED_RESULT;
     call.onHandOver?.(true);
     const answer = await this.client.call(dispatcher, call, isRepeatable);
     this.services.metrics.dispatcherCalls.inc({ outcome: answer.kind });
@@ -107,7 +112,7 @@
       this.health.eject(dispatcher.name, answer.reason);
       return undefined;
     }
-    if (call.signal.aborted) return CANCELLED;
+    if (call.signal.aborted) return CANCELLED_RESULT;
     if (answer.kind === 'outcome') return this.resultOf(answer.outcome, dispatcher, call);
     this.health.eject(dispatcher.name, answer.reason);
     const reason = `${dispatcher.name}: ${answer.reason}`;
@@ -121,7 +126,7 @@
     call: DispatchCall,
   ): DispatchResult | undefined {
     const { kind, room: capacity, isClosed } = outcome.message;
-    if (capacity) this.candidates.noteCapacity(name, capacity);
+    if (capacity) this.candidates.recordCapacity(name, capacity);
     if (isClosed) this.health.eject(name, 'it is leaving');
     if (!isClosed && !(kind === 'declined' && this.knowsMoreReplicas(call.service, capacity)))
       return toResult(outcome, name);
--- a/src/coordination/service/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -50,24 +50,24 @@
   readonly group?: string;
 }
 
-export interface AttemptTerms extends AttemptContext {
+export interface AttemptOptions extends AttemptContext {
   /** Expected service time, milliseconds; 0 where it is not known. */
   readonly expectedMs: number;
 }
 
 /** Why an answer cannot be passed on, by its head; `undefined` when it can. */
-export function defectOf(answer: ReplicaAnswer): string | undefined {
-  if (!answer.isForRequest) return 'the answer belongs to another request';
+export function answerDefect(answer: ReplicaAnswer): string | undefined {
+  if (!answer.matchesRequest) return 'the answer belongs to another request';
   if (answer.isEncoded) return 'the body is encoded';
   if (answer.status >= 200 && answer.status < 300 && !answer.signature) return 'the success is not signed';
   return undefined;
 }
 
 /** The decline in an answer which states that the request was not run; `undefined` in any other. */
-function declineOf({ isNotExecuted, isForRequest, status }: ReplicaAnswer): AttemptOutcome | undefined {
+function toDecline({ isNotExecuted, matchesRequest, status }: ReplicaAnswer): AttemptOutcome | undefined {
   if (!isNotExecuted) return undefined;
   const isMisdirected = status === MISDIRECTED_STATUS;
-  if (isForRequest) return { kind: 'declined', reason: `status ${status}`, isFull: !isMisdirected };
+  if (matchesRequest) return { kind: 'declined', reason: `status ${status}`, isFull: !isMisdirected };
   if (!isMisdirected) return undefined;
   return { kind: 'declined', reason: 'another replica has the address', isFull: false };
 }
@@ -84,15 +84,15 @@
   async attempt(
     state: ReplicaState,
     request: ReplicaRequest,
-    { expectedMs, ...context }: AttemptTerms,
+    { expectedMs, ...context }: AttemptOptions,
   ): Promise<AttemptOutcome> {
     const startedAt = monotonicMs();
-    state.noteAssigned(expectedMs);
+    state.recordAttemptStart(expectedMs);
     const outcome = await this.exchangeUntilRestart(state, request);
-    state.noteReturned(outcome.kind === 'answered' || outcome.kind === 'declined');
+    state.recordAttemptEnd(outcome.kind === 'answered' || outcome.kind === 'declined');
     const tookMs = monotonicMs() - startedAt;
-    this.noteOutcome(state, outcome, tookMs);
-    this.report(state, request, outcome, tookMs, context);
+    this.recordOutcome(state, outcome, tookMs);
+    this.logAttempt(state, request, outcome, tookMs, context);
     return outcome;
   }
 
@@ -129,14 +129,14 @@
     request: ReplicaRequest,
     answer: ReplicaAnswer,
   ): Promise<AttemptOutcome> {
-    if (answer.load && answer.isForRequest) state.noteLoad(answer.load);
-    const defect = defectOf(answer);
+    if (answer.load && answer.matchesRequest) state.recordLoad(answer.load);
+    const defect = answerDefect(answer);
     if (defect && !answer.isNotExecuted) {
       answer.body.destroy();
       return { kind: 'unknown', reason: defect };
     }
     const body = await readFully(answer.body, MAX_ANSWER_BYTES);
-    const declined = declineOf(answer);
+    const declined = toDecline(answer);
     if (declined) return declined;
     if (defect) return { kind: 'unknown', reason: defect };
     if (body.isErr()) return this.outcomeOfFailure(state, request, body.error, `body: ${body.error.message}`);
@@ -156,13 +156,13 @@
     return { kind: 'unknown', reason, replicaCrashed: await this.crashCheck.hasCrashed(state) };
   }
 
-  private noteOutcome(state: ReplicaState, outcome: AttemptOutcome, tookMs: number): void {
-    if (outcome.kind === 'answered' && outcome.answer.status < 500) state.noteSuccess(tookMs);
+  private recordOutcome(state: ReplicaState, outcome: AttemptOutcome, tookMs: number): void {
+    if (outcome.kind === 'answered' && outcome.answer.status < 500) state.recordSuccess(tookMs);
     else if (outcome.kind === 'declined' && outcome.isFull) state.backOff(FULL_BACKOFF_MS);
-    else if (outcome.kind === 'declined' || outcome.kind === 'unknown') state.noteFailure();
+    else if (outcome.kind === 'declined' || outcome.kind === 'unknown') state.recordFailure();
   }
 
-  private report(
+  private logAttempt(
     state: ReplicaState,
     request: ReplicaRequest,
     outcome: AttemptOutcome,
--- a/src/coordination/service/dispatch/request-digest.ts
+++ b/src/coordination/service/dispatch/request-digest.ts
@@ -14,15 +14,15 @@
 const DIGEST_LENGTH = 32;
 const SEPARATOR = '\0';
 /** Digests by request, so that a body is hashed once at most. */
-const known = new WeakMap<IdentifiedRequest, string>();
+const digests = new WeakMap<IdentifiedRequest, string>();
 
 /** Digest of a request, 32 hexadecimal digits. Computed at the first use: most requests never need one. */
 export function digestOf(request: IdentifiedRequest): string {
-  const before = known.get(request);
+  const before = digests.get(request);
   if (before !== undefined) return before;
   const { method, host, tenant, path, body } = request;
   const hash = createHash('sha256').update([method, host, tenant ?? '', path, ''].join(SEPARATOR));
   const digest = hash.update(body).digest('hex').slice(0, DIGEST_LENGTH);
-  known.set(request, digest);
+  digests.set(request, digest);
   return digest;
 }
--- a/src/coordination/service/dispatch/running-requests.ts
+++ b/src/coordination/service/dispatch/running-requests.ts
@@ -13,7 +13,7 @@
   }
 
   /** The requests that run at a replica. */
-  at(replicaId: string): ReadonlySet<RunningRequest> {
+  runningAt(replicaId: string): ReadonlySet<RunningRequest> {
     return this.runsByReplica.get(replicaId) ?? NONE;
   }
 
--- a/src/coordination/service/dispatch/service-queue.ts
+++ b/src/coordination/service/dispatch/service-queue.ts
@@ -13,22 +13,27 @@
 import {
   type AdmissionDecision,
   admit,
+  FairQueue,
   FlowUsage,
   isDeadlineUnreachable,
   mayHedge,
   mayRequeue,
+  type QueueLimits,
   type Rejection,
   type RejectionReason,
   RetryBudget,
   rejectionText,
   retryAfterMs,
-  type WaitingBounds,
-  WaitingList,
 } from '../../../state/service/admission/index.js';
 import { type ReplicaState, ServiceTimes } from '../../../state/service/replicas/index.js';
-import { CANCELLED, type DispatchCall, type DispatchResult, type ServiceCapacity } from './dispatch-call.js';
-import { QueueChecks, RECHECK_MS } from './queue-checks.js';
-import { type QueueEntry, toEntry } from './queue-entry.js';
+import {
+  CANCELLED_RESULT,
+  type DispatchCall,
+  type DispatchResult,
+  type ServiceCapacity,
+} from './dispatch-call.js';
+import { AssignmentScheduler, RECHECK_INTERVAL_MS } from './queue-checks.js';
+import { type QueueEntry, toQueueEntry } from './queue-entry.js';
 import { reportRejection } from './rejection-reports.js';
 import type { AttemptOutcome, ReplicaExchange } from './replica-exchange.js';
 import { RunningRequests } from './running-requests.js';
@@ -38,16 +43,16 @@
  * A queued request is rejected this long before its deadline, milliseconds. Two check periods, so that the
  * caller's node learns of it before its own timer ends the request as one that may have run.
  */
-const EXPIRY_MARGIN_MS = 2 * RECHECK_MS;
+const EXPIRY_MARGIN_MS = 2 * RECHECK_INTERVAL_MS;
 /** Requests that one pass may leave waiting for a fast replica. Chosen, not measured: bounds its cost. */
-const MAX_SKIPPED = 200;
+const MAX_SKIPPED_PER_PASS = 200;
 
 /** What the queues of a node depend on. */
 export interface ServiceQueueServices extends ReplicaPolicy {
   readonly exchange: ReplicaExchange;
   /** Whether the configuration in force still routes a queued request to the service. */
-  readonly isAllowed: (call: DispatchCall) => boolean;
-  readonly bounds: WaitingBounds;
+  readonly isRouted: (call: DispatchCall) => boolean;
+  readonly queueLimits: QueueLimits;
   readonly metrics: Pick<ServiceMetrics, 'refusedRequests' | 'waitedSeconds'>;
   readonly logger: DecisionLogger;
 }
@@ -55,13 +60,13 @@
 export class ServiceQueue {
   private readonly usage = new FlowUsage();
   private readonly serviceTimes = new ServiceTimes();
-  private readonly waiting: WaitingList<QueueEntry>;
+  private readonly queue: FairQueue<QueueEntry>;
   private readonly retryBudget = new RetryBudget();
   private readonly running = new RunningRequests();
   private readonly replicas: ServiceReplicas;
-  private readonly checks = new QueueChecks(
-    () => this.assignWaiting(),
-    () => this.waiting.size > 0,
+  private readonly scheduler = new AssignmentScheduler(
+    () => this.assignQueued(),
+    () => this.queue.size > 0,
   );
   private isClosed = false;
 
@@ -69,78 +74,79 @@
     private readonly service: string,
     private readonly services: ServiceQueueServices,
   ) {
-    this.waiting = new WaitingList(this.usage, services.bounds);
+    this.queue = new FairQueue(this.usage, services.queueLimits);
     this.replicas = new ServiceReplicas(service, services);
-    services.directory.onChange(() => this.checks.schedule());
+    services.directory.onChange(() => this.scheduler.schedule());
   }
 
   /** Queued requests. */
-  get waitingCount(): number {
-    return this.waiting.size;
+  get queuedCount(): number {
+    return this.queue.size;
   }
 
   /** Retries and hedges that may be sent now. */
   get retryBudgetLeft(): number {
-    return this.retryBudget.left;
+    return this.retryBudget.available;
   }
 
   get capacity(): ServiceCapacity {
     const { free, all } = this.replicas.capacity;
-    return { free, slots: all, waiting: this.waiting.size };
+    return { free, slots: all, waiting: this.queue.size };
   }
 
   /** Sends or queues a request. Never rejects the promise: a rejected request is a declined outcome. */
   dispatch(call: DispatchCall): Promise<DispatchResult> {
-    if (call.signal.aborted) return Promise.resolve(CANCELLED);
-    return new Promise((resolve) => this.enter(call, resolve));
+    if (call.signal.aborted) return Promise.resolve(CANCELLED_RESULT);
+    return new Promise((resolve) => this.receive(call, resolve));
   }
 
   /** Rejects all queued requests, so that callers' nodes ask another dispatcher. What runs goes on. */
   close(): void {
     this.isClosed = true;
-    for (const entry of [...this.waiting]) this.rejectNow(entry, 'dispatcher-leaving');
+    for (const entry of [...this.queue]) this.rejectWithoutRetryAfter(entry, 'dispatcher-leaving');
   }
 
-  private enter(call: DispatchCall, resolve: (result: DispatchResult) => void): void {
-    const entry = toEntry(call, {
+  private receive(call: DispatchCall, resolve: (result: DispatchResult) => void): void {
+    const entry = toQueueEntry(call, {
       serviceTimeMs: this.serviceTimes.expectedMs(call.workKind),
       runningAt: this.running.replicasOf(call.request.id),
       resolve,
       onAbort: (aborted) => this.cancel(aborted),
     });
-    if (call.isHedge) this.enterHedge(entry);
-    else if (call.isRetry && !this.retryBudget.take()) this.rejectForNow(entry, 'retry-budget-exhausted');
-    else this.enterFirst(entry);
+    if (call.isHedge) this.receiveHedge(entry);
+    else if (call.isRetry && !this.retryBudget.tryTake())
+      this.rejectWithRetryAfter(entry, 'retry-budget-exhausted');
+    else this.receiveQueueable(entry);
   }
 
-  private enterFirst(entry: QueueEntry): void {
-    if (!entry.call.isRetry) this.retryBudget.noteFirst();
+  private receiveQueueable(entry: QueueEntry): void {
+    if (!entry.call.isRetry) this.retryBudget.recordFirstAttempt();
     const decision = this.decideAdmission(entry);
     if (decision.kind === 'reject') {
       this.reject(entry, decision);
       return;
     }
-    this.addWaiting(entry);
-    this.assignWaiting();
+    this.enqueue(entry);
+    this.assignQueued();
   }
 
   /** Sends a hedge at once or rejects it; the budget is charged only where there is a replica for it. */
-  private enterHedge(entry: QueueEntry): void {
+  private receiveHedge(entry: QueueEntry): void {
     const choice = mayHedge(this.capacity)
       ? this.replicas.choose(entry.excluded, entry.serviceTimeMs, 0)
       : undefined;
-    if (choice?.kind !== 'send') this.rejectNow(entry, 'no-slot-for-hedge');
-    else if (!this.retryBudget.take()) this.rejectNow(entry, 'retry-budget-exhausted');
+    if (choice?.kind !== 'send') this.rejectWithoutRetryAfter(entry, 'no-slot-for-hedge');
+    else if (!this.retryBudget.tryTake()) this.rejectWithoutRetryAfter(entry, 'retry-budget-exhausted');
     else this.send(entry, choice.state, choice.expectedMs);
   }
 
   private decideAdmission(entry: QueueEntry): AdmissionDecision {
-    const queuedAheadMs = this.waiting.queuedAheadMs(entry, monotonicMs());
+    const queuedAheadMs = this.queue.queuedAheadMs(entry, monotonicMs());
     this.relaxExclusion(entry);
     const input = {
       ...this.retryAfterInput(entry),
       hasReplica: this.replicas.eligible(entry.excluded).length > 0,
-      hasFreeSlot: this.waiting.size === 0 && this.replicas.capacity.free > 0,
+      hasFreeSlot: this.queue.size === 0 && this.replicas.capacity.free > 0,
       queuedAheadMs,
       slotWaitMs: this.slotWaitMs(monotonicMs()),
     };
@@ -152,14 +158,14 @@
     if (this.replicas.eligible(excluded).length === 0) excluded.clear();
   }
 
-  private addWaiting(entry: QueueEntry): void {
+  private enqueue(entry: QueueEntry): void {
     entry.call.signal.addEventListener('abort', entry.onAbort, { once: true });
-    const dropped = this.waiting.add(entry, monotonicMs());
-    if (dropped) this.rejectForNow(dropped, 'queue-full');
+    const dropped = this.queue.add(entry, monotonicMs());
+    if (dropped) this.rejectWithRetryAfter(dropped, 'queue-full');
   }
 
   private cancel(entry: QueueEntry): void {
-    if (this.waiting.remove(entry)) this.end(entry, CANCELLED);
+    if (this.queue.remove(entry)) this.end(entry, CANCELLED_RESULT);
   }
 
   private end(entry: QueueEntry, result: DispatchResult): void {
@@ -168,17 +174,17 @@
   }
 
   /** Rejects a request that may be retried once the queue has drained. */
-  private rejectForNow(entry: QueueEntry, reason: RejectionReason, expectedWaitMs?: number): void {
+  private rejectWithRetryAfter(entry: QueueEntry, reason: RejectionReason, expectedWaitMs?: number): void {
     this.reject(entry, { kind: 'reject', reason, retryAfterMs: this.retryAfterMs(entry), expectedWaitMs });
   }
 
   /** Rejects a request without Retry-After. */
-  private rejectNow(entry: QueueEntry, reason: RejectionReason): void {
+  private rejectWithoutRetryAfter(entry: QueueEntry, reason: RejectionReason): void {
     this.reject(entry, { kind: 'reject', reason, retryAfterMs: 0 });
   }
 
   private reject(entry: QueueEntry, rejection: Rejection): void {
-    this.waiting.remove(entry);
+    this.queue.remove(entry);
     const text = rejectionText(rejection);
     const reason = entry.lastDecline === '' ? text : `${text}; before: ${entry.lastDecline}`;
     const { retryAfterMs } = rejection;
@@ -189,7 +195,7 @@
       hasCrashedReplica: false,
       retryAfterMs: retryAfterMs > 0 ? retryAfterMs : undefined,
       capacity,
-      isClosed: this.isClosed,
+      isLeaving: this.isClosed,
     });
   }
 
@@ -199,55 +205,55 @@
 
   private retryAfterInput({ serviceTimeMs, deadlineMs }: QueueEntry) {
     return {
-      queuedMs: this.waiting.queuedMs,
+      queuedMs: this.queue.queuedMs,
       drainPerMs: this.replicas.drainPerMs,
       serviceTimeMs,
       remainingMs: deadlineMs - monotonicMs(),
     };
   }
 
-  private assignWaiting(): void {
+  private assignQueued(): void {
     this.rejectUnreachable(0);
     const skipped = new Set<QueueEntry>();
     let skippedMs = 0;
-    while (skipped.size < MAX_SKIPPED && this.waiting.size > skipped.size && this.capacity.free > 0) {
-      const entry = this.waiting.next(monotonicMs(), (one) => !skipped.has(one));
+    while (skipped.size < MAX_SKIPPED_PER_PASS && this.queue.size > skipped.size && this.capacity.free > 0) {
+      const entry = this.queue.next(monotonicMs(), (one) => !skipped.has(one));
       if (!entry) break;
       const choice = this.replicas.choose(entry.excluded, entry.serviceTimeMs, skippedMs);
       if (choice.kind === 'send') this.assign(entry, choice.state, choice.expectedMs);
-      else if (choice.kind === 'none') this.rejectForNow(entry, 'no-replica');
+      else if (choice.kind === 'none') this.rejectWithRetryAfter(entry, 'no-replica');
       else {
         skipped.add(entry);
         skippedMs += entry.serviceTimeMs;
       }
     }
     this.rejectUnreachable(EXPIRY_MARGIN_MS);
-    this.checks.armTimer();
+    this.scheduler.armTimer();
   }
 
   private assign(entry: QueueEntry, state: ReplicaState, expectedMs: number): void {
-    this.waiting.remove(entry);
-    this.waiting.noteServed();
+    this.queue.remove(entry);
+    this.queue.recordSlotAssigned();
     const waitedMs = monotonicMs() - entry.sinceMs;
     this.services.metrics.waitedSeconds.observe({ service: this.service }, waitedMs / 1_000);
-    if (this.services.isAllowed(entry.call)) this.send(entry, state, expectedMs);
-    else this.rejectNow(entry, 'route-removed');
+    if (this.services.isRouted(entry.call)) this.send(entry, state, expectedMs);
+    else this.rejectWithoutRetryAfter(entry, 'route-removed');
   }
 
   private rejectUnreachable(marginMs: number): void {
-    if (this.waiting.size === 0) return;
+    if (this.queue.size === 0) return;
     const nowMs = monotonicMs();
     const slotWaitMs = this.slotWaitMs(nowMs);
-    for (const entry of [...this.waiting]) {
+    for (const entry of [...this.queue]) {
       const { deadlineMs, serviceTimeMs } = entry;
       const remainingMs = deadlineMs - nowMs;
       if (isDeadlineUnreachable({ remainingMs, slotWaitMs, serviceTimeMs }, marginMs))
-        this.rejectForNow(entry, 'deadline-unreachable', slotWaitMs);
+        this.rejectWithRetryAfter(entry, 'deadline-unreachable', slotWaitMs);
     }
   }
 
   private slotWaitMs(nowMs: number): number {
-    return this.replicas.slotWaitMs((replicaId) => this.running.at(replicaId), nowMs);
+    return this.replicas.slotWaitMs((replicaId) => this.running.runningAt(replicaId), nowMs);
   }
 
   private send(entry: QueueEntry, state: ReplicaState, expectedMs: number): void {
@@ -262,11 +268,11 @@
       .then((outcome) => {
         const tookMs = monotonicMs() - sentAtMs;
         if (outcome.kind === 'answered')
-          state.noteLatencyRatio(this.serviceTimes.note(call.workKind, tookMs));
+          state.recordLatencyRatio(this.serviceTimes.record(call.workKind, tookMs));
         endRun();
         this.usage.add(call.flow, tookMs - expectedMs, monotonicMs());
         this.finish(entry, state, outcome);
-        this.checks.schedule();
+        this.scheduler.schedule();
       });
   }
 
@@ -291,7 +297,7 @@
     onHandOver?.(false);
     entry.excluded.add(replicaId);
     this.relaxExclusion(entry);
-    this.addWaiting(entry);
+    this.enqueue(entry);
     return true;
   }
 }
--- a/src/coordination/service/dispatch/service-replicas.ts
+++ b/src/coordination/service/dispatch/service-replicas.ts
@@ -4,18 +4,18 @@
  */
 import { type RunningRequest, slotWaitMs } from '../../../state/service/admission/index.js';
 import {
-  type Choice,
-  type ChoiceInput,
   capacityOf,
   chooseReplica,
   drainRate,
+  type ReplicaChoice,
+  type ReplicaChoiceInput,
   type ReplicaDirectory,
   type ReplicaState,
 } from '../../../state/service/replicas/index.js';
 
 /** What the configuration and the fleet say of replicas. */
 export interface ReplicaPolicy
-  extends Required<Pick<ChoiceInput, 'slotsOf' | 'slowStartPerSecond' | 'zonePenalty'>> {
+  extends Required<Pick<ReplicaChoiceInput, 'slotsOf' | 'slowStartPerSecond' | 'zonePenalty'>> {
   readonly directory: ReplicaDirectory;
 }
 
@@ -42,7 +42,7 @@
   }
 
   /** The replica for a request of `serviceTimeMs` behind work of `queuedAheadMs`. */
-  choose(excluded: ReadonlySet<string>, serviceTimeMs: number, queuedAheadMs: number): Choice {
+  choose(excluded: ReadonlySet<string>, serviceTimeMs: number, queuedAheadMs: number): ReplicaChoice {
     const { slotsOf, zonePenalty, slowStartPerSecond } = this.policy;
     const input = { slotsOf, zonePenalty, slowStartPerSecond, serviceTimeMs, queuedAheadMs };
     return chooseReplica(this.eligible(excluded), input);
--- a/src/coordination/service/generation/attempt-watch.ts
+++ b/src/coordination/service/generation/attempt-watch.ts
@@ -5,43 +5,43 @@
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
-import type { AttemptPace, GenerationOutcome, GenerationTerms } from './generation-terms.js';
+import type { AttemptPace, GenerationOptions, GenerationOutcome } from './generation-terms.js';
 
 /** Interval of the checks, ms. Chosen, not measured: short against the least stall time-out of a second. */
-const CHECK_MS = 100;
+const CHECK_INTERVAL_MS = 100;
 /** Events over which the pace is measured. Chosen, not measured: one late event must not cause a move. */
-const PACE_EVENTS = 6;
+const PACE_WINDOW_EVENTS = 6;
 
 /** Why and how a watch has broken its attempt off. */
-export type WatchBreak = Extract<GenerationOutcome, { kind: 'broken' | 'moved' }>;
+export type AbortOutcome = Extract<GenerationOutcome, { kind: 'broken' | 'moved' }>;
 
 /** Pace, from event times on the monotonic clock, oldest first; `undefined` while they are too few. */
-function paceOf(eventTimes: readonly number[], nowMs: number): AttemptPace | undefined {
+function measurePace(eventTimes: readonly number[], nowMs: number): AttemptPace | undefined {
   const [first] = eventTimes;
-  if (first === undefined || eventTimes.length < PACE_EVENTS) return undefined;
+  if (first === undefined || eventTimes.length < PACE_WINDOW_EVENTS) return undefined;
   return { eventMs: (nowMs - first) / eventTimes.length };
 }
 
 /** The watch of one attempt. */
-export class AttemptWatch {
+export class AttemptMonitor {
   private readonly controller = new AbortController();
   private readonly timer: NodeJS.Timeout;
   private readonly onAbort = () => this.controller.abort();
-  private readonly forgetRestart: () => void;
+  private readonly unsubscribeRestart: () => void;
   private lastDataAtMs = monotonicMs();
   /** Times of the last events, oldest first. */
   private readonly eventTimes: number[] = [];
-  private broken: WatchBreak | undefined;
+  private abortOutcome: AbortOutcome | undefined;
 
   constructor(
-    private readonly terms: Pick<GenerationTerms, 'stallMs' | 'reasonToMove' | 'signal'>,
+    private readonly terms: Pick<GenerationOptions, 'stallMs' | 'reasonToMove' | 'signal'>,
     private readonly state: ReplicaState,
   ) {
-    this.timer = setInterval(() => this.check(), CHECK_MS);
+    this.timer = setInterval(() => this.check(), CHECK_INTERVAL_MS);
     terms.signal.addEventListener('abort', this.onAbort, { once: true });
     if (terms.signal.aborted) this.controller.abort();
-    this.forgetRestart = state.onRestart(() =>
-      this.breakOff({ kind: 'broken', reason: 'the replica has restarted', isConnectionLost: true }),
+    this.unsubscribeRestart = state.onRestart(() =>
+      this.abortWith({ kind: 'broken', reason: 'the replica has restarted', isConnectionLost: true }),
     );
   }
 
@@ -51,43 +51,43 @@
   }
 
   /** How the watch broke the attempt off, if it did. */
-  get outcome(): WatchBreak | undefined {
-    return this.broken;
+  get outcome(): AbortOutcome | undefined {
+    return this.abortOutcome;
   }
 
   /** Data was received. */
-  noteData(): void {
+  recordData(): void {
     this.lastDataAtMs = monotonicMs();
   }
 
   /** An event was received whole. */
-  noteEvent(): void {
+  recordEvent(): void {
     const before = this.eventTimes.at(-1);
     const now = monotonicMs();
-    if (before !== undefined) this.state.noteEvent(now - before);
+    if (before !== undefined) this.state.recordEventInterval(now - before);
     this.eventTimes.push(now);
-    if (this.eventTimes.length > PACE_EVENTS) this.eventTimes.shift();
+    if (this.eventTimes.length > PACE_WINDOW_EVENTS) this.eventTimes.shift();
   }
 
   stop(): void {
     clearInterval(this.timer);
     this.terms.signal.removeEventListener('abort', this.onAbort);
-    this.forgetRestart();
+    this.unsubscribeRestart();
   }
 
   private check(): void {
     const { stallMs } = this.terms;
     if (monotonicMs() - this.lastDataAtMs >= stallMs) {
-      this.breakOff({ kind: 'broken', reason: `stalled: no data for ${Math.round(stallMs)} ms` });
+      this.abortWith({ kind: 'broken', reason: `stalled: no data for ${Math.round(stallMs)} ms` });
       return;
     }
-    const pace = paceOf(this.eventTimes, monotonicMs());
+    const pace = measurePace(this.eventTimes, monotonicMs());
     const reason = pace && this.terms.reasonToMove(pace);
-    if (reason !== undefined) this.breakOff({ kind: 'moved', reason });
+    if (reason !== undefined) this.abortWith({ kind: 'moved', reason });
   }
 
-  private breakOff(outcome: WatchBreak): void {
-    this.broken ??= outcome;
+  private abortWith(outcome: AbortOutcome): void {
+    this.abortOutcome ??= outcome;
     this.controller.abort();
   }
 }
--- a/src/coordination/service/generation/generation-attempt.ts
+++ b/src/coordination/service/generation/generation-attempt.ts
@@ -9,27 +9,27 @@
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
 import { readFully } from '../../../transport/http-client.js';
 import { toTransportError } from '../../../transport/transport-error.js';
-import { defectOf } from '../dispatch/index.js';
-import { AttemptWatch } from './attempt-watch.js';
-import type { GenerationOutcome, GenerationTerms } from './generation-terms.js';
+import { answerDefect } from '../dispatch/index.js';
+import { AttemptMonitor } from './attempt-watch.js';
+import type { GenerationOptions, GenerationOutcome } from './generation-terms.js';
 import type { SampleText } from './sample-text.js';
 
 const STATUS_OK = 200;
 /** Another replica has the address: not a sign of full slots. */
 const STATUS_MISDIRECTED = 421;
-const STATUS_IMPOSSIBLE = 422;
-const STATUS_FAILED = 500;
+const STATUS_UNPROCESSABLE = 422;
+const STATUS_INTERNAL_ERROR = 500;
 /** Most bytes of an error body that are read, to keep the connection usable. Chosen, not measured. */
-const MAX_ERROR_BYTES = 64 * 1024;
+const MAX_ERROR_BODY_BYTES = 64 * 1024;
 
 /** An attempt under way. */
-interface Attempt {
+interface AttemptContext {
   readonly client: ReplicaClient;
   readonly state: ReplicaState;
   readonly item: JobItem;
   readonly text: SampleText;
-  readonly terms: GenerationTerms;
-  readonly watch: AttemptWatch;
+  readonly terms: GenerationOptions;
+  readonly watch: AttemptMonitor;
 }
 
 /** Streams events of `item` from a replica into `text`. Never rejects. */
@@ -38,9 +38,9 @@
   state: ReplicaState,
   item: JobItem,
   text: SampleText,
-  terms: GenerationTerms,
+  terms: GenerationOptions,
 ): Promise<GenerationOutcome> {
-  const watch = new AttemptWatch(terms, state);
+  const watch = new AttemptMonitor(terms, state);
   try {
     const outcome = await exchange({ client, state, item, text, terms, watch });
     if (outcome.kind === 'whole') return outcome;
@@ -51,7 +51,7 @@
   }
 }
 
-async function exchange(attempt: Attempt): Promise<GenerationOutcome> {
+async function exchange(attempt: AttemptContext): Promise<GenerationOutcome> {
   const { client, state, item, text, terms, watch } = attempt;
   const sent = await client.dispatch(state.replica, {
     id: item.id,
@@ -71,25 +71,25 @@
     if (!sent.error.requestSent) return { kind: 'declined', reason, isFull: false };
     return { kind: 'broken', reason, isConnectionLost: sent.error.failure === 'connection-lost' };
   }
-  watch.noteData();
+  watch.recordData();
   const answer = sent.value;
-  if (answer.status !== STATUS_OK) return judgeRefusal(answer);
-  if (answer.isForRequest) terms.onTaken();
+  if (answer.status !== STATUS_OK) return classifyErrorResponse(answer);
+  if (answer.matchesRequest) terms.onAccepted();
   return streamEvents(attempt, answer);
 }
 
-async function judgeRefusal(answer: ReplicaAnswer): Promise<GenerationOutcome> {
+async function classifyErrorResponse(answer: ReplicaAnswer): Promise<GenerationOutcome> {
   const reason = `status ${answer.status}`;
-  if (answer.body.readable) await readFully(answer.body, MAX_ERROR_BYTES);
-  if (!answer.isForRequest) return { kind: 'broken', reason: 'the answer belongs to another request' };
+  if (answer.body.readable) await readFully(answer.body, MAX_ERROR_BODY_BYTES);
+  if (!answer.matchesRequest) return { kind: 'broken', reason: 'the answer belongs to another request' };
   if (answer.isNotExecuted) return { kind: 'declined', reason, isFull: answer.status !== STATUS_MISDIRECTED };
-  if (answer.status === STATUS_IMPOSSIBLE) return { kind: 'impossible', reason };
-  if (answer.status === STATUS_FAILED) return { kind: 'failed', reason };
+  if (answer.status === STATUS_UNPROCESSABLE) return { kind: 'impossible', reason };
+  if (answer.status === STATUS_INTERNAL_ERROR) return { kind: 'failed', reason };
   return { kind: 'broken', reason };
 }
 
-async function streamEvents(attempt: Attempt, answer: ReplicaAnswer): Promise<GenerationOutcome> {
-  const defect = defectOf(answer);
+async function streamEvents(attempt: AttemptContext, answer: ReplicaAnswer): Promise<GenerationOutcome> {
+  const defect = answerDefect(answer);
   if (defect) {
     answer.body.destroy();
     return { kind: 'broken', reason: defect };
@@ -112,40 +112,40 @@
 
 /** Reads events until the stream ends or one must not be kept. Rejects when the connection breaks. */
 async function readEvents(
-  { client, state, text, terms, watch }: Attempt,
+  { client, state, text, terms, watch }: AttemptContext,
   answer: ReplicaAnswer,
   parser: EventStreamParser,
 ): Promise<GenerationOutcome | undefined> {
   let version = answer.weightVersion ?? state.versionOf(terms.model);
   for await (const chunk of answer.body as AsyncIterable<Buffer>) {
-    watch.noteData();
+    watch.recordData();
     for (const event of parser.push(chunk)) {
-      version = versionOf(event, client.eventVersionField, version);
-      const problem = problemOf(event, version, text, terms);
+      version = eventVersion(event, client.eventVersionField, version);
+      const problem = validateEvent(event, version, text, terms);
       if (problem) {
         answer.body.destroy();
         return problem;
       }
       terms.onVersion(version);
       text.append(event.id, event.data, version);
-      watch.noteEvent();
+      watch.recordEvent();
     }
   }
   return undefined;
 }
 
 /** The version that generated an event: NaN when its field is no number, `before` when it has none. */
-function versionOf(event: StreamEvent, field: string, before: number): number {
+function eventVersion(event: StreamEvent, field: string, before: number): number {
   const value = event.fields[field];
   return value === undefined ? before : Number(value);
 }
 
 /** Why an event must not be kept: it is not the next one, or its version does not fit the terms. */
-function problemOf(
+function validateEvent(
   event: StreamEvent,
   version: number,
   text: SampleText,
-  terms: GenerationTerms,
+  terms: GenerationOptions,
 ): GenerationOutcome | undefined {
   if (!text.isNext(event.id))
     return { kind: 'broken', reason: `event ${event.id} does not follow ${text.lastEventId}` };
--- a/src/coordination/service/generation/generation-terms.ts
+++ b/src/coordination/service/generation/generation-terms.ts
@@ -7,7 +7,7 @@
 }
 
 /** Terms of an attempt. */
-export interface GenerationTerms {
+export interface GenerationOptions {
   readonly host: string;
   /** Tenant on whose behalf it runs, if any. */
   readonly tenant?: string;
@@ -22,7 +22,7 @@
   /** Why another replica would finish sooner than this one at `pace`, if one would. Called repeatedly. */
   readonly reasonToMove: (pace: AttemptPace) => string | undefined;
   /** Called when the replica has accepted the request. */
-  readonly onTaken: () => void;
+  readonly onAccepted: () => void;
   /** Called with the weight version of each event. */
   readonly onVersion: (version: number) => void;
   readonly signal: AbortSignal;
--- a/src/coordination/service/generation/placement-cost.ts
+++ b/src/coordination/service/generation/placement-cost.ts
@@ -16,8 +16,8 @@
 }
 
 /** Cost of a full replica, and of another zone, ms. Chosen, not measured: less than a long request's time. */
-const FULL_REPLICA_MS = 1_000;
-const OTHER_ZONE_MS = 50;
+const FULL_REPLICA_COST_MS = 1_000;
+const OTHER_ZONE_COST_MS = 50;
 /** Share of its time that a request loses at a full replica. Chosen; 5 to 9% were seen at fewer requests. */
 const FULL_REPLICA_SLOWDOWN = 0.1;
 /** Cost of a replica that declined the last request, ms. Chosen: above a full one, so it is tried last. */
@@ -31,8 +31,8 @@
   const usualMs = Number.isFinite(input.fastestMs) ? input.fastestMs : 0;
   const runMs = (input.averageMs || usualMs) * input.expectedEvents;
   const load = input.inFlight / Math.max(1, input.slots);
-  const loadMs = load * (FULL_REPLICA_MS + runMs * FULL_REPLICA_SLOWDOWN);
-  const distanceMs = input.isOtherZone ? OTHER_ZONE_MS : 0;
+  const loadMs = load * (FULL_REPLICA_COST_MS + runMs * FULL_REPLICA_SLOWDOWN);
+  const distanceMs = input.isOtherZone ? OTHER_ZONE_COST_MS : 0;
   const declinedMs = input.hasDeclined ? DECLINED_COST_MS : 0;
   return runMs + loadMs + distanceMs + declinedMs;
 }
--- a/src/coordination/service/generation/placement.ts
+++ b/src/coordination/service/generation/placement.ts
@@ -12,7 +12,7 @@
 /**
  * Interval of rescheduling without an event, milliseconds: ejections end without one. Chosen, not measured.
  */
-const RECHECK_MS = 50;
+const RECHECK_INTERVAL_MS = 50;
 /** Breaks ties of cost at random; far below a millisecond. */
 const TIE_BREAK_MS = 1e-6;
 
@@ -33,23 +33,23 @@
 }
 
 /** The replica that a running sample could move to. */
-export interface FastestReplica {
+export interface MoveTarget {
   /** Measured time of an event, milliseconds. */
   readonly eventMs: number;
   readonly hasFreeSlot: boolean;
 }
 
 /** Requirements of a running sample for a move. */
-export type SlotQuery = Pick<PlacementRequest, 'slots' | 'accepts'> & { readonly service: string };
+export type MoveTargetQuery = Pick<PlacementRequest, 'slots' | 'accepts'> & { readonly service: string };
 
-interface Waiter {
+interface WaitingRequest {
   readonly request: PlacementRequest;
   readonly resolve: (state: ReplicaState | undefined) => void;
 }
 
 /** The waiting requests of a node, and the slots that it uses. */
 export class Placement {
-  private waiters: Waiter[] = [];
+  private waiters: WaitingRequest[] = [];
   private timer: NodeJS.Timeout | undefined;
   private isScheduled = false;
 
@@ -72,7 +72,7 @@
     if (request.signal.aborted) return Promise.resolve(undefined);
     return new Promise((resolve) => {
       const onAbort = () => this.cancel(waiter);
-      const waiter: Waiter = {
+      const waiter: WaitingRequest = {
         request,
         resolve: (state) => {
           request.signal.removeEventListener('abort', onAbort);
@@ -80,23 +80,25 @@
         },
       };
       request.signal.addEventListener('abort', onAbort, { once: true });
-      this.insert(waiter);
+      this.enqueue(waiter);
       this.schedule();
     });
   }
 
   /** A replica has accepted a request, and may get more. */
-  noteTaken(state: ReplicaState): void {
-    state.noteAnswered();
-    state.noteTaken();
+  markAccepted(state: ReplicaState): void {
+    state.recordGenerationSettled();
+    state.recordAccepted();
     this.schedule();
   }
 
   /** The fastest replica as measured: among those with a free slot, if any and no request waits, else all. */
-  fastest({ service, slots, accepts }: SlotQuery): FastestReplica | undefined {
+  findMoveTarget({ service, slots, accepts }: MoveTargetQuery): MoveTarget | undefined {
     const measured = this.directory
       .availableOf(service)
-      .filter((state) => !state.isUnhealthy && state.admitsMore && state.averageMs > 0 && accepts(state));
+      .filter(
+        (state) => !state.isUnhealthy && state.allowsGeneration && state.averageMs > 0 && accepts(state),
+      );
     const free = this.waiters.length > 0 ? [] : measured.filter((state) => state.inFlight < slots(state));
     const candidates = free.length > 0 ? free : measured;
     if (candidates.length === 0) return undefined;
@@ -107,17 +109,17 @@
   /** Releases a slot; `wasTaken` says whether the replica had accepted the request. */
   release(state: ReplicaState, wasTaken: boolean): void {
     state.inFlight -= 1;
-    if (!wasTaken) state.noteAnswered();
+    if (!wasTaken) state.recordGenerationSettled();
     this.schedule();
   }
 
-  private insert(waiter: Waiter): void {
+  private enqueue(waiter: WaitingRequest): void {
     const at = this.waiters.findIndex((other) => other.request.priority > waiter.request.priority);
     if (at < 0) this.waiters.push(waiter);
     else this.waiters.splice(at, 0, waiter);
   }
 
-  private cancel(waiter: Waiter): void {
+  private cancel(waiter: WaitingRequest): void {
     const at = this.waiters.indexOf(waiter);
     if (at < 0) return;
     this.waiters.splice(at, 1);
@@ -130,20 +132,20 @@
     this.isScheduled = true;
     setImmediate(() => {
       this.isScheduled = false;
-      this.assignWaiting();
+      this.assignReplicas();
     });
   }
 
-  private assignWaiting(): void {
-    const still: Waiter[] = [];
+  private assignReplicas(): void {
+    const still: WaitingRequest[] = [];
     for (const waiter of this.waiters) {
-      const state = this.choose(waiter.request);
+      const state = this.selectReplica(waiter.request);
       if (!state) {
         still.push(waiter);
         continue;
       }
       state.inFlight += 1;
-      state.noteSent();
+      state.recordGenerationSent();
       waiter.resolve(state);
     }
     this.waiters = still;
@@ -151,15 +153,15 @@
   }
 
   /** The cheapest replica; none while that one must first accept or decline those it was sent. */
-  private choose(request: PlacementRequest): ReplicaState | undefined {
+  private selectReplica(request: PlacementRequest): ReplicaState | undefined {
     const service = request.service();
     if (service === undefined) return undefined;
-    const cheapest = this.directory.select({
+    const cheapest = this.directory.selectForGeneration({
       service,
       zone: this.zone,
       preferred: request.preferred(),
       accepts: (state) =>
-        state.admitsMore &&
+        state.allowsGeneration &&
         state.inFlight < request.slots(state) &&
         this.allowsInSlowStart(state) &&
         request.accepts(state),
@@ -186,6 +188,6 @@
     this.timer = setTimeout(() => {
       this.timer = undefined;
       this.schedule();
-    }, RECHECK_MS);
+    }, RECHECK_INTERVAL_MS);
   }
 }
--- a/src/coordination/service/generation/sample-moves.ts
+++ b/src/coordination/service/generation/sample-moves.ts
@@ -1,7 +1,7 @@
 /** Decides when a sample moves to a faster replica. That one reads prompt and text, and continues. */
 import { monotonicMs } from '../../../common/clock.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
-import type { FastestReplica } from './placement.js';
+import type { MoveTarget } from './placement.js';
 
 /** Most moves of one sample. Chosen: after two, samples stayed at slow replicas while fast ones were full. */
 const MAX_MOVES = 5;
@@ -13,25 +13,25 @@
 const SLOT_WAIT_MS = 700;
 
 /** The moves of one sample. */
-export class SampleMoves {
+export class MovePolicy {
   private count = 0;
-  private lastLeft: ReplicaState | undefined;
-  private lastLeftAtMs = 0;
+  private lastSource: ReplicaState | undefined;
+  private lastMovedAtMs = 0;
 
   /** The sample was broken off at `state`, to continue at a faster replica. */
-  note(state: ReplicaState): void {
+  recordMove(state: ReplicaState): void {
     this.count += 1;
-    this.lastLeft = state;
-    this.lastLeftAtMs = monotonicMs();
+    this.lastSource = state;
+    this.lastMovedAtMs = monotonicMs();
   }
 
   /** Whether the sample left this replica within `SLOT_WAIT_MS`: it does not return at once. */
-  hasJustLeft(state: ReplicaState): boolean {
-    return this.lastLeft === state && monotonicMs() - this.lastLeftAtMs < SLOT_WAIT_MS;
+  hasRecentlyLeft(state: ReplicaState): boolean {
+    return this.lastSource === state && monotonicMs() - this.lastMovedAtMs < SLOT_WAIT_MS;
   }
 
   /** Whether another move is allowed. */
-  get mayMove(): boolean {
+  get canMove(): boolean {
     return this.count < MAX_MOVES;
   }
 
@@ -40,7 +40,7 @@
    * a slot. `eventMs` is the time of an event where the sample runs, milliseconds; `remainingEvents` are the
    * events it still needs.
    */
-  static isWorthwhile(eventMs: number, elsewhere: FastestReplica, remainingEvents: number): boolean {
+  static isWorthwhile(eventMs: number, elsewhere: MoveTarget, remainingEvents: number): boolean {
     if (eventMs < elsewhere.eventMs * MIN_SPEEDUP) return false;
     const costMs = elsewhere.hasFreeSlot ? MOVE_COST_MS : MOVE_COST_MS + SLOT_WAIT_MS;
     return remainingEvents * (eventMs - elsewhere.eventMs) > costMs;
--- a/src/coordination/service/generation/sample-scorer.ts
+++ b/src/coordination/service/generation/sample-scorer.ts
@@ -9,7 +9,7 @@
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import type { RoutingSnapshot, RoutingTable } from '../../../state/service/configuration/index.js';
 import type { RelayOutcome, ServiceRelay } from '../requests/index.js';
-import { isRouteGone } from './route-loss.js';
+import { isRouteRemoved } from './route-loss.js';
 
 /** How scoring ended. */
 export type ScoringOutcome =
@@ -25,18 +25,18 @@
 }
 
 /** Backoff between attempts, milliseconds, randomized by half. Chosen, not measured. */
-const FIRST_PAUSE_MS = 20;
-const LONGEST_PAUSE_MS = 400;
+const INITIAL_BACKOFF_MS = 20;
+const MAX_BACKOFF_MS = 400;
 /** Flow that scoring calls are charged to. */
 const SCORING_FLOW = 'scoring';
 /** Statuses from here on fail a scoring call: redirects have no score. */
-const FIRST_FAILURE_STATUS = 300;
+const MIN_FAILURE_STATUS = 300;
 
 /** What one attempt means; `retry` does not count as a failure: a rejection, or a response without score. */
-function judgeScoring(outcome: RelayOutcome): { kind: 'scored'; score: string } | 'failed' | 'retry' {
+function classifyScoring(outcome: RelayOutcome): { kind: 'scored'; score: string } | 'failed' | 'retry' {
   if (outcome.kind !== 'answered') return 'retry';
   const { status, isFramed, signature } = outcome.answer;
-  if (status >= FIRST_FAILURE_STATUS) return 'failed';
+  if (status >= MIN_FAILURE_STATUS) return 'failed';
   return isFramed && signature ? { kind: 'scored', score: signature } : 'retry';
 }
 
@@ -50,12 +50,12 @@
   /** Retries the call until it succeeds, has failed too often, or `signal` is aborted. Never rejects. */
   async score(call: ScoringCall, signal: AbortSignal): Promise<ScoringOutcome> {
     const progress = { failures: 0, routeSeenAtMs: monotonicMs() };
-    let pauseMs = FIRST_PAUSE_MS;
+    let pauseMs = INITIAL_BACKOFF_MS;
     while (!signal.aborted) {
       const outcome = await this.attempt(call, signal, progress);
       if (outcome) return outcome;
       await sleep(pauseMs * (0.5 + Math.random()), signal);
-      pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+      pauseMs = Math.min(MAX_BACKOFF_MS, pauseMs * 2);
     }
     return { kind: 'cancelled' };
   }
@@ -70,11 +70,11 @@
     if (!snapshot) return undefined;
     const route = snapshot.match(call.host, call.path);
     if (!route) {
-      const isGone = isRouteGone(progress.routeSeenAtMs, monotonicMs());
+      const isGone = isRouteRemoved(progress.routeSeenAtMs, monotonicMs());
       return isGone ? { kind: 'impossible', reason: 'the route of the scoring call is gone' } : undefined;
     }
     progress.routeSeenAtMs = monotonicMs();
-    const verdict = judgeScoring(await this.send(call, signal, snapshot, route));
+    const verdict = classifyScoring(await this.send(call, signal, snapshot, route));
     if (typeof verdict === 'object') return verdict;
     if (verdict === 'failed') progress.failures += 1;
     if (progress.failures < route.maxAttempts) return undefined;
--- a/src/coordination/service/generation/sample-text.ts
+++ b/src/coordination/service/generation/sample-text.ts
@@ -6,7 +6,7 @@
   private readonly events: string[] = [];
   private readonly versionSet = new Set<number>();
   private lastId: string | undefined;
-  private savedEvents = 0;
+  private savedCount = 0;
   /** Whether the stream was read to its end. */
   isComplete = false;
 
@@ -17,7 +17,7 @@
     for (const version of partial.versions) text.versionSet.add(version);
     text.lastId = partial.events.length > 0 ? partial.lastEventId : undefined;
     text.isComplete = partial.isWhole;
-    text.savedEvents = partial.events.length;
+    text.savedCount = partial.events.length;
     return text;
   }
 
@@ -51,7 +51,7 @@
     this.events.length = 0;
     this.versionSet.clear();
     this.lastId = undefined;
-    this.savedEvents = 0;
+    this.savedCount = 0;
     this.isComplete = false;
   }
 
@@ -62,12 +62,12 @@
 
   /** Whether there are events that are not stored yet. */
   get hasUnsaved(): boolean {
-    return this.events.length > this.savedEvents;
+    return this.events.length > this.savedCount;
   }
 
   /** Notes that the first `count` events are stored. */
-  noteSaved(count: number): void {
-    this.savedEvents = Math.max(this.savedEvents, Math.min(count, this.events.length));
+  markSaved(count: number): void {
+    this.savedCount = Math.max(this.savedCount, Math.min(count, this.events.length));
   }
 
   /** What another owner needs to continue. */
--- a/src/coordination/service/jobs/item-attempts.ts
+++ b/src/coordination/service/jobs/item-attempts.ts
@@ -11,10 +11,10 @@
 import {
   type AttemptPace,
   attemptGeneration,
+  type GenerationOptions,
   type GenerationOutcome,
-  type GenerationTerms,
+  MovePolicy,
   type PlacementRequest,
-  SampleMoves,
   type SampleText,
 } from '../generation/index.js';
 import { attemptTimeoutMs, placementPriority, replicaFeedback, stallTimeoutMs } from './item-policy.js';
@@ -22,7 +22,7 @@
 import type { ItemJob, ItemServices } from './item-services.js';
 
 /** First backoff of a replica that declined an item, milliseconds; it doubles. Chosen, not measured. */
-const DECLINED_BACKOFF_MS = 60;
+const INITIAL_DECLINE_BACKOFF_MS = 60;
 
 /** An attempt that has ended. */
 interface EndedAttempt {
@@ -40,8 +40,8 @@
 export class ItemAttempts {
   private attempts = 0;
   /** Whether a part of the text exists, also from an earlier owner: the item goes before new ones. */
-  private isBegun: boolean;
-  private readonly moves = new SampleMoves();
+  private isStarted: boolean;
+  private readonly movePolicy = new MovePolicy();
 
   constructor(
     private readonly services: ItemServices,
@@ -49,9 +49,9 @@
     private readonly item: JobItem,
     private readonly text: SampleText,
     private readonly route: ItemRoute,
-    private readonly identified: IdentifiedRequest,
+    private readonly identity: IdentifiedRequest,
   ) {
-    this.isBegun = text.eventCount > 0;
+    this.isStarted = text.eventCount > 0;
   }
 
   get count(): number {
@@ -67,12 +67,12 @@
     const startedAtMs = monotonicMs();
     const eventsBefore = this.text.eventCount;
     this.job.groupReplicas.set(this.item.group, state);
-    this.isBegun = true;
+    this.isStarted = true;
     this.attempts += 1;
     let wasTaken = false;
-    const terms = this.termsAt(route, state, () => {
+    const terms = this.optionsFor(route, state, () => {
       wasTaken = true;
-      placement.noteTaken(state);
+      placement.markAccepted(state);
     });
     const outcome = await attemptGeneration(client, state, this.item, this.text, terms);
     placement.release(state, wasTaken);
@@ -81,8 +81,8 @@
     const hasCrashed = await this.hasCrashed(state, outcome);
     const events = this.text.eventCount - eventsBefore;
     const ended: EndedAttempt = { state, outcome, events, hasCrashed, waitedMs, tookMs };
-    this.noteForQuarantine(ended);
-    this.noteForReplica(ended);
+    this.updateQuarantine(ended);
+    this.updateReplica(ended);
     this.report(ended);
     return outcome;
   }
@@ -97,17 +97,18 @@
   private placementRequest(route: Route): PlacementRequest {
     const chosen = this.services.splitter.next(route)?.service;
     return {
-      service: () => this.route.serviceOf(chosen),
+      service: () => this.route.resolveService(chosen),
       slots: (candidate) => this.slotsOf(candidate),
-      accepts: (candidate) => this.hasVersion(candidate) && !this.moves.hasJustLeft(candidate),
+      accepts: (candidate) =>
+        this.hasRequiredVersion(candidate) && !this.movePolicy.hasRecentlyLeft(candidate),
       preferred: () => this.job.groupReplicas.get(this.item.group),
-      expectedEvents: this.services.lengths.remaining(this.item, this.text.eventCount),
-      priority: placementPriority(this.isBegun),
+      expectedEvents: this.services.lengths.remainingEvents(this.item, this.text.eventCount),
+      priority: placementPriority(this.isStarted),
       signal: this.job.signal,
     };
   }
 
-  private termsAt(route: Route, state: ReplicaState, onTaken: () => void): GenerationTerms {
+  private optionsFor(route: Route, state: ReplicaState, onTaken: () => void): GenerationOptions {
     const { model, minVersion } = this.job.specification;
     return {
       host: this.job.host,
@@ -116,8 +117,8 @@
       minVersion,
       isSingleVersion: route.isSingleVersion,
       remainingMs: attemptTimeoutMs(route, monotonicMs() - this.job.acceptedAtMs),
-      onTaken,
-      onVersion: (version) => this.noteVersion(state, version),
+      onAccepted: onTaken,
+      onVersion: (version) => this.updateVersion(state, version),
       reasonToMove: (pace) => this.reasonToMove(route, state, pace),
       stallMs: stallTimeoutMs(route),
       signal: this.job.signal,
@@ -125,32 +126,32 @@
   }
 
   /** An event shows a replica's version before it is announced; one above all published ones is a fault. */
-  private noteVersion(state: ReplicaState, version: number): void {
+  private updateVersion(state: ReplicaState, version: number): void {
     const { model } = this.job.specification;
     if (version <= this.services.versions.newestOf(model))
-      this.services.directory.noteVersion(state, model, version);
+      this.services.directory.recordVersion(state, model, version);
   }
 
-  private hasVersion(candidate: ReplicaState): boolean {
+  private hasRequiredVersion(candidate: ReplicaState): boolean {
     const { model, minVersion } = this.job.specification;
     return model === '' || candidate.versionOf(model) >= minVersion;
   }
 
   /** Why the sample should move to another replica with a version that fits, if it should. */
   private reasonToMove(route: Route, state: ReplicaState, { eventMs }: AttemptPace): string | undefined {
-    if (!this.moves.mayMove) return undefined;
+    if (!this.movePolicy.canMove) return undefined;
     const [version] = route.isSingleVersion ? this.text.versions : [];
-    const elsewhere = this.services.placement.fastest({
+    const elsewhere = this.services.placement.findMoveTarget({
       service: state.replica.service,
       slots: (candidate) => this.slotsOf(candidate),
       accepts: (candidate) =>
         candidate !== state &&
-        this.hasVersion(candidate) &&
+        this.hasRequiredVersion(candidate) &&
         (version === undefined || candidate.versionOf(this.job.specification.model) === version),
     });
     if (!elsewhere) return undefined;
-    const remaining = this.services.lengths.remaining(this.item, this.text.eventCount);
-    if (!SampleMoves.isWorthwhile(eventMs, elsewhere, remaining)) return undefined;
+    const remaining = this.services.lengths.remainingEvents(this.item, this.text.eventCount);
+    if (!MovePolicy.isWorthwhile(eventMs, elsewhere, remaining)) return undefined;
     const times = `${Math.round(eventMs)} ms an event here, ${Math.round(elsewhere.eventMs)} elsewhere`;
     return `${times}, about ${Math.round(remaining)} left`;
   }
@@ -160,18 +161,18 @@
   }
 
   /** A crash after events is no evidence against the item: the next attempt continues after them. */
-  private noteForQuarantine({ state, outcome, events, hasCrashed }: EndedAttempt): void {
+  private updateQuarantine({ state, outcome, events, hasCrashed }: EndedAttempt): void {
     const { quarantine } = this.services;
-    if (hasCrashed && events === 0 && !state.isLeaving) quarantine.noteCrash(this.identified, state.replica);
-    if (outcome.kind === 'whole') quarantine.noteServed(this.identified);
+    if (hasCrashed && events === 0 && !state.isLeaving) quarantine.reportCrash(this.identity, state.replica);
+    if (outcome.kind === 'whole') quarantine.reportServed(this.identity);
   }
 
-  private noteForReplica({ state, outcome }: EndedAttempt): void {
+  private updateReplica({ state, outcome }: EndedAttempt): void {
     const feedback = replicaFeedback(outcome);
-    if (feedback === 'served') state.noteFinished();
-    else if (feedback === 'busy') state.backOff(DECLINED_BACKOFF_MS);
-    else if (feedback === 'faulty') state.noteFailure();
-    if (outcome.kind === 'moved') this.moves.note(state);
+    if (feedback === 'served') state.recordFinished();
+    else if (feedback === 'busy') state.backOff(INITIAL_DECLINE_BACKOFF_MS);
+    else if (feedback === 'faulty') state.recordFailure();
+    if (outcome.kind === 'moved') this.movePolicy.recordMove(state);
     if (outcome.kind !== 'whole') this.job.groupReplicas.delete(this.item.group);
   }
 
@@ -189,7 +190,7 @@
       detail: `${events} events${'reason' in outcome ? `, ${outcome.reason}` : ''}`,
       ...(hasCrashed === undefined
         ? {}
-        : { digest: digestOf(this.identified), replicaEnded: hasCrashed ? 'yes' : 'no' }),
+        : { digest: digestOf(this.identity), replicaEnded: hasCrashed ? 'yes' : 'no' }),
       tookMs: Math.round(tookMs),
       waitedMs: Math.round(waitedMs),
       inFlight: state.inFlight,
--- a/src/coordination/service/jobs/item-route.ts
+++ b/src/coordination/service/jobs/item-route.ts
@@ -2,11 +2,11 @@
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { JobItem } from '../../../protocol/service/batch-job.js';
 import type { Route } from '../../../protocol/service/routing-configuration.js';
-import { isRouteGone } from '../generation/index.js';
+import { isRouteRemoved } from '../generation/index.js';
 import type { ItemJob, ItemServices } from './item-services.js';
 
 /** Interval of checks for a missing route, milliseconds. Chosen, not measured. */
-const ROUTE_POLL_MS = 100;
+const ROUTE_POLL_INTERVAL_MS = 100;
 
 /** The route of one item: by its own path, else by that of its job. */
 export class ItemRoute {
@@ -30,15 +30,15 @@
       if (route) return route;
       const isKnown = this.services.routing.current !== undefined;
       if (this.job.signal.aborted) return undefined;
-      if (isKnown && isRouteGone(waitingSinceMs, monotonicMs())) return undefined;
-      await sleep(ROUTE_POLL_MS, this.job.signal);
+      if (isKnown && isRouteRemoved(waitingSinceMs, monotonicMs())) return undefined;
+      await sleep(ROUTE_POLL_INTERVAL_MS, this.job.signal);
     }
   }
 
   /**
    * The service by which one attempt is placed: `chosen` while the route leads to it, else the next target.
    */
-  serviceOf(chosen: string | undefined): string | undefined {
+  resolveService(chosen: string | undefined): string | undefined {
     const route = this.current;
     if (route?.targets.some((target) => target.service === chosen)) return chosen;
     return route && this.services.splitter.next(route)?.service;
--- a/src/coordination/service/jobs/item-run.ts
+++ b/src/coordination/service/jobs/item-run.ts
@@ -9,7 +9,7 @@
 import type { IdentifiedRequest } from '../dispatch/index.js';
 import { type GenerationOutcome, SampleText } from '../generation/index.js';
 import { ItemAttempts } from './item-attempts.js';
-import { isTextUsable, judgeItem, quarantinePauseMs } from './item-policy.js';
+import { decideRetry, isTextUsable, quarantinePauseMs } from './item-policy.js';
 import { ItemRoute } from './item-route.js';
 import type { ItemJob, ItemServices } from './item-services.js';
 
@@ -21,7 +21,7 @@
   private readonly route: ItemRoute;
   private readonly attempts: ItemAttempts;
   /** Identifies the item to the quarantine: the same in each of its runs, also in another job. */
-  private readonly identified: IdentifiedRequest;
+  private readonly identity: IdentifiedRequest;
 
   /** `stored` is the text that an earlier owner stored. */
   constructor(
@@ -33,28 +33,28 @@
     const { host, tenant, specification } = job;
     const isUsable = stored && isTextUsable(stored.versions, specification.minVersion);
     this.text = isUsable ? SampleText.from(stored) : new SampleText();
-    this.identified = { method: 'POST', path: item.path, host, tenant, body: item.body };
+    this.identity = { method: 'POST', path: item.path, host, tenant, body: item.body };
     this.route = new ItemRoute(services, job, item);
-    this.attempts = new ItemAttempts(services, job, item, this.text, this.route, this.identified);
+    this.attempts = new ItemAttempts(services, job, item, this.text, this.route, this.identity);
   }
 
   /** Resolves to the result, or to `undefined` when the job was stopped before. Never rejects. */
   async run(): Promise<JobResult | undefined> {
     while (!this.text.isComplete && !this.job.signal.aborted) {
-      const result = await this.advance();
+      const result = await this.runOnce();
       if (result) return result;
     }
     return this.text.isComplete ? this.score() : undefined;
   }
 
   /** One attempt, or one wait in quarantine; the final result, or `undefined` to go on. */
-  private async advance(): Promise<JobResult | undefined> {
+  private async runOnce(): Promise<JobResult | undefined> {
     const route = await this.route.wait();
-    if (!route) return this.job.signal.aborted ? undefined : this.dead('the route is gone');
-    if (this.ageMs > route.maxQueueMs) return this.dead('the longest time in the queue has passed');
-    if (await this.waitedInQuarantine(route)) return undefined;
+    if (!route) return this.job.signal.aborted ? undefined : this.toDeadResult('the route is gone');
+    if (this.ageMs > route.maxQueueMs) return this.toDeadResult('the longest time in the queue has passed');
+    if (await this.waitIfQuarantined(route)) return undefined;
     const outcome = await this.attempts.run(route);
-    return outcome && this.judge(outcome, route);
+    return outcome && this.handleOutcome(outcome, route);
   }
 
   private get ageMs(): number {
@@ -62,15 +62,15 @@
   }
 
   /** Waits a little if quarantined. A crash is no answer, so the item is not dead until it expires. */
-  private async waitedInQuarantine(route: Route): Promise<boolean> {
-    const verdict = this.services.quarantine.judge(this.identified);
+  private async waitIfQuarantined(route: Route): Promise<boolean> {
+    const verdict = this.services.quarantine.evaluate(this.identity);
     if (verdict.kind !== 'held') {
       this.isQuarantined = false;
       return false;
     }
     if (!this.isQuarantined) {
       this.report('quarantined', `${verdict.ends} replicas crashed under it`);
-      this.services.quarantine.noteQuarantined(route.targets[0]?.service ?? '');
+      this.services.quarantine.countQuarantined(route.targets[0]?.service ?? '');
     }
     this.isQuarantined = true;
     await sleep(quarantinePauseMs(verdict.retryAfterMs), this.job.signal);
@@ -78,30 +78,30 @@
   }
 
   /** The final result after an attempt, or `undefined` to go on. */
-  private judge(outcome: GenerationOutcome, route: Route): JobResult | undefined {
+  private handleOutcome(outcome: GenerationOutcome, route: Route): JobResult | undefined {
     if (outcome.kind === 'failed') this.failures += 1;
-    const verdict = judgeItem(outcome, this.failures, route);
-    if (verdict.kind === 'dead') return this.dead(verdict.reason);
+    const verdict = decideRetry(outcome, this.failures, route);
+    if (verdict.kind === 'dead') return this.toDeadResult(verdict.reason);
     if (verdict.restarts) this.text.clear();
     return undefined;
   }
 
   private async score(): Promise<JobResult | undefined> {
-    this.services.lengths.note(this.item, this.text.eventCount);
+    this.services.lengths.recordFinished(this.item, this.text.eventCount);
     const { scoring } = this.item;
-    if (!scoring) return this.completed(undefined);
+    if (!scoring) return this.toCompletedResult(undefined);
     const scored = await this.services.scorer.score(scoring, this.job.signal);
-    if (scored.kind === 'scored') return this.completed(scored.score);
-    return scored.kind === 'cancelled' ? undefined : this.dead(scored.reason);
+    if (scored.kind === 'scored') return this.toCompletedResult(scored.score);
+    return scored.kind === 'cancelled' ? undefined : this.toDeadResult(scored.reason);
   }
 
-  private completed(score: string | undefined): JobResult {
+  private toCompletedResult(score: string | undefined): JobResult {
     this.report('completed');
     const { text, item } = this;
     return { id: item.id, state: 'completed', text: text.join(), versions: text.versions, score };
   }
 
-  private dead(reason: string): JobResult {
+  private toDeadResult(reason: string): JobResult {
     this.report('dead', reason);
     return { id: this.item.id, state: 'dead', text: '', versions: [], score: undefined };
   }
--- a/src/coordination/service/jobs/item-services.ts
+++ b/src/coordination/service/jobs/item-services.ts
@@ -10,7 +10,7 @@
   WeightVersions,
 } from '../../../state/service/replicas/index.js';
 import type { CrashCheck } from '../dispatch/index.js';
-import type { Placement, SampleLengths, SampleScorer } from '../generation/index.js';
+import type { LengthEstimator, Placement, SampleScorer } from '../generation/index.js';
 import type { RequestQuarantine } from '../requests/index.js';
 
 /** Dependencies of items. */
@@ -22,7 +22,7 @@
   readonly crashCheck: CrashCheck;
   readonly quarantine: RequestQuarantine;
   readonly scorer: SampleScorer;
-  readonly lengths: SampleLengths;
+  readonly lengths: LengthEstimator;
   readonly directory: ReplicaDirectory;
   readonly versions: WeightVersions;
   readonly metrics: ServiceMetrics;
--- a/src/coordination/service/jobs/job-calls.ts
+++ b/src/coordination/service/jobs/job-calls.ts
@@ -29,12 +29,12 @@
 import type { SubmissionParser } from './job-run.js';
 
 /** Longest effort to accept and to end a job, milliseconds. Chosen, not measured. */
-const ACCEPT_EFFORT_MS = 3_000;
-const END_EFFORT_MS = 3_000;
+const ACCEPT_TIMEOUT_MS = 3_000;
+const END_TIMEOUT_MS = 3_000;
 /** Interval of reading the store while a reader waits, milliseconds. Chosen, not measured. */
-const RESULT_POLL_MS = 120;
+const RESULT_POLL_INTERVAL_MS = 120;
 /** Most bytes of a page of results. Chosen, not measured: about one transaction of the store. */
-const PAGE_BYTES = 900_000;
+const MAX_PAGE_BYTES = 900_000;
 
 /** Dependencies of the calls. */
 export interface JobCallServices {
@@ -48,7 +48,7 @@
   readonly isStoreAnswering: () => boolean;
 }
 
-function toSubmitted(submission: JobSubmission, tenant: string | undefined): SubmittedJob {
+function toSubmittedJob(submission: JobSubmission, tenant: string | undefined): SubmittedJob {
   const { jobId, host, path, body, specification } = submission;
   const { model, items } = specification;
   const tokens = items.reduce((sum, item) => sum + item.tokens, 0);
@@ -56,7 +56,7 @@
 }
 
 /** `invalid`: another tenant's identifier. Only a failure without effect promises that nothing runs. */
-function outcomeOfFailure({ failure, effect }: StateError): SubmissionOutcome {
+function toSubmissionOutcome({ failure, effect }: StateError): SubmissionOutcome {
   if (failure === 'invalid') return 'foreign';
   return effect === 'none' ? 'not-accepted' : 'unknown';
 }
@@ -76,13 +76,13 @@
       name: 'submit',
       jobId,
       caller,
-      here: async () =>
-        this.mustFailAtOnce(caller)
+      runLocally: async () =>
+        this.mustFailFast(caller)
           ? 'not-accepted'
-          : this.accept(submission, caller.tenant, startedAt + ACCEPT_EFFORT_MS),
-      there: (peer, address) => peer.submit(address, submission, caller.credential),
+          : this.acceptLocally(submission, caller.tenant, startedAt + ACCEPT_TIMEOUT_MS),
+      runAtPeer: (peer, address) => peer.submit(address, submission, caller.credential),
       isFinal: (own) => own === 'accepted' || own === 'foreign',
-      join: (own) => (own.every((each) => each === 'not-accepted') ? 'not-accepted' : 'unknown'),
+      mergeOutcomes: (own) => (own.every((each) => each === 'not-accepted') ? 'not-accepted' : 'unknown'),
     });
     this.report('submit', jobId, outcome, startedAt);
     return outcome;
@@ -101,10 +101,10 @@
       name: 'read',
       jobId,
       caller,
-      here: () => this.readPage(jobId, position, startedAt + waitMs, caller, signal),
-      there: (peer, address) => peer.read(address, jobId, position, caller.credential),
+      runLocally: () => this.readPage(jobId, position, startedAt + waitMs, caller, signal),
+      runAtPeer: (peer, address) => peer.read(address, jobId, position, caller.credential),
       isFinal: ({ kind }) => kind !== 'unavailable',
-      join: () => ({ kind: 'unavailable' }),
+      mergeOutcomes: () => ({ kind: 'unavailable' }),
     });
     const detail = outcome.kind === 'page' ? `${outcome.results.length} results` : outcome.kind;
     this.report('read', jobId, detail, startedAt, position);
@@ -118,10 +118,10 @@
       name: 'item',
       jobId,
       caller,
-      here: () => this.findItem(jobId, itemId, caller),
-      there: (peer, address) => peer.item(address, jobId, itemId, caller.credential),
+      runLocally: () => this.findItem(jobId, itemId, caller),
+      runAtPeer: (peer, address) => peer.item(address, jobId, itemId, caller.credential),
       isFinal: ({ kind }) => kind !== 'unavailable',
-      join: () => ({ kind: 'unavailable' }),
+      mergeOutcomes: () => ({ kind: 'unavailable' }),
     });
     this.report('item', `${jobId}/${itemId}`, outcome.kind, startedAt);
     return outcome;
@@ -134,32 +134,36 @@
       name: 'end',
       jobId,
       caller,
-      here: async () =>
-        this.mustFailAtOnce(caller)
+      runLocally: async () =>
+        this.mustFailFast(caller)
           ? 'unavailable'
-          : this.endHere(jobId, caller.tenant, startedAt + END_EFFORT_MS),
-      there: (peer, address) => peer.end(address, jobId, caller.credential),
+          : this.endLocally(jobId, caller.tenant, startedAt + END_TIMEOUT_MS),
+      runAtPeer: (peer, address) => peer.end(address, jobId, caller.credential),
       isFinal: (own) => own !== 'unavailable',
-      join: () => 'unavailable',
+      mergeOutcomes: () => 'unavailable',
     });
     this.report('end', jobId, outcome, startedAt);
     return outcome;
   }
 
   /** Whether a forwarded call fails at once, so that its node asks the next peer. */
-  private mustFailAtOnce({ isForwarded }: JobCaller): boolean {
+  private mustFailFast({ isForwarded }: JobCaller): boolean {
     return isForwarded && !this.services.isStoreAnswering();
   }
 
-  private async endHere(jobId: string, tenant: string | undefined, deadlineMs: number): Promise<EndOutcome> {
+  private async endLocally(
+    jobId: string,
+    tenant: string | undefined,
+    deadlineMs: number,
+  ): Promise<EndOutcome> {
     const ended = await this.services.repository.end(jobId, tenant, deadlineMs);
     if (ended.isErr()) return 'unavailable';
     if (ended.value === undefined) return 'not-found';
-    this.services.ownership.note(ended.value);
+    this.services.ownership.updateHead(ended.value);
     return 'ended';
   }
 
-  private async accept(
+  private async acceptLocally(
     submission: JobSubmission,
     tenant: string | undefined,
     deadlineMs: number,
@@ -168,16 +172,16 @@
     const known = this.services.ownership.heads.get(jobId);
     if (known && !belongsTo(known, tenant)) return 'foreign';
     if ((known?.record.total ?? 0) > 0) return 'accepted';
-    const owner = await this.services.ownership.ownerForNext(specification.model);
+    const owner = await this.services.ownership.selectOwner(specification.model);
     const accepted = await this.services.repository.accept(
-      toSubmitted(submission, tenant),
+      toSubmittedJob(submission, tenant),
       owner,
       deadlineMs,
     );
-    if (accepted.isErr()) return outcomeOfFailure(accepted.error);
+    if (accepted.isErr()) return toSubmissionOutcome(accepted.error);
     const { head, isNew } = accepted.value;
-    if (isNew) this.services.ownership.adopt(head, specification);
-    else this.services.ownership.note(head);
+    if (isNew) this.services.ownership.addAccepted(head, specification);
+    else this.services.ownership.updateHead(head);
     return 'accepted';
   }
 
@@ -186,11 +190,11 @@
     jobId: string,
     { tenant }: JobCaller,
   ): Promise<JobHead | 'not-found' | 'unavailable'> {
-    const head = await this.findAnyHead(jobId);
+    const head = await this.findHeadOfAnyTenant(jobId);
     return typeof head === 'string' || belongsTo(head, tenant) ? head : 'not-found';
   }
 
-  private async findAnyHead(jobId: string): Promise<JobHead | 'not-found' | 'unavailable'> {
+  private async findHeadOfAnyTenant(jobId: string): Promise<JobHead | 'not-found' | 'unavailable'> {
     const known = this.services.ownership.heads.get(jobId);
     if (known) return known;
     if (!this.services.isStoreAnswering()) return 'unavailable';
@@ -216,7 +220,7 @@
       const isOver = monotonicMs() >= untilMs || position >= total || signal.aborted;
       if (results.length > 0 || isOver)
         return { kind: 'page', total, next: position + results.length, results };
-      await this.untilMore(jobId, Math.min(RESULT_POLL_MS, untilMs - monotonicMs()), signal);
+      await this.waitForResults(jobId, Math.min(RESULT_POLL_INTERVAL_MS, untilMs - monotonicMs()), signal);
     }
   }
 
@@ -226,7 +230,7 @@
     total: number,
   ): Promise<readonly string[] | undefined> {
     const { cache, repository, ownership } = this.services;
-    const cached = cache.read(jobId, position, PAGE_BYTES);
+    const cached = cache.read(jobId, position, MAX_PAGE_BYTES);
     if (cached.length > 0 || position >= total) return cached;
     if (ownership.isRunning(jobId)) return [];
     if (!this.services.isStoreAnswering()) return undefined;
@@ -236,9 +240,9 @@
     return page.value;
   }
 
-  private async untilMore(jobId: string, waitMs: number, signal: AbortSignal): Promise<void> {
+  private async waitForResults(jobId: string, waitMs: number, signal: AbortSignal): Promise<void> {
     const controller = new AbortController();
-    const stopListening = this.services.cache.listen(jobId, () => controller.abort());
+    const stopListening = this.services.cache.subscribe(jobId, () => controller.abort());
     const onAbort = () => controller.abort();
     signal.addEventListener('abort', onAbort, { once: true });
     await sleep(Math.max(1, waitMs), controller.signal);
--- a/src/coordination/service/jobs/job-claims.ts
+++ b/src/coordination/service/jobs/job-claims.ts
@@ -9,9 +9,9 @@
 import { claimReason } from './ownership-policy.js';
 
 /** Longest effort of a claim, milliseconds. Chosen, not measured: the next poll of heartbeats tries again. */
-const CLAIM_EFFORT_MS = 3_000;
+const CLAIM_TIMEOUT_MS = 3_000;
 /** Longest random delay of a claim, ms, so that mostly one node comes first. Chosen, not measured. */
-const CLAIM_SPREAD_MS = 150;
+const MAX_CLAIM_JITTER_MS = 150;
 
 /** Dependencies of claims. */
 export interface ClaimServices {
@@ -27,7 +27,7 @@
 }
 
 /** The claims of one node. */
-export class JobClaims {
+export class JobClaimer {
   private readonly claiming = new Set<string>();
 
   constructor(
@@ -36,10 +36,10 @@
   ) {}
 
   /** Claims an open job that is not this node's, if it may. */
-  consider(head: JobHead): void {
+  claimIfAllowed(head: JobHead): void {
     const { sessions, heads, isLeaving } = this.services;
     if (isLeaving() || this.claiming.has(head.jobId)) return;
-    const isLost = (owner: OwnerReference) => sessions.isLost(owner, heads.learntAt(head.jobId));
+    const isLost = (owner: OwnerReference) => sessions.isLost(owner, heads.observedAt(head.jobId));
     const reason = claimReason(head.record.owner, this.self, isLost);
     if (reason !== undefined) void this.claim(head, reason);
   }
@@ -48,9 +48,9 @@
     const { repository, heads, isLeaving, report, onClaimed, refresh } = this.services;
     const { jobId } = head;
     this.claiming.add(jobId);
-    if (head.record.owner?.node !== this.self.node) await sleep(Math.random() * CLAIM_SPREAD_MS);
+    if (head.record.owner?.node !== this.self.node) await sleep(Math.random() * MAX_CLAIM_JITTER_MS);
     if (heads.get(jobId)?.version === head.version && !isLeaving()) {
-      const claimed = await repository.claim(head, this.self, monotonicMs() + CLAIM_EFFORT_MS);
+      const claimed = await repository.claim(head, this.self, monotonicMs() + CLAIM_TIMEOUT_MS);
       report(head, claimed.isOk() ? 'claimed' : `claim: ${claimed.error.failure}`, reason);
       this.claiming.delete(jobId);
       if (claimed.isOk()) onClaimed(claimed.value);
--- a/src/coordination/service/jobs/job-heads.ts
+++ b/src/coordination/service/jobs/job-heads.ts
@@ -6,13 +6,13 @@
 import type { JobHead, OwnerReference } from '../../../state/service/jobs/index.js';
 
 /** Time over which demand is counted, ms. Chosen, not measured: covers jobs that overlap. */
-const DEMAND_MS = 30_000;
+const DEMAND_WINDOW_MS = 30_000;
 
 /** All jobs that a node knows. */
 export class JobHeads {
   private readonly heads = new Map<string, JobHead>();
   /** Observed time at which each head was learnt, milliseconds. */
-  private readonly learntAtMs = new Map<string, number>();
+  private readonly observedAtMs = new Map<string, number>();
 
   /** `storeNowMs` is the store's clock. */
   constructor(private readonly storeNowMs: () => number) {}
@@ -26,7 +26,7 @@
     return [...this.heads.keys()];
   }
 
-  get open(): JobHead[] {
+  get openJobs(): JobHead[] {
     return [...this.heads.values()].filter(({ record }) => record.state === 'open');
   }
 
@@ -35,23 +35,23 @@
     const known = this.heads.get(head.jobId);
     if (known && known.version >= head.version) return false;
     this.heads.set(head.jobId, head);
-    this.learntAtMs.set(head.jobId, observedTimeMs);
+    this.observedAtMs.set(head.jobId, observedTimeMs);
     return true;
   }
 
   remove(jobId: string): void {
     this.heads.delete(jobId);
-    this.learntAtMs.delete(jobId);
+    this.observedAtMs.delete(jobId);
   }
 
   /** Observed time at which the head was learnt, milliseconds; 0 when it is unknown. */
-  learntAt(jobId: string): number {
-    return this.learntAtMs.get(jobId) ?? 0;
+  observedAt(jobId: string): number {
+    return this.observedAtMs.get(jobId) ?? 0;
   }
 
   /** Owners of open jobs. */
   get owners(): OwnerReference[] {
-    return this.open.flatMap(({ record }) => record.owner ?? []);
+    return this.openJobs.flatMap(({ record }) => record.owner ?? []);
   }
 
   /** The job of a model that was accepted last. */
@@ -64,17 +64,17 @@
   }
 
   /** Tokens of the recent jobs of a model. */
-  demandOf(model: string): number {
-    return this.recentOf(model).reduce((sum, { record }) => sum + record.tokens, 0);
+  recentTokensOf(model: string): number {
+    return this.recentJobsOf(model).reduce((sum, { record }) => sum + record.tokens, 0);
   }
 
   /** Items of the largest recent job of a model; 0 without one. */
-  requestsOf(model: string): number {
-    return this.recentOf(model).reduce((largest, { record }) => Math.max(largest, record.total), 0);
+  maxRecentItemsOf(model: string): number {
+    return this.recentJobsOf(model).reduce((largest, { record }) => Math.max(largest, record.total), 0);
   }
 
-  private recentOf(model: string): JobHead[] {
-    const sinceMs = this.storeNowMs() - DEMAND_MS;
+  private recentJobsOf(model: string): JobHead[] {
+    const sinceMs = this.storeNowMs() - DEMAND_WINDOW_MS;
     return [...this.heads.values()].filter(
       ({ record }) => record.model === model && record.acceptedAtMs >= sinceMs,
     );
--- a/src/coordination/service/jobs/job-ownership.ts
+++ b/src/coordination/service/jobs/job-ownership.ts
@@ -21,18 +21,18 @@
 } from '../../../state/service/jobs/index.js';
 import type { FeedHandler } from '../../feeds/index.js';
 import type { SessionMonitor } from '../membership/index.js';
-import { JobClaims } from './job-claims.js';
+import { JobClaimer } from './job-claims.js';
 import { JobHeads } from './job-heads.js';
 import { JobRun, type JobRunEnd, type JobRunServices } from './job-run.js';
-import { isOwnedBy, removalDelayMs, removesEnded } from './ownership-policy.js';
+import { isOwnedBy, removalDelayMs, shouldRemove } from './ownership-policy.js';
 
 /** Longest effort to hand a job back, ms. Chosen, not measured: else it is claimed once lost. */
-const RELEASE_EFFORT_MS = 1_000;
+const RELEASE_TIMEOUT_MS = 1_000;
 /** Time for which a process without jobs sends heartbeats, ms, to get the next. Chosen, not measured. */
-const WARM_MS = 10_000;
+const RECENT_OWNER_WINDOW_MS = 10_000;
 
 /** Dependencies of job ownership. */
-export interface JobOwnerServices extends JobRunServices {
+export interface JobOwnershipServices extends JobRunServices {
   readonly store: RecordStore;
   readonly repository: JobRepository;
   readonly sessions: SessionMonitor;
@@ -47,28 +47,31 @@
   readonly table = JOB_TABLE;
   /** Jobs that this node knows, its own or not. */
   readonly heads: JobHeads;
-  private readonly claims: JobClaims;
+  private readonly claimer: JobClaimer;
   private readonly runs = new Map<string, JobRun>();
   /** Jobs whose runs were cancelled while the store rejected this node. */
   private readonly cancelled = new Set<string>();
   private isLeaving = false;
-  private lastOwnedMs = Number.NEGATIVE_INFINITY;
+  private lastOwnedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly services: JobOwnerServices,
+    private readonly services: JobOwnershipServices,
     private readonly self: OwnerReference,
   ) {
     const { repository, sessions, store } = services;
     const heads = new JobHeads(() => store.nowMs());
     const isLeaving = () => this.isLeaving;
     const report = (head: JobHead, change: string, detail: string) => this.report(head, change, detail);
-    const onClaimed = (head: JobHead) => this.note(head);
+    const onClaimed = (head: JobHead) => this.updateHead(head);
     const refresh = (jobId: string) => this.refresh(jobId);
     this.heads = heads;
-    this.claims = new JobClaims({ repository, sessions, heads, isLeaving, report, onClaimed, refresh }, self);
+    this.claimer = new JobClaimer(
+      { repository, sessions, heads, isLeaving, report, onClaimed, refresh },
+      self,
+    );
     sessions.onPoll(() => {
-      for (const head of this.heads.open) if (!this.isMine(head)) this.claims.consider(head);
-      void this.resume();
+      for (const head of this.heads.openJobs) if (!this.isOwned(head)) this.claimer.claimIfAllowed(head);
+      void this.resumeCancelled();
     });
   }
 
@@ -88,15 +91,15 @@
   }
 
   /** Whether this node runs jobs or ran one within `WARM_MS`, so that others may give it the next. */
-  get isWarm(): boolean {
-    return this.runs.size > 0 || monotonicMs() - this.lastOwnedMs < WARM_MS;
+  get isRecentOwner(): boolean {
+    return this.runs.size > 0 || monotonicMs() - this.lastOwnedAtMs < RECENT_OWNER_WINDOW_MS;
   }
 
   /**
    * Who should run the next job of a model: the owner of the newest one while its heartbeat is fresh, else
    * this node. `null` leaves the job to the node that claims it first.
    */
-  async ownerForNext(model: string): Promise<OwnerReference | null> {
+  async selectOwner(model: string): Promise<OwnerReference | null> {
     const owner = this.heads.newestOf(model)?.record.owner;
     if (owner) await this.services.sessions.refresh();
     if (owner && this.services.sessions.isFresh(owner)) return owner;
@@ -105,7 +108,7 @@
 
   /** Whether jobs of other owners are open. */
   get hasForeignJobs(): boolean {
-    return this.heads.open.some((head) => !this.isMine(head));
+    return this.heads.openJobs.some((head) => !this.isOwned(head));
   }
 
   /** Whether this node runs the job and has read what was listed before. */
@@ -114,17 +117,17 @@
   }
 
   /** Adds a job that this node has just accepted, and runs it if it is the owner. */
-  adopt(head: JobHead, specification: JobSpecification): void {
+  addAccepted(head: JobHead, specification: JobSpecification): void {
     const known = this.heads.get(head.jobId);
     if (known && known.version > head.version) return;
-    if (this.isMine(head)) this.start(head, specification);
+    if (this.isOwned(head)) this.start(head, specification);
     else
       this.report(head, 'accepted here', head.record.owner ? 'owner of the job before' : 'this node leaves');
-    this.note(head);
+    this.updateHead(head);
   }
 
   /** Notes a head, also one that was read or written outside the feed; an older one is ignored. */
-  note(head: JobHead): void {
+  updateHead(head: JobHead): void {
     if (this.heads.set(head, this.services.sessions.observedTimeMs)) this.reconcile(head);
   }
 
@@ -136,7 +139,7 @@
   replaceAll(content: readonly JobHead[]): void {
     const present = new Set(content.map((head) => head.jobId));
     for (const jobId of this.heads.ids) if (!present.has(jobId)) this.forget(jobId);
-    for (const head of content) this.note(head);
+    for (const head of content) this.updateHead(head);
   }
 
   apply(change: ChangedRecord): void {
@@ -145,13 +148,13 @@
       return;
     }
     const head = toJobHead({ key: change.key, value: change.value, version: change.version });
-    if (head) this.note(head);
+    if (head) this.updateHead(head);
   }
 
   /** Hands all jobs back, with their texts, so that other nodes claim them at once. */
-  async handOver(): Promise<void> {
+  async releaseAll(): Promise<void> {
     this.isLeaving = true;
-    await Promise.all([...this.runs.values()].map((run) => this.release(run)));
+    await Promise.all([...this.runs.values()].map((run) => this.releaseRun(run)));
   }
 
   /**
@@ -173,26 +176,26 @@
     this.isLeaving = true;
   }
 
-  private isMine(head: JobHead): boolean {
+  private isOwned(head: JobHead): boolean {
     return isOwnedBy(head.record, this.self);
   }
 
   private forget(jobId: string): void {
     this.heads.remove(jobId);
     this.runs.get(jobId)?.stop();
-    this.services.cache.forget(jobId);
+    this.services.cache.remove(jobId);
   }
 
   /** Starts, stops, claims, hands back or removes a job as its new head requires. */
   private reconcile(head: JobHead): void {
     const run = this.runs.get(head.jobId);
-    if (run && (!this.isMine(head) || run.head.record.epoch !== head.record.epoch)) {
+    if (run && (!this.isOwned(head) || run.head.record.epoch !== head.record.epoch)) {
       this.report(head, head.record.state === 'ended' ? 'ended' : 'taken by another owner');
       run.stop();
     }
     if (head.record.state === 'ended') this.scheduleRemoval(head);
-    else if (!this.isMine(head)) this.claims.consider(head);
-    else if (this.isLeaving && !run) void this.handBack(head);
+    else if (!this.isOwned(head)) this.claimer.claimIfAllowed(head);
+    else if (this.isLeaving && !run) void this.releaseHead(head);
     else this.start(head, undefined);
   }
 
@@ -201,55 +204,55 @@
     const ageMs = Math.max(0, this.services.store.nowMs() - head.record.acceptedAtMs);
     const run = new JobRun(this.services, head, ageMs, specification);
     this.runs.set(head.jobId, run);
-    this.services.sessions.noteHolding();
+    this.services.sessions.notifyHolding();
     this.services.metrics.ownedJobs.set({}, this.runs.size);
     this.report(head, 'running', `age ${Math.round(ageMs)} ms`);
-    void run.run().then((end) => this.finished(run, end));
+    void run.run().then((end) => this.onRunEnded(run, end));
   }
 
-  private finished(run: JobRun, end: JobRunEnd): void {
+  private onRunEnded(run: JobRun, end: JobRunEnd): void {
     const { jobId } = run.head;
     if (this.runs.get(jobId) === run) this.runs.delete(jobId);
-    this.lastOwnedMs = monotonicMs();
+    this.lastOwnedAtMs = monotonicMs();
     this.services.metrics.ownedJobs.set({}, this.runs.size);
     this.report(run.head, end);
     if (end === 'ownership-lost') void this.refresh(jobId);
     const newest = this.heads.get(jobId);
-    if (end === 'stopped' && newest && newest.version !== run.head.version && this.isMine(newest))
+    if (end === 'stopped' && newest && newest.version !== run.head.version && this.isOwned(newest))
       this.start(newest, undefined);
   }
 
   /** Reads a head; when that fails the feed brings it later. */
   private async refresh(jobId: string): Promise<void> {
     const found = await this.services.repository.read(jobId);
-    if (found.isOk() && found.value) this.note(found.value);
+    if (found.isOk() && found.value) this.updateHead(found.value);
   }
 
   /** Resumes cancelled jobs that nobody has claimed, now that the store answers. */
-  private async resume(): Promise<void> {
+  private async resumeCancelled(): Promise<void> {
     for (const jobId of this.cancelled) {
       if (this.runs.has(jobId)) continue;
       this.cancelled.delete(jobId);
       await this.refresh(jobId);
       const head = this.heads.get(jobId);
-      if (head && this.isMine(head)) this.start(head, undefined);
+      if (head && this.isOwned(head)) this.start(head, undefined);
     }
   }
 
-  private async release(run: JobRun): Promise<void> {
+  private async releaseRun(run: JobRun): Promise<void> {
     await run.saveTexts();
     run.stop();
-    await this.handBack(run.head);
+    await this.releaseHead(run.head);
   }
 
-  private async handBack(head: JobHead): Promise<void> {
-    const released = await this.services.repository.release(head, monotonicMs() + RELEASE_EFFORT_MS);
+  private async releaseHead(head: JobHead): Promise<void> {
+    const released = await this.services.repository.release(head, monotonicMs() + RELEASE_TIMEOUT_MS);
     this.report(head, released.isOk() ? 'handed back' : `hand back: ${released.error.failure}`);
   }
 
   /** Removes an ended job once its results need not be readable any more. */
   private scheduleRemoval(head: JobHead): void {
-    if (!removesEnded(head.record, this.self)) return;
+    if (!shouldRemove(head.record, this.self)) return;
     const ageMs = this.services.store.nowMs() - head.record.acceptedAtMs;
     const delayMs = removalDelayMs(ageMs, this.services.retentionMs());
     setTimeout(() => void this.services.repository.remove(head), delayMs).unref();
--- a/src/coordination/service/jobs/job-run.ts
+++ b/src/coordination/service/jobs/job-run.ts
@@ -21,13 +21,13 @@
 import { ItemRun } from './item-run.js';
 import type { ItemJob, ItemServices } from './item-services.js';
 import { type ListedJob, type ListerServices, ResultLister } from './result-lister.js';
-import { WantedGroups } from './wanted-groups.js';
+import { DesiredGroups } from './wanted-groups.js';
 
 /** Interval of storing texts, ms: what a crash of the owner loses. Chosen, not measured. */
-const SAVE_TEXTS_MS = 400;
+const SAVE_INTERVAL_MS = 400;
 /** Backoff of reading the job while the store does not answer, milliseconds. Chosen, not measured. */
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 500;
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 500;
 
 /** Parses a submission; `undefined` when it is malformed. */
 export type SubmissionParser = (submission: Buffer) => JobSpecification | undefined;
@@ -52,14 +52,14 @@
 export class JobRun {
   private readonly controller = new AbortController();
   /** Items without a listed result, whose texts are stored for a later owner. */
-  private readonly running = new Map<string, ItemRun>();
+  private readonly unlistedRuns = new Map<string, ItemRun>();
   private readonly startedAtMs = monotonicMs();
-  private loaded = false;
+  private hasLoaded = false;
 
   constructor(
     private readonly services: JobRunServices,
     readonly head: JobHead,
-    private readonly storeAgeMs: number,
+    private readonly initialAgeMs: number,
     private readonly knownSpecification?: JobSpecification,
   ) {
     setMaxListeners(0, this.controller.signal);
@@ -67,17 +67,17 @@
 
   /** Items without a listed result. */
   get openItems(): number {
-    return this.running.size;
+    return this.unlistedRuns.size;
   }
 
   /** Time since the job was accepted, milliseconds. */
   get ageMs(): number {
-    return this.storeAgeMs + monotonicMs() - this.startedAtMs;
+    return this.initialAgeMs + monotonicMs() - this.startedAtMs;
   }
 
   /** Whether the results listed before have been read. */
   get isLoaded(): boolean {
-    return this.loaded;
+    return this.hasLoaded;
   }
 
   /** Whether it was stopped. */
@@ -93,26 +93,27 @@
   /** Stores new texts for a later owner. After a failure they are stored with the next call. */
   async saveTexts(): Promise<void> {
     const texts = new Map<string, PartialText>();
-    for (const [id, run] of this.running) if (run.text.hasUnsaved) texts.set(id, run.text.toPartial());
+    for (const [id, run] of this.unlistedRuns) if (run.text.hasUnsaved) texts.set(id, run.text.toPartial());
     if (texts.size === 0) return;
     const saved = await this.services.repository.contents.saveTexts(this.head, texts);
     if (saved.isErr()) {
       if (saved.error.failure === 'lease-lost') this.stop();
       return;
     }
-    for (const id of saved.value) this.running.get(id)?.text.noteSaved(texts.get(id)?.events.length ?? 0);
+    for (const id of saved.value)
+      this.unlistedRuns.get(id)?.text.markSaved(texts.get(id)?.events.length ?? 0);
   }
 
   /** Runs until all results are listed or the run is stopped. Never rejects. */
   async run(): Promise<JobRunEnd> {
     const loaded = await this.load();
     if (!loaded) return this.controller.signal.aborted ? 'stopped' : 'unreadable';
-    this.loaded = true;
+    this.hasLoaded = true;
     this.reportPlan(loaded);
-    const acceptedAtMs = monotonicMs() - this.storeAgeMs;
+    const acceptedAtMs = monotonicMs() - this.initialAgeMs;
     const lister = this.createLister(loaded, acceptedAtMs);
     this.startItems(loaded, acceptedAtMs, lister);
-    const saving = this.saveRegularly();
+    const saving = this.savePeriodically();
     const keptOwnership = await lister.run(loaded.specification.items.length);
     const wasStopped = this.controller.signal.aborted;
     this.stop();
@@ -127,7 +128,7 @@
       listedCount: listedIds.size,
       acceptedAtMs,
       dueAgeMs: () => this.route?.resultDeadlineMs ?? 0,
-      onListed: (itemId) => this.running.delete(itemId),
+      onListed: (itemId) => this.unlistedRuns.delete(itemId),
     };
     return new ResultLister(this.services, listed, this.controller.signal);
   }
@@ -148,13 +149,13 @@
     };
     const { items, desiredGroups } = specification;
     const { lengths } = this.services;
-    const wanted = new WantedGroups(items, desiredGroups, (item) => lengths.isUnfinished(item));
+    const wanted = new DesiredGroups(items, desiredGroups, (item) => lengths.isUnfinished(item));
     const list = (item: JobItem, result: JobResult) => {
-      wanted.note(item);
+      wanted.recordResult(item);
       lister.add(result, wanted.areComplete || result.state === 'dead');
     };
-    for (const item of items) if (listedIds.has(item.id)) wanted.note(item);
-    for (const item of lengths.longestFirst(items))
+    for (const item of items) if (listedIds.has(item.id)) wanted.recordResult(item);
+    for (const item of lengths.sortLongestFirst(items))
       if (!listedIds.has(item.id)) void this.runItem(job, item, texts.get(item.id), list);
   }
 
@@ -165,16 +166,16 @@
     list: (item: JobItem, result: JobResult) => void,
   ): Promise<void> {
     const run = new ItemRun(this.services, job, item, stored);
-    this.running.set(item.id, run);
+    this.unlistedRuns.set(item.id, run);
     const result = await run.run();
-    if (!result) this.services.lengths.noteUnfinished(item, run.text.eventCount);
+    if (!result) this.services.lengths.recordUnfinished(item, run.text.eventCount);
     else if (!this.controller.signal.aborted) list(item, result);
   }
 
-  private async saveRegularly(): Promise<void> {
+  private async savePeriodically(): Promise<void> {
     const { signal } = this.controller;
     while (!signal.aborted) {
-      await sleep(SAVE_TEXTS_MS, signal);
+      await sleep(SAVE_INTERVAL_MS, signal);
       if (!signal.aborted) await this.saveTexts();
     }
   }
@@ -220,12 +221,12 @@
   private async load(): Promise<LoadedJob | undefined> {
     if (this.knownSpecification)
       return { specification: this.knownSpecification, listedIds: new Set(), texts: new Map() };
-    let pauseMs = FIRST_PAUSE_MS;
+    let pauseMs = INITIAL_BACKOFF_MS;
     while (!this.controller.signal.aborted) {
       const loaded = await this.tryLoad();
       if (loaded !== 'unavailable') return loaded;
       await sleep(pauseMs, this.controller.signal);
-      pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+      pauseMs = Math.min(MAX_BACKOFF_MS, pauseMs * 2);
     }
     return undefined;
   }
--- a/src/coordination/service/jobs/ownership-policy.ts
+++ b/src/coordination/service/jobs/ownership-policy.ts
@@ -2,7 +2,7 @@
 import type { JobRecord, OwnerReference } from '../../../state/service/jobs/index.js';
 
 /** Share of the retention by which removal is later, so that no reader meets it half done. Chosen. */
-const REMOVAL_SLACK = 0.25;
+const REMOVAL_DELAY_RATIO = 0.25;
 
 /** Whether an open job belongs to this process. */
 export function isOwnedBy({ state, owner }: JobRecord, self: OwnerReference): boolean {
@@ -25,11 +25,11 @@
 }
 
 /** Whether this node removes the job: its last owner does; any node does where it was handed back. */
-export function removesEnded({ owner }: JobRecord, self: OwnerReference): boolean {
+export function shouldRemove({ owner }: JobRecord, self: OwnerReference): boolean {
   return owner === null || owner.node === self.node;
 }
 
 /** Time until an ended job of this age is removed, milliseconds. */
 export function removalDelayMs(ageMs: number, retentionMs: number): number {
-  return Math.max(0, retentionMs - ageMs) + retentionMs * REMOVAL_SLACK;
+  return Math.max(0, retentionMs - ageMs) + retentionMs * REMOVAL_DELAY_RATIO;
 }
--- a/src/coordination/service/jobs/result-lister.ts
+++ b/src/coordination/service/jobs/result-lister.ts
@@ -16,14 +16,14 @@
 import type { JobHead, JobRepository, ResultCache } from '../../../state/service/jobs/index.js';
 
 /** Results that finish within this time share a transaction, milliseconds. Chosen, not measured. */
-const GATHER_MS = 15;
+const BATCH_DELAY_MS = 15;
 /**
  * Longest time for which a result waits for others, milliseconds: as long as a read may wait, and twice the
  * interval of reads, so that a read is waiting at the node when the last result is listed.
  */
-const LONGEST_GATHER_MS = 1_000;
+const MAX_BATCH_DELAY_MS = 1_000;
 /** Longest effort to list a batch before it is retried, milliseconds. Chosen, not measured. */
-const EFFORT_MS = 5_000;
+const APPEND_TIMEOUT_MS = 5_000;
 
 /** Dependencies of a lister. */
 export interface ListerServices {
@@ -47,7 +47,7 @@
 }
 
 /** A result that is not listed yet. */
-interface WaitingResult {
+interface PendingResult {
   readonly itemId: string;
   /** As JSON text. */
   readonly result: string;
@@ -59,13 +59,13 @@
  * Time for which a result may wait for others, milliseconds: `GATHER_MS` for an urgent one, else
  * `LONGEST_GATHER_MS` at most, and not beyond the time at which it is due (`untilDueMs`).
  */
-function gatherMs(isUrgent: boolean, untilDueMs: number): number {
-  return isUrgent ? GATHER_MS : Math.min(LONGEST_GATHER_MS, Math.max(GATHER_MS, untilDueMs));
+function batchDelayMs(isUrgent: boolean, untilDueMs: number): number {
+  return isUrgent ? BATCH_DELAY_MS : Math.min(MAX_BATCH_DELAY_MS, Math.max(BATCH_DELAY_MS, untilDueMs));
 }
 
 /** The lister of one job. */
 export class ResultLister {
-  private readonly waiting: WaitingResult[] = [];
+  private readonly pending: PendingResult[] = [];
   private wake: (() => void) | undefined;
   private nextPosition: number;
 
@@ -83,8 +83,8 @@
   add(result: JobResult, isUrgent: boolean): void {
     const now = this.clock.now();
     const untilDueMs = this.job.acceptedAtMs + this.job.dueAgeMs() - now;
-    const listByMs = now + gatherMs(isUrgent, untilDueMs);
-    this.waiting.push({ itemId: result.id, result: JSON.stringify(result), listByMs });
+    const listByMs = now + batchDelayMs(isUrgent, untilDueMs);
+    this.pending.push({ itemId: result.id, result: JSON.stringify(result), listByMs });
     this.wake?.();
   }
 
@@ -93,15 +93,15 @@
    */
   async run(total: number): Promise<boolean> {
     while (this.nextPosition < total && !this.signal.aborted) {
-      const listByMs = Math.min(...this.waiting.map((waiting) => waiting.listByMs));
-      if (this.clock.now() < listByMs) await this.untilWoken(listByMs);
+      const listByMs = Math.min(...this.pending.map((waiting) => waiting.listByMs));
+      if (this.clock.now() < listByMs) await this.waitUntil(listByMs);
       else if (!(await this.listBatch())) return false;
     }
     return true;
   }
 
   /** Resolves when a result is added, the job is stopped, or at `timeMs`, which may be infinite. */
-  private async untilWoken(timeMs: number): Promise<void> {
+  private async waitUntil(timeMs: number): Promise<void> {
     const controller = new AbortController();
     const woken = new Promise<void>((resolve) => {
       this.wake = resolve;
@@ -114,10 +114,10 @@
 
   private async listBatch(): Promise<boolean> {
     const { repository, cache } = this.services;
-    const results = this.waiting.map(({ result }) => result);
-    const batch = results.slice(0, repository.contents.fittingResults(results));
+    const results = this.pending.map(({ result }) => result);
+    const batch = results.slice(0, repository.contents.countFittingResults(results));
     const startedAt = this.clock.now();
-    const deadline = startedAt + EFFORT_MS;
+    const deadline = startedAt + APPEND_TIMEOUT_MS;
     const listed = await repository.contents.appendResults(
       this.job.head,
       this.nextPosition,
@@ -129,7 +129,7 @@
     if (listed.isErr()) return listed.error.failure !== 'conflict' && listed.error.failure !== 'invalid';
     cache.append(this.job.head.jobId, this.nextPosition, batch);
     this.nextPosition += batch.length;
-    for (const { itemId } of this.waiting.splice(0, batch.length)) this.job.onListed(itemId);
+    for (const { itemId } of this.pending.splice(0, batch.length)) this.job.onListed(itemId);
     return true;
   }
 
--- a/src/coordination/service/jobs/wanted-groups.ts
+++ b/src/coordination/service/jobs/wanted-groups.ts
@@ -7,32 +7,32 @@
 import type { JobItem } from '../../../protocol/service/batch-job.js';
 
 /** The groups of one job. */
-export class WantedGroups {
+export class DesiredGroups {
   /** Number of items without a result, by group; without complete groups. */
   private readonly openItems: Map<string, number>;
-  private wantedCount: number;
-  private readonly carriedOver: Set<string>;
+  private remainingCount: number;
+  private readonly unfinishedGroups: Set<string>;
 
   /** `desired`: complete groups that are wanted; `isCarriedOver`: an earlier job left the item unfinished. */
   constructor(items: readonly JobItem[], desired: number, isCarriedOver: (item: JobItem) => boolean) {
     const groups = groupBy(items, ({ group }) => group);
     this.openItems = new Map([...groups].map(([group, own]) => [group, own.length]));
-    this.wantedCount = Math.min(desired, groups.size);
-    this.carriedOver = new Set(items.filter(isCarriedOver).map(({ group }) => group));
+    this.remainingCount = Math.min(desired, groups.size);
+    this.unfinishedGroups = new Set(items.filter(isCarriedOver).map(({ group }) => group));
   }
 
   /** Whether the submitter has all that it waits for, by the results that this node knows. */
   get areComplete(): boolean {
-    return this.wantedCount <= 0 && this.carriedOver.size === 0;
+    return this.remainingCount <= 0 && this.unfinishedGroups.size === 0;
   }
 
   /** Notes that an item has a result. */
-  note({ group }: JobItem): void {
+  recordResult({ group }: JobItem): void {
     const remaining = (this.openItems.get(group) ?? 0) - 1;
     this.openItems.set(group, remaining);
     if (remaining !== 0) return;
     this.openItems.delete(group);
-    this.carriedOver.delete(group);
-    this.wantedCount -= 1;
+    this.unfinishedGroups.delete(group);
+    this.remainingCount -= 1;
   }
 }
--- a/src/coordination/service/leadership/leader-lease.ts
+++ b/src/coordination/service/leadership/leader-lease.ts
@@ -10,20 +10,20 @@
  */
 import { ConditionVariable } from '../../../common/condition-variable.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
-import { SYSTEM_TIME, startElapsed, type TimeSources } from '../../../common/elapsed-time.js';
+import { SYSTEM_TIME, startStopwatch, type TimeSources } from '../../../common/elapsed-time.js';
 import type { RecordAddress, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { OwnerReference } from '../../../state/service/jobs/index.js';
 import type { SessionMonitor } from '../membership/index.js';
 import {
   ABSENT_LEASE,
-  type KnownLease,
   type LeaseContent,
   leaseAddress,
-  NOBODY,
+  NO_HOLDER,
   parseLease,
+  type VersionedLease,
 } from './lease-record.js';
 import { acquisitionReason, confirmationValidityMs, guardedActions, isTakenOver } from './lease-rules.js';
-import { addActions, allowsAction, type RecentAction } from './recent-actions.js';
+import { addActions, isUnguarded, type RecentAction } from './recent-actions.js';
 
 /** A confirmed right to act once. */
 export interface LeaseConfirmation {
@@ -41,7 +41,7 @@
 
 /** One lease as one node sees it. It is read together with the heartbeats of sessions. */
 export class LeaderLease {
-  private known: KnownLease | undefined;
+  private lastKnown: VersionedLease | undefined;
   /** When this epoch's holder was first seen, on the session monitor's observed time, milliseconds. */
   private holderSeenAtMs = 0;
   /** 0 while the lease is not held. */
@@ -51,7 +51,7 @@
   /** Actions whose confirmation has not been requested yet. */
   private batch: Batch | undefined;
   /** Resolves when the confirmation requested last is answered. */
-  private lastAnswer: Promise<unknown> = Promise.resolve();
+  private lastConfirmation: Promise<unknown> = Promise.resolve();
   private readonly address: RecordAddress;
 
   constructor(
@@ -79,33 +79,33 @@
 
   /** Last known holder. */
   get holder(): OwnerReference | undefined {
-    const holder = this.known?.content.holder;
+    const holder = this.lastKnown?.content.holder;
     return holder?.node ? holder : undefined;
   }
 
   /** Resolves while the lease is held, or when `signal` is aborted. */
-  async untilHeld(signal: AbortSignal): Promise<void> {
+  async waitUntilHeld(signal: AbortSignal): Promise<void> {
     while (!this.isHeld && !signal.aborted) await this.acquired.wait(signal);
   }
 
   /** Notes the records that were read; acquires the lease if wanted, and free or its holder lost. */
   observe(records: readonly StoredRecord[], wantsLease: boolean): void {
-    this.note(records.find((record) => record.key === this.address.key));
-    if (!this.isHeld && wantsLease && !this.isAcquiring) void this.acquireIfAllowed();
+    this.applyRecord(records.find((record) => record.key === this.address.key));
+    if (!this.isHeld && wantsLease && !this.isAcquiring) void this.tryAcquire();
   }
 
   /** Releases the lease. If the write fails, a successor waits until this node counts as lost. */
-  async resign(): Promise<void> {
-    if (!this.isHeld || !this.known) return;
-    const { content, version } = this.known;
+  async release(): Promise<void> {
+    if (!this.isHeld || !this.lastKnown) return;
+    const { content, version } = this.lastKnown;
     this.heldEpoch = 0;
-    await this.write(version, { ...content, holder: NOBODY });
-    this.report('resigned');
+    await this.write(version, { ...content, holder: NO_HOLDER });
+    this.logChange('resigned');
   }
 
   /** Whether no other machine may have acted on `target` within the handover guard. */
-  mayActOn(target: string): boolean {
-    return allowsAction(this.guardedActions, target, this.self.node);
+  allowsAction(target: string): boolean {
+    return isUnguarded(this.guardedActions, target, this.self.node);
   }
 
   /**
@@ -123,59 +123,61 @@
   /** Collects targets until the previous request is answered and this turn of the event loop is over. */
   private openBatch(): Batch {
     const targets = new Set<string>();
-    const confirmation = this.lastAnswer.then(() => {
+    const confirmation = this.lastConfirmation.then(() => {
       this.batch = undefined;
       return this.requestConfirmation(targets);
     });
-    this.lastAnswer = confirmation;
+    this.lastConfirmation = confirmation;
     return { targets, confirmation };
   }
 
   private async requestConfirmation(targets: ReadonlySet<string>): Promise<LeaseConfirmation | undefined> {
-    if (!this.isHeld || !this.known) return undefined;
-    const { content, version } = this.known;
-    const answerMs = this.store.usualAnswerMs();
+    if (!this.isHeld || !this.lastKnown) return undefined;
+    const { content, version } = this.lastKnown;
+    const answerMs = this.store.averageLatencyMs();
     const validMs = confirmationValidityMs(answerMs);
-    const elapsed = startElapsed(this.time);
+    const elapsed = startStopwatch(this.time);
     const begunByMs = Math.round(this.store.nowMs() + answerMs + validMs);
     const { node } = this.self;
     const actions = [...targets].map((target) => ({ target, node, begunByMs }));
     const recent = addActions(this.guardedActions, actions);
     if (!(await this.write(version, { ...content, acts: content.acts + 1, validMs, recent })))
       return undefined;
-    const isBegunInTime = () => this.store.nowMs() <= begunByMs;
-    return { epoch: content.epoch, isFresh: () => elapsed() < validMs && isBegunInTime() };
+    const isWithinRecordedTime = () => this.store.nowMs() <= begunByMs;
+    return { epoch: content.epoch, isFresh: () => elapsed() < validMs && isWithinRecordedTime() };
   }
 
   private get guardedActions(): readonly RecentAction[] {
-    return this.known ? guardedActions(this.known.content, this.store.nowMs(), this.handoverGuardMs()) : [];
+    return this.lastKnown
+      ? guardedActions(this.lastKnown.content, this.store.nowMs(), this.handoverGuardMs())
+      : [];
   }
 
-  private note(record: StoredRecord | undefined): void {
+  private applyRecord(record: StoredRecord | undefined): void {
     if (!record) {
-      this.known ??= ABSENT_LEASE;
+      this.lastKnown ??= ABSENT_LEASE;
       return;
     }
-    if (this.known && this.known.version >= record.version) return;
+    if (this.lastKnown && this.lastKnown.version >= record.version) return;
     const content = parseLease(record);
-    const before = this.known?.content;
-    if (before?.epoch !== content.epoch) this.holderSeenAtMs = this.sessions.observedTimeMs;
-    this.known = { content, version: record.version };
+    const previous = this.lastKnown?.content;
+    if (previous?.epoch !== content.epoch) this.holderSeenAtMs = this.sessions.observedTimeMs;
+    this.lastKnown = { content, version: record.version };
     if (this.isHeld && isTakenOver(content, this.self, this.heldEpoch))
-      this.lose(`taken by ${content.holder.node}`);
+      this.handleLoss(`taken by ${content.holder.node}`);
   }
 
-  private async acquireIfAllowed(): Promise<void> {
-    if (!this.known) return;
-    const { holder } = this.known.content;
+  private async tryAcquire(): Promise<void> {
+    if (!this.lastKnown) return;
+    const { holder } = this.lastKnown.content;
     const isLost = () => this.sessions.isLost(holder, this.holderSeenAtMs);
     const reason = acquisitionReason(holder, this.self, isLost);
     if (reason !== undefined) await this.acquire(reason);
   }
 
   private async acquire(reason: string): Promise<void> {
-    if (!this.known) return;
-    const { content, version } = this.known;
+    if (!this.lastKnown) return;
+    const { content, version } = this.lastKnown;
     this.isAcquiring = true;
     const recent = this.guardedActions;
     const epoch = content.epoch + 1;
@@ -183,10 +185,10 @@
     this.isAcquiring = false;
     if (!isWritten) return;
     this.heldEpoch = epoch;
-    this.sessions.noteHolding();
+    this.sessions.notifyHolding();
     this.acquired.notifyAll();
-    const others = recent.filter((action) => action.node !== this.self.node);
-    this.report('taken', `${reason}, ${others.length} targets must wait`);
+    const otherActions = recent.filter((action) => action.node !== this.self.node);
+    this.logChange('taken', `${reason}, ${otherActions.length} targets must wait`);
   }
 
   /** Whether the record was written. Without an answer it counts as not; the next scan shows which. */
@@ -198,20 +200,20 @@
       removals: [],
     });
     if (outcome.isErr()) {
-      this.note(outcome.error.current.find((record) => record.key === this.address.key));
+      this.applyRecord(outcome.error.current.find((record) => record.key === this.address.key));
       return false;
     }
-    this.known = { content, version: outcome.value };
+    this.lastKnown = { content, version: outcome.value };
     return true;
   }
 
-  private lose(reason: string): void {
+  private handleLoss(reason: string): void {
     this.heldEpoch = 0;
-    this.report('lost', reason);
+    this.logChange('lost', reason);
   }
 
-  private report(change: string, detail?: string): void {
-    const epoch = this.known?.content.epoch ?? 0;
+  private logChange(change: string, detail?: string): void {
+    const epoch = this.lastKnown?.content.epoch ?? 0;
     this.logger.record({ event: 'duty-changed', duty: this.task, change, epoch, detail });
   }
 }
--- a/src/coordination/service/leadership/lease-record.ts
+++ b/src/coordination/service/leadership/lease-record.ts
@@ -18,18 +18,18 @@
 }
 
 /** A lease as read or written last. */
-export interface KnownLease {
+export interface VersionedLease {
   readonly content: LeaseContent;
   /** Version of the record; 0 while there is none. */
   readonly version: number;
 }
 
 /** Holder of a lease that was released. */
-export const NOBODY: OwnerReference = { node: '', life: '' };
+export const NO_HOLDER: OwnerReference = { node: '', life: '' };
 
 /** The lease while there is no record of it. */
-export const ABSENT_LEASE: KnownLease = {
-  content: { holder: NOBODY, epoch: 0, acts: 0, validMs: 0, recent: [] },
+export const ABSENT_LEASE: VersionedLease = {
+  content: { holder: NO_HOLDER, epoch: 0, acts: 0, validMs: 0, recent: [] },
   version: 0,
 };
 
--- a/src/coordination/service/leadership/lease-rules.ts
+++ b/src/coordination/service/leadership/lease-rules.ts
@@ -10,13 +10,13 @@
  */
 const MIN_VALIDITY_MS = 250;
 const MAX_VALIDITY_MS = 3_000;
-const VALIDITY_ANSWERS = 4;
+const VALIDITY_FACTOR = 4;
 /** Safety margin added to the handover guard, milliseconds. Chosen, not measured. */
 const HANDOVER_GUARD_MARGIN_MS = 250;
 
 /** Validity of a confirmation; `answerMs` is the usual time of an answer of the store. Milliseconds. */
 export function confirmationValidityMs(answerMs: number): number {
-  return Math.min(MAX_VALIDITY_MS, Math.max(MIN_VALIDITY_MS, Math.round(answerMs * VALIDITY_ANSWERS)));
+  return Math.min(MAX_VALIDITY_MS, Math.max(MIN_VALIDITY_MS, Math.round(answerMs * VALIDITY_FACTOR)));
 }
 
 /**
--- a/src/coordination/service/leadership/recent-actions.ts
+++ b/src/coordination/service/leadership/recent-actions.ts
@@ -22,7 +22,7 @@
 const MAX_ACTIONS = 500;
 
 /** Whether none of the actions is one of another machine on `target`. */
-export function allowsAction(recent: readonly RecentAction[], target: string, node: string): boolean {
+export function isUnguarded(recent: readonly RecentAction[], target: string, node: string): boolean {
   return !recent.some((action) => action.node !== node && [target, ANY_TARGET].includes(action.target));
 }
 
--- a/src/coordination/service/membership/announcements.ts
+++ b/src/coordination/service/membership/announcements.ts
@@ -26,9 +26,9 @@
   readonly replicaTable: string;
   readonly configurationKey: string;
   /** Key of the newest named version of a model. */
-  versionKey(model: string): string;
+  weightVersionKey(model: string): string;
   parseConfiguration(value: Buffer): RoutingConfiguration | undefined;
-  parseNamedVersion(key: string, value: Buffer): { model: string; version: number } | undefined;
+  parseWeightVersion(key: string, value: Buffer): { model: string; version: number } | undefined;
   /** The zone that a record evacuates while it exists; `undefined` when the record is of another kind. */
   evacuatedZoneOf(key: string): string | undefined;
   evacuationKey(zone: string): string;
@@ -37,15 +37,15 @@
 }
 
 /** Records of a whole read. */
-export type Announced = StoredRecord[];
+export type AnnouncementRecords = StoredRecord[];
 
 /** Partition of all announcements. */
-export const ANNOUNCED_PARTITION = '';
+export const ANNOUNCEMENT_PARTITION = '';
 /** Whole reads may be older than other answers; the feed drops those older than what it has applied. */
-export const ALLOWS_OLD = true;
+export const ALLOW_STALE = true;
 
 /** The announcements of operators and trainers. */
-export class OperatorAnnouncements implements FeedHandler<Announced> {
+export class OperatorAnnouncements implements FeedHandler<AnnouncementRecords> {
   private configurationRecord: Buffer | undefined;
 
   constructor(
@@ -63,7 +63,7 @@
   }
 
   readAll() {
-    return readPartition(this.store, this.table, ANNOUNCED_PARTITION, ALLOWS_OLD);
+    return readPartition(this.store, this.table, ANNOUNCEMENT_PARTITION, ALLOW_STALE);
   }
 
   /** Records of the configuration, of each known model's version, and of each known zone's evacuation. */
@@ -72,25 +72,25 @@
     const models = new Set([...services.flatMap((service) => service.models), ...this.versions.models]);
     const keys = [
       this.format.configurationKey,
-      ...[...models].map((model) => this.format.versionKey(model)),
+      ...[...models].map((model) => this.format.weightVersionKey(model)),
       ...this.directory.zones.map((zone) => this.format.evacuationKey(zone)),
     ];
-    return keys.map((key) => ({ table: this.table, partition: ANNOUNCED_PARTITION, key }));
+    return keys.map((key) => ({ table: this.table, partition: ANNOUNCEMENT_PARTITION, key }));
   }
 
-  replaceAll(content: Announced): void {
+  replaceAll(content: AnnouncementRecords): void {
     const present = new Set(content.map(({ key }) => this.format.evacuatedZoneOf(key)));
     for (const zone of this.directory.evacuatedZones)
-      if (!present.has(zone)) this.noteEvacuation(zone, false, 0);
+      if (!present.has(zone)) this.applyEvacuation(zone, false, 0);
     for (const record of content) this.apply(record);
   }
 
   apply(change: ChangedRecord): void {
     const zone = this.format.evacuatedZoneOf(change.key);
-    if (zone !== undefined) this.noteEvacuation(zone, change.value !== undefined, change.version);
+    if (zone !== undefined) this.applyEvacuation(zone, change.value !== undefined, change.version);
     if (zone !== undefined || change.value === undefined) return;
-    if (change.key === this.format.configurationKey) this.takeConfiguration(change.value);
-    else this.takeVersion(change.key, change.value);
+    if (change.key === this.format.configurationKey) this.applyConfiguration(change.value);
+    else this.applyWeightVersion(change.key, change.value);
   }
 
   /** The record of the configuration in force, as the operator wrote it. */
@@ -99,25 +99,25 @@
   }
 
   /** Takes over the operator's record, from the store or a peer. Older versions are ignored. */
-  takeConfiguration(value: Buffer): void {
+  applyConfiguration(value: Buffer): void {
     const configuration = this.format.parseConfiguration(value);
     if (!configuration) {
       this.reportUnreadable(value);
       return;
     }
-    const isInForce = this.routing.install(configuration);
-    if (isInForce) this.configurationRecord = value;
+    const isInstalled = this.routing.install(configuration);
+    if (isInstalled) this.configurationRecord = value;
     this.metrics.configVersion.set({}, this.routing.current?.version ?? 0);
     this.logger.record({
       event: 'belief-changed',
       subject: 'configuration',
       name: `${configuration.routes.length} routes`,
-      change: isInForce ? 'in force' : 'older than the one in force',
+      change: isInstalled ? 'in force' : 'older than the one in force',
       version: configuration.version,
     });
   }
 
-  private noteEvacuation(zone: string, isEvacuated: boolean, version: number): void {
+  private applyEvacuation(zone: string, isEvacuated: boolean, version: number): void {
     if (!this.directory.setEvacuated(zone, isEvacuated)) return;
     const change = isEvacuated ? 'out of use' : 'in use again';
     this.logger.record({ event: 'belief-changed', subject: 'zone', name: zone, change, version });
@@ -133,15 +133,15 @@
     });
   }
 
-  private takeVersion(key: string, value: Buffer): void {
-    const named = this.format.parseNamedVersion(key, value);
-    if (!named || !this.versions.note(named.model, named.version)) return;
+  private applyWeightVersion(key: string, value: Buffer): void {
+    const parsed = this.format.parseWeightVersion(key, value);
+    if (!parsed || !this.versions.record(parsed.model, parsed.version)) return;
     this.logger.record({
       event: 'belief-changed',
       subject: 'weight-version',
-      name: named.model,
+      name: parsed.model,
       change: 'named',
-      version: named.version,
+      version: parsed.version,
     });
   }
 }
--- a/src/coordination/service/membership/fleet-directory.ts
+++ b/src/coordination/service/membership/fleet-directory.ts
@@ -6,14 +6,14 @@
 import type { ChangedRecord, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { FleetMember } from '../../../state/service/replicas/index.js';
 import { type FeedHandler, readPartition } from '../../feeds/index.js';
-import { type Announcement, isExpired, parseAnnouncement, SERVING_NODES } from './node-announcement.js';
+import { isExpired, NODE_TABLE, type NodeAnnouncement, parseAnnouncement } from './node-announcement.js';
 
-const ALLOWS_OLD = true;
+const ALLOW_STALE = true;
 
 /** The fleet as one node knows it. */
 export class FleetDirectory implements FeedHandler<readonly StoredRecord[]> {
-  readonly table = SERVING_NODES;
-  private readonly announcements = new Map<string, Announcement>();
+  readonly table = NODE_TABLE;
+  private readonly announcements = new Map<string, NodeAnnouncement>();
   private readonly listeners = new Set<() => void>();
 
   constructor(private readonly store: RecordStore) {}
@@ -34,7 +34,7 @@
   }
 
   readAll() {
-    return readPartition(this.store, this.table, '', ALLOWS_OLD);
+    return readPartition(this.store, this.table, '', ALLOW_STALE);
   }
 
   replaceAll(content: readonly StoredRecord[]): void {
--- a/src/coordination/service/membership/fleet-time.ts
+++ b/src/coordination/service/membership/fleet-time.ts
@@ -7,7 +7,7 @@
 
 /** One node's view of the fleet's time. */
 export class FleetTime {
-  private agreedOffsetMs: number | undefined;
+  private medianOffsetMs: number | undefined;
 
   constructor(
     private readonly store: Pick<RecordStore, 'nowMs'>,
@@ -16,20 +16,20 @@
   ) {}
 
   /** What this node's own clock adds to the store's, milliseconds. */
-  get ownOffsetMs(): number {
+  get localOffsetMs(): number {
     return this.timeOfDayMs() - this.store.nowMs();
   }
 
   /** Time of day, milliseconds since 1970; by this node's own clock until offsets are known. */
   now(): number {
-    if (this.agreedOffsetMs === undefined) return this.timeOfDayMs();
-    return this.store.nowMs() + this.agreedOffsetMs;
+    if (this.medianOffsetMs === undefined) return this.timeOfDayMs();
+    return this.store.nowMs() + this.medianOffsetMs;
   }
 
   /** Takes the offsets (milliseconds) of all running nodes; without any the last agreement stays. */
-  agree(offsetsMs: readonly number[]): void {
+  setNodeOffsets(offsetsMs: readonly number[]): void {
     const sorted = [...offsetsMs].sort((left, right) => left - right);
     const median = sorted[Math.floor(sorted.length / 2)];
-    if (median !== undefined) this.agreedOffsetMs = median;
+    if (median !== undefined) this.medianOffsetMs = median;
   }
 }
--- a/src/coordination/service/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -10,34 +10,34 @@
 import type { RecordAddress, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import { readPartition } from '../../feeds/index.js';
 import { FleetTime } from './fleet-time.js';
-import { type Announcement, isExpired, parseAnnouncement, SERVING_NODES } from './node-announcement.js';
+import { isExpired, NODE_TABLE, type NodeAnnouncement, parseAnnouncement } from './node-announcement.js';
 
-const TABLE = SERVING_NODES;
+const TABLE = NODE_TABLE;
 /** Reads between two counts of all nodes, which are large reads. Chosen, not measured. */
-const READS_PER_COUNT = 12;
+const READS_PER_NODE_COUNT = 12;
 /** Peers kept. Chosen, not measured: enough that one reaches the store when a zone is cut off. */
-const KEPT_PEERS = 8;
+const MAX_PEERS = 8;
 /** Interval of announcements, milliseconds. Chosen, not measured; a third of their expiry at most. */
-const ANNOUNCE_MS = 60_000;
+const ANNOUNCE_INTERVAL_MS = 60_000;
 /** Intervals of reads, shorter at first, while all nodes start. Chosen, not measured. */
-const READ_MS = 10_000;
-const FIRST_READ_MS = 1_500;
+const READ_INTERVAL_MS = 10_000;
+const STARTUP_READ_INTERVAL_MS = 1_500;
 /** Share of the interval over which reads are spread. Chosen, not measured. */
-const READ_SPREAD = 0.2;
+const READ_JITTER = 0.2;
 /** Rank of a peer between one that carried out the last forwarded call (1) and one that failed to (0). */
 const UNTRIED_RANK = 0.5;
 
 /** What a node announces besides its addresses. */
-export type NodeTraits = Pick<Announcement, 'zone' | 'capacity'>;
+export type NodeTraits = Pick<NodeAnnouncement, 'zone' | 'capacity'>;
 
 /** The addresses known to one node. */
 export class PeerAddresses {
   /** Time of day as the fleet agrees on it. */
   readonly time: FleetTime;
-  private known: readonly Announcement[] = [];
-  private count = 1;
+  private peers: readonly NodeAnnouncement[] = [];
+  private nodeCount = 1;
   /** Whether a peer carried out the last call forwarded to it, by address. */
-  private readonly hasServed = new Map<string, boolean>();
+  private readonly lastCallSucceeded = new Map<string, boolean>();
   private isWithdrawn = false;
 
   constructor(
@@ -51,27 +51,27 @@
   }
 
   /** Up to `count` callers' addresses (`IP:PORT`): peers that served last time first, failed ones last. */
-  likeliest(count: number): string[] {
-    return this.ranked()
+  rankedAddresses(count: number): string[] {
+    return this.rankedPeers()
       .slice(0, count)
       .map(({ address }) => address);
   }
 
   /** Like `likeliest`, but the peer addresses. */
-  likeliestPeers(count: number): string[] {
-    return this.ranked()
+  rankedPeerAddresses(count: number): string[] {
+    return this.rankedPeers()
       .flatMap(({ peerAddress }) => peerAddress ?? [])
       .slice(0, count);
   }
 
   /** Running nodes by the last count; 1 before the first. */
   get fleetSize(): number {
-    return this.count;
+    return this.nodeCount;
   }
 
   /** Notes whether a peer carried out a call forwarded to it. */
-  note(address: string, hasServed: boolean): void {
-    this.hasServed.set(address, hasServed);
+  recordOutcome(address: string, succeeded: boolean): void {
+    this.lastCallSucceeded.set(address, succeeded);
   }
 
   /** Removes this node's announcement, as it drains. If that fails, the announcement expires. */
@@ -82,17 +82,17 @@
 
   /** Announces this node's addresses (`IP:PORT`) and reads those of others until `signal` is aborted. */
   async run(address: string, signal: AbortSignal, peerAddress?: string): Promise<void> {
-    await this.untilAnswered(signal);
-    await Promise.all([this.announceRegularly(address, peerAddress, signal), this.refreshLoop(signal)]);
+    await this.waitForStore(signal);
+    await Promise.all([this.announceLoop(address, peerAddress, signal), this.refreshLoop(signal)]);
   }
 
   /** Before the first answer the store's clock is unknown, and an announcement would have a wrong time. */
-  private async untilAnswered(signal: AbortSignal): Promise<void> {
+  private async waitForStore(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && (await this.scan(undefined)) === undefined)
-      await this.clock.sleep(FIRST_READ_MS, signal);
+      await this.clock.sleep(STARTUP_READ_INTERVAL_MS, signal);
   }
 
-  private async announceRegularly(
+  private async announceLoop(
     address: string,
     peerAddress: string | undefined,
     signal: AbortSignal,
@@ -100,16 +100,16 @@
     let isAnnounced = false;
     while (!signal.aborted && !this.isWithdrawn) {
       isAnnounced = await this.announce(address, peerAddress);
-      await this.clock.sleep(isAnnounced ? ANNOUNCE_MS : FIRST_READ_MS, signal);
+      await this.clock.sleep(isAnnounced ? ANNOUNCE_INTERVAL_MS : STARTUP_READ_INTERVAL_MS, signal);
     }
   }
 
   private async announce(address: string, peerAddress: string | undefined): Promise<boolean> {
-    const announcement: Announcement = {
+    const announcement: NodeAnnouncement = {
       address,
       peerAddress,
       ...this.traits,
-      timeOffsetMs: Math.round(this.time.ownOffsetMs),
+      timeOffsetMs: Math.round(this.time.localOffsetMs),
       announcedAtMs: Math.round(this.store.nowMs()),
     };
     const value = Buffer.from(JSON.stringify(announcement), 'utf8');
@@ -119,48 +119,50 @@
 
   private async refreshLoop(signal: AbortSignal): Promise<void> {
     for (let reads = 0; !signal.aborted; reads += 1) {
-      const intervalMs = reads < 2 ? FIRST_READ_MS : READ_MS;
-      await this.clock.sleep(intervalMs * (1 + READ_SPREAD * (this.clock.random() - 0.5)), signal);
-      if (!signal.aborted) await this.refresh();
-      if (!signal.aborted && reads % READS_PER_COUNT === 1) await this.countAll();
+      const intervalMs = reads < 2 ? STARTUP_READ_INTERVAL_MS : READ_INTERVAL_MS;
+      await this.clock.sleep(intervalMs * (1 + READ_JITTER * (this.clock.random() - 0.5)), signal);
+      if (!signal.aborted) await this.refreshPeers();
+      if (!signal.aborted && reads % READS_PER_NODE_COUNT === 1) await this.countNodes();
     }
   }
 
-  private async countAll(): Promise<void> {
+  private async countNodes(): Promise<void> {
     const all = await readPartition(this.store, TABLE, '');
     if (all.isErr()) return;
     const { content, version } = all.value;
     const present = content.filter((record) => !this.isExpired(record));
-    this.count = Math.max(1, present.length);
-    this.time.agree(present.flatMap((record) => parse(record).timeOffsetMs ?? []));
-    this.report(`${this.count} nodes`, version);
+    this.nodeCount = Math.max(1, present.length);
+    this.time.setNodeOffsets(present.flatMap((record) => parse(record).timeOffsetMs ?? []));
+    this.report(`${this.nodeCount} nodes`, version);
   }
 
-  private async refresh(): Promise<void> {
+  private async refreshPeers(): Promise<void> {
     const following = await this.scan(`${this.nodeName}\0`);
     if (!following) return;
-    const isShort = following.length < KEPT_PEERS;
+    const wrapsAround = following.length < MAX_PEERS;
     // If the second scan fails, the nodes that follow in the order of names are enough until the next read.
-    const records = isShort ? [...following, ...((await this.scan(undefined)) ?? [])] : following;
-    const others = records.filter(({ key }) => key !== this.nodeName).slice(0, KEPT_PEERS);
+    const records = wrapsAround ? [...following, ...((await this.scan(undefined)) ?? [])] : following;
+    const others = records.filter(({ key }) => key !== this.nodeName).slice(0, MAX_PEERS);
     const expired = others.filter((record) => this.isExpired(record));
     const present = others.filter((record) => !this.isExpired(record)).map(parse);
     const byAddress = new Map(present.map((announcement) => [announcement.address, announcement]));
-    this.remember([...byAddress.values()], records);
-    for (const address of this.hasServed.keys()) if (!byAddress.has(address)) this.hasServed.delete(address);
-    if (expired.length > 0) await this.remove(expired);
+    this.replacePeers([...byAddress.values()], records);
+    for (const address of this.lastCallSucceeded.keys())
+      if (!byAddress.has(address)) this.lastCallSucceeded.delete(address);
+    if (expired.length > 0) await this.removeExpired(expired);
   }
 
   /** Kept peers, by rank. */
-  private ranked(): Announcement[] {
-    const rank = ({ address }: Announcement) => Number(this.hasServed.get(address) ?? UNTRIED_RANK);
-    return [...this.known].sort((left, right) => rank(right) - rank(left));
+  private rankedPeers(): NodeAnnouncement[] {
+    const rank = ({ address }: NodeAnnouncement) =>
+      Number(this.lastCallSucceeded.get(address) ?? UNTRIED_RANK);
+    return [...this.peers].sort((left, right) => rank(right) - rank(left));
   }
 
-  private remember(announcements: readonly Announcement[], records: readonly StoredRecord[]): void {
-    const addressesOf = (all: readonly Announcement[]) => all.map(({ address }) => address).join();
-    const hasChanged = addressesOf(announcements) !== addressesOf(this.known);
-    this.known = announcements;
+  private replacePeers(announcements: readonly NodeAnnouncement[], records: readonly StoredRecord[]): void {
+    const addressesOf = (all: readonly NodeAnnouncement[]) => all.map(({ address }) => address).join();
+    const hasChanged = addressesOf(announcements) !== addressesOf(this.peers);
+    this.peers = announcements;
     if (!hasChanged) return;
     const version = Math.max(0, ...records.map((record) => record.version));
     this.report(`${announcements.length} known`, version);
@@ -171,7 +173,7 @@
   }
 
   private async scan(from: string | undefined): Promise<readonly StoredRecord[] | undefined> {
-    const page = await this.store.scan({ table: TABLE, partition: '', from, limit: KEPT_PEERS + 1 });
+    const page = await this.store.scan({ table: TABLE, partition: '', from, limit: MAX_PEERS + 1 });
     return page.isOk() ? page.value.records : undefined;
   }
 
@@ -180,7 +182,7 @@
   }
 
   /** Removes announcements that crashed nodes left behind. */
-  private async remove(records: readonly StoredRecord[]): Promise<void> {
+  private async removeExpired(records: readonly StoredRecord[]): Promise<void> {
     const conditions = records.map(({ key, version }) => ({ ...recordAddress(key), version }));
     const removals = records.map(({ key }) => recordAddress(key));
     await this.store.transact({ conditions, writes: [], removals });
@@ -191,6 +193,6 @@
   return { table: TABLE, partition: '', key: nodeName };
 }
 
-function parse({ value }: StoredRecord): Announcement {
+function parse({ value }: StoredRecord): NodeAnnouncement {
   return parseAnnouncement(value);
 }
--- a/src/coordination/service/membership/replica-announcements.ts
+++ b/src/coordination/service/membership/replica-announcements.ts
@@ -17,10 +17,15 @@
 import type { Replica } from '../../../protocol/service/replica.js';
 import type { IncarnationOrder, ReplicaDirectory } from '../../../state/service/replicas/index.js';
 import { type FeedHandler, readPartition } from '../../feeds/index.js';
-import { ALLOWS_OLD, ANNOUNCED_PARTITION, type Announced, type AnnouncementFormat } from './announcements.js';
+import {
+  ALLOW_STALE,
+  ANNOUNCEMENT_PARTITION,
+  type AnnouncementFormat,
+  type AnnouncementRecords,
+} from './announcements.js';
 
 /** Heartbeats after which an unchanged record counts: one may be lost, and one under way. */
-const SETTLED_HEARTBEATS = 3;
+const CONFIRMATION_HEARTBEATS = 3;
 
 /** What announcements are taken over with. */
 export interface ReplicaAnnouncementServices {
@@ -30,15 +35,15 @@
   /** Interval at which a replica writes its record, milliseconds. */
   readonly heartbeatMs: () => number;
   /** Whether a change of these records would be known here by now. */
-  readonly isFollowed: () => boolean;
+  readonly isFeedCurrent: () => boolean;
   readonly metrics: Pick<ServiceMetrics, 'unreadableReplicas'>;
   readonly logger: DecisionLogger;
 }
 
 /** The announcements of replicas. */
-export class ReplicaAnnouncements implements FeedHandler<Announced> {
+export class ReplicaAnnouncements implements FeedHandler<AnnouncementRecords> {
   /** Incarnations whose records seem to be earlier than the known ones, by replica id. */
-  private readonly unsettled = new Map<string, Replica>();
+  private readonly unconfirmed = new Map<string, Replica>();
 
   constructor(
     private readonly services: ReplicaAnnouncementServices,
@@ -50,18 +55,18 @@
   }
 
   readAll() {
-    return readPartition(this.services.store, this.table, ANNOUNCED_PARTITION, ALLOWS_OLD);
+    return readPartition(this.services.store, this.table, ANNOUNCEMENT_PARTITION, ALLOW_STALE);
   }
 
   knownAddresses() {
     return this.services.directory.ids.map((key) => ({
       table: this.table,
-      partition: ANNOUNCED_PARTITION,
+      partition: ANNOUNCEMENT_PARTITION,
       key,
     }));
   }
 
-  replaceAll(content: Announced): void {
+  replaceAll(content: AnnouncementRecords): void {
     const present = new Set(content.map((record) => record.key));
     for (const id of this.services.directory.ids) if (!present.has(id)) this.remove(id, 'gone', 0);
     for (const record of content) this.apply(record);
@@ -73,50 +78,50 @@
       return;
     }
     const parsed = this.services.format.parseReplica(key, value);
-    if (parsed.isOk()) this.take(parsed.value, version);
+    if (parsed.isOk()) this.applyReplica(parsed.value, version);
     else this.rejectRecord(key, parsed.error, version);
   }
 
-  private take(replica: Replica, version: number): void {
+  private applyReplica(replica: Replica, version: number): void {
     const { directory } = this.services;
-    const before = directory.get(replica.id)?.replica;
+    const previous = directory.get(replica.id)?.replica;
     const order = directory.set(replica);
     if (order === 'start-missing') this.rejectRecord(replica.id, 'born: is required', version);
     else if (order === 'earlier') this.awaitConfirmation(replica, version);
-    else this.noteIncarnation(replica, before, order, version);
+    else this.confirmIncarnation(replica, previous, order, version);
   }
 
-  private noteIncarnation(
+  private confirmIncarnation(
     replica: Replica,
-    before: Replica | undefined,
+    previous: Replica | undefined,
     order: IncarnationOrder | 'first',
     version: number,
   ): void {
-    this.unsettled.delete(replica.id);
+    this.unconfirmed.delete(replica.id);
     const name = replica.id;
     if (order === 'first') this.report(name, `joined ${replica.service} at ${replica.address}`, version);
     else if (order === 'next') this.report(name, `restarted, started at ${replica.startedAtMs}`, version);
-    else if (before?.isDraining !== replica.isDraining)
+    else if (previous?.isDraining !== replica.isDraining)
       this.report(name, replica.isDraining ? 'draining' : 'no longer draining', version);
   }
 
   private awaitConfirmation(replica: Replica, version: number): void {
-    this.unsettled.set(replica.id, replica);
+    this.unconfirmed.set(replica.id, replica);
     this.services.directory.markUnconfirmed(replica.id);
     this.report(
       replica.id,
       `possibly a delayed announcement of an earlier incarnation, started at ${replica.startedAtMs}`,
       version,
     );
-    void this.settle(replica, version);
+    void this.replaceIfUnchanged(replica, version);
   }
 
-  private async settle(replica: Replica, version: number): Promise<void> {
-    const { heartbeatMs, isFollowed, directory } = this.services;
-    do await this.clock.sleep(SETTLED_HEARTBEATS * heartbeatMs());
-    while (this.unsettled.get(replica.id) === replica && !isFollowed());
-    if (this.unsettled.get(replica.id) !== replica) return;
-    this.unsettled.delete(replica.id);
+  private async replaceIfUnchanged(replica: Replica, version: number): Promise<void> {
+    const { heartbeatMs, isFeedCurrent, directory } = this.services;
+    do await this.clock.sleep(CONFIRMATION_HEARTBEATS * heartbeatMs());
+    while (this.unconfirmed.get(replica.id) === replica && !isFeedCurrent());
+    if (this.unconfirmed.get(replica.id) !== replica) return;
+    this.unconfirmed.delete(replica.id);
     directory.replace(replica);
     this.report(
       replica.id,
@@ -132,7 +137,7 @@
   }
 
   private remove(id: string, change: string, version: number): void {
-    this.unsettled.delete(id);
+    this.unconfirmed.delete(id);
     if (!this.services.directory.get(id)) return;
     this.services.directory.remove(id);
     this.report(id, change, version);
--- a/src/coordination/service/membership/session-monitor.ts
+++ b/src/coordination/service/membership/session-monitor.ts
@@ -15,15 +15,15 @@
 import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { OwnerReference } from '../../../state/service/jobs/index.js';
 import {
-  frequentPollMs,
-  freshUpToMs,
-  HEARTBEAT_MS,
+  HEARTBEAT_INTERVAL_MS,
   idlePollFactor,
   isObserved,
-  lossAfterMs,
-  MAX_OPEN_HEARTBEATS,
+  lossTimeoutMs,
+  MAX_PENDING_HEARTBEATS,
+  maxFreshAgeMs,
+  minSuspectAgeMs,
+  pollIntervalMs,
   RECENT_POLL_MS,
-  suspectAfterMs,
 } from './session-rules.js';
 
 /** Table of the heartbeats, and of whatever else every node reads together with them. */
@@ -31,7 +31,7 @@
 /** Stored; stays. */
 const HEARTBEAT_PREFIX = 'beat/';
 /** Longest wait for a read that is needed now. Chosen, not measured: requests wait for it. */
-const REFRESH_MS = 200;
+const REFRESH_TIMEOUT_MS = 200;
 
 /** A stored heartbeat; the names of its fields stay. */
 interface Heartbeat {
@@ -71,14 +71,14 @@
   private readonly sessions = new Map<string, ObservedSession>();
   private observedMs = 0;
   /** Observed time of the last gap: after it every holder has the whole time again. */
-  private restartedAtMs = 0;
+  private lastGapAtMs = 0;
   /** On the monotonic clock. */
   private lastReadMs = Number.NEGATIVE_INFINITY;
-  private heartbeats = 0;
+  private heartbeatCount = 0;
   /** Heartbeats that the store has not answered yet. */
-  private openHeartbeats = 0;
+  private pendingHeartbeats = 0;
   private isLeaving = false;
-  private readonly holding = new ConditionVariable();
+  private readonly holdingStarted = new ConditionVariable();
   private readonly listeners = new Set<(records: readonly StoredRecord[]) => void>();
 
   constructor(
@@ -94,8 +94,8 @@
   }
 
   /** This process has begun to hold something: heartbeats and frequent reads begin at once. */
-  noteHolding(): void {
-    this.holding.notifyAll();
+  notifyHolding(): void {
+    this.holdingStarted.notifyAll();
   }
 
   /** Observed time now, milliseconds: it stops while the store cannot be read. */
@@ -110,20 +110,20 @@
   isLost(holder: OwnerReference, heldSinceMs: number): boolean {
     const session = this.sessions.get(holder.node);
     const changedAtMs = session?.life === holder.life ? session.changedAtMs : 0;
-    const silentMs = this.observedMs - Math.max(changedAtMs, heldSinceMs, this.restartedAtMs);
-    return silentMs > lossAfterMs(this.store.usualAnswerMs());
+    const silentMs = this.observedMs - Math.max(changedAtMs, heldSinceMs, this.lastGapAtMs);
+    return silentMs > lossTimeoutMs(this.store.averageLatencyMs());
   }
 
   /** Resolves after `ms` milliseconds, at once while this process holds something, or when it begins to. */
   async pauseUnlessHolder(ms: number, signal: AbortSignal): Promise<void> {
-    if (!this.roles.isHolder()) await this.holding.waitAtMost(ms, signal, this.clock);
+    if (!this.roles.isHolder()) await this.holdingStarted.waitWithTimeout(ms, signal, this.clock);
   }
 
   /** Reads now unless the last read is recent. Resolves within `REFRESH_MS` whatever the store does. */
   async refresh(): Promise<void> {
     if (this.clock.now() - this.lastReadMs <= RECENT_POLL_MS) return;
     const controller = new AbortController();
-    await Promise.race([this.poll(), this.clock.sleep(REFRESH_MS, controller.signal)]);
+    await Promise.race([this.poll(), this.clock.sleep(REFRESH_TIMEOUT_MS, controller.signal)]);
     controller.abort();
   }
 
@@ -131,44 +131,44 @@
   isFresh(owner: OwnerReference): boolean {
     const session = this.sessions.get(owner.node);
     if (session?.life !== owner.life || session.isLeaving) return false;
-    const isRecent = this.heartbeatAgeMs(session) <= freshUpToMs(this.store.usualAnswerMs());
+    const isRecent = this.heartbeatAgeMs(session) <= maxFreshAgeMs(this.store.averageLatencyMs());
     return isRecent && isObserved(this.clock.now() - this.lastReadMs);
   }
 
   /** Announces to all nodes that this process accepts no new jobs. */
-  async announceLeaving(): Promise<void> {
+  async announceDraining(): Promise<void> {
     this.isLeaving = true;
-    if (this.roles.isHolder()) await this.heartbeat();
+    if (this.roles.isHolder()) await this.sendHeartbeat();
   }
 
   /** Sends heartbeats and watches until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    await Promise.all([this.heartbeatLoop(signal), this.watchRegularly(signal)]);
+    await Promise.all([this.heartbeatLoop(signal), this.pollLoop(signal)]);
   }
 
   private async heartbeatLoop(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!this.roles.isHolder()) {
-        await this.holding.wait(signal);
+        await this.holdingStarted.wait(signal);
         continue;
       }
-      if (this.openHeartbeats < MAX_OPEN_HEARTBEATS) void this.heartbeat();
-      await this.clock.sleep(HEARTBEAT_MS, signal);
+      if (this.pendingHeartbeats < MAX_PENDING_HEARTBEATS) void this.sendHeartbeat();
+      await this.clock.sleep(HEARTBEAT_INTERVAL_MS, signal);
     }
   }
 
-  private async heartbeat(): Promise<void> {
-    this.openHeartbeats += 1;
+  private async sendHeartbeat(): Promise<void> {
+    this.pendingHeartbeats += 1;
     await this.writeHeartbeat();
-    this.openHeartbeats -= 1;
+    this.pendingHeartbeats -= 1;
   }
 
   private async writeHeartbeat(): Promise<void> {
-    this.heartbeats += 1;
+    this.heartbeatCount += 1;
     const atMs = Math.round(this.store.nowMs());
     const content: Heartbeat = {
       life: this.self.life,
-      count: this.heartbeats,
+      count: this.heartbeatCount,
       isLeaving: this.isLeaving,
       atMs,
     };
@@ -177,23 +177,23 @@
     await this.store.transact({ conditions: [], writes: [write], removals: [] });
   }
 
-  private async watchRegularly(signal: AbortSignal): Promise<void> {
+  private async pollLoop(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.roles.mustWatch()) await this.poll();
-      await this.pause(frequentPollMs(this.clock.random()), signal);
+      await this.waitForNextPoll(pollIntervalMs(this.clock.random()), signal);
     }
   }
 
   /** `pollMs` while reads must be frequent, else longer, until this process begins to hold something. */
-  private async pause(pollMs: number, signal: AbortSignal): Promise<void> {
+  private async waitForNextPoll(pollMs: number, signal: AbortSignal): Promise<void> {
     const factor = idlePollFactor(this.roles.fleetSize());
     if (factor === 1 || this.roles.isHolder() || this.hasSuspects()) await this.clock.sleep(pollMs, signal);
-    else await this.holding.waitAtMost(pollMs * factor, signal, this.clock);
+    else await this.holdingStarted.waitWithTimeout(pollMs * factor, signal, this.clock);
   }
 
   /** Whether the newest heartbeat of another holder is suspect. */
   private hasSuspects(): boolean {
-    const suspectMs = suspectAfterMs(this.store.usualAnswerMs());
+    const suspectMs = minSuspectAgeMs(this.store.averageLatencyMs());
     return this.roles.holders().some(({ node, life }) => {
       const session = this.sessions.get(node);
       return node !== this.self.node && (session?.life !== life || this.heartbeatAgeMs(session) > suspectMs);
@@ -207,17 +207,17 @@
   private async poll(): Promise<void> {
     const page = await this.store.scan({ table: SESSION_TABLE, partition: '' });
     if (page.isErr()) return;
-    this.advance();
+    this.advanceObservedTime();
     for (const record of page.value.records)
       if (record.key.startsWith(HEARTBEAT_PREFIX)) this.observe(record);
     for (const listener of this.listeners) listener(page.value.records);
   }
 
-  private advance(): void {
+  private advanceObservedTime(): void {
     const now = this.clock.now();
     const elapsed = now - this.lastReadMs;
     if (isObserved(elapsed)) this.observedMs += elapsed;
-    else this.restartedAtMs = this.observedMs;
+    else this.lastGapAtMs = this.observedMs;
     this.lastReadMs = now;
   }
 
--- a/src/coordination/service/requests/crash-reports.ts
+++ b/src/coordination/service/requests/crash-reports.ts
@@ -11,24 +11,24 @@
 import { TokenBucket } from '../../../common/token-bucket.js';
 import type { RecordStore, RecordWrite, StoredRecord } from '../../../protocol/record-store.js';
 import { type CrashReportMessage, MAX_REPORTS } from '../../../protocol/service/crash-report-peer.js';
-import { CRASH_EXPIRY_MS, parseCrashReport, timeOf } from '../../../state/service/replicas/index.js';
+import { CRASH_EXPIRY_MS, parseCrashReport, reportTimeMs } from '../../../state/service/replicas/index.js';
 
 /** Most records in one transaction: the store's limit of entries. */
-const MAX_RECORDS = 100;
+const MAX_RECORDS_PER_TRANSACTION = 100;
 /** Rate limit of a node's reports, and burst. Chosen, not measured: a crash's requests fit the burst. */
 const REPORTS_PER_SECOND = 20;
-const BURST_REPORTS = 200;
+const REPORT_BURST = 200;
 /**
  * Most reports that wait for the store. Chosen, not measured: bounds the memory of a node during an outage.
  */
-const MAX_PENDING = 1_000;
+const MAX_PENDING_REPORTS = 1_000;
 /** Backoff after a failed write, milliseconds, randomized by half. Chosen, not measured. */
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 1_000;
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 1_000;
 /** Interval of removing expired records, milliseconds. Chosen, not measured: short against their expiry. */
-const SWEEP_MS = 60_000;
+const SWEEP_INTERVAL_MS = 60_000;
 /** Time after expiry at which any node removes a record, ms. Chosen: the writer has had its time again. */
-const OVERDUE_MS = CRASH_EXPIRY_MS;
+const ORPHAN_GRACE_MS = CRASH_EXPIRY_MS;
 
 function toMessage({ key, value }: RecordWrite): CrashReportMessage {
   return { key, value: value.toString('utf8') };
@@ -41,9 +41,9 @@
   /** Records that this node wrote and removes after expiry. */
   private written: RecordWrite[] = [];
   /** The newest reports, of this node and of others, by key. */
-  private readonly newestByKey = new Map<string, CrashReportMessage>();
-  private readonly hasPending = new ConditionVariable();
-  private readonly budget = new TokenBucket(REPORTS_PER_SECOND, BURST_REPORTS);
+  private readonly recentByKey = new Map<string, CrashReportMessage>();
+  private readonly pendingAdded = new ConditionVariable();
+  private readonly rateLimit = new TokenBucket(REPORTS_PER_SECOND, REPORT_BURST);
 
   constructor(
     private readonly store: RecordStore,
@@ -51,74 +51,74 @@
   ) {}
 
   /** Reports that the store has not accepted yet, at most `MAX_REPORTS`. */
-  get unreported(): readonly CrashReportMessage[] {
+  get unwritten(): readonly CrashReportMessage[] {
     return [...this.pending.values()].slice(0, MAX_REPORTS).map(toMessage);
   }
 
   /** The newest reports that this node knows, at most `MAX_REPORTS`. */
-  get newest(): readonly CrashReportMessage[] {
-    return [...this.newestByKey.values()];
+  get recent(): readonly CrashReportMessage[] {
+    return [...this.recentByKey.values()];
   }
 
   /** Whether this very report is known. */
-  knows({ key, value }: CrashReportMessage): boolean {
-    return this.newestByKey.get(key)?.value === value;
+  has({ key, value }: CrashReportMessage): boolean {
+    return this.recentByKey.get(key)?.value === value;
   }
 
   /** Keeps a report for peers that ask for the newest. */
-  remember(message: CrashReportMessage): void {
-    this.newestByKey.delete(message.key);
-    this.newestByKey.set(message.key, message);
-    const [oldest] = this.newestByKey.keys();
-    if (this.newestByKey.size > MAX_REPORTS && oldest !== undefined) this.newestByKey.delete(oldest);
+  addRecent(message: CrashReportMessage): void {
+    this.recentByKey.delete(message.key);
+    this.recentByKey.set(message.key, message);
+    const [oldest] = this.recentByKey.keys();
+    if (this.recentByKey.size > MAX_REPORTS && oldest !== undefined) this.recentByKey.delete(oldest);
   }
 
   /** Queues a report for the store, from which all other nodes read it; drops it over the limits. */
-  share(record: RecordWrite): void {
-    this.remember(toMessage(record));
-    if (this.pending.size >= MAX_PENDING || this.budget.take() > 0) return;
+  enqueue(record: RecordWrite): void {
+    this.addRecent(toMessage(record));
+    if (this.pending.size >= MAX_PENDING_REPORTS || this.rateLimit.take() > 0) return;
     this.pending.set(record.key, record);
-    this.hasPending.notifyAll();
+    this.pendingAdded.notifyAll();
   }
 
   /** Resolves when a report waits for the store, after `ms` milliseconds at the latest. */
-  untilPending(ms: number, signal: AbortSignal): Promise<void> {
-    return this.hasPending.waitAtMost(ms, signal, this.clock);
+  waitForPending(ms: number, signal: AbortSignal): Promise<void> {
+    return this.pendingAdded.waitWithTimeout(ms, signal, this.clock);
   }
 
   /** Whether a record cannot be parsed, or expired more than `sinceMs` milliseconds ago. */
   isExpired(record: Pick<RecordWrite, 'key' | 'value'>, sinceMs = 0): boolean {
     const report = parseCrashReport(record);
-    return !report || timeOf(report) < this.store.nowMs() - CRASH_EXPIRY_MS - sinceMs;
+    return !report || reportTimeMs(report) < this.store.nowMs() - CRASH_EXPIRY_MS - sinceMs;
   }
 
   /** Writes reports and removes expired records until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    await Promise.all([this.writeAll(signal), this.sweepRegularly(signal)]);
+    await Promise.all([this.writeContinuously(signal), this.sweepPeriodically(signal)]);
   }
 
   /** Removes records whose writers are gone for good. */
-  async removeOverdue(records: readonly StoredRecord[]): Promise<void> {
-    const overdue = records.filter((record) => this.isExpired(record, OVERDUE_MS));
-    await this.remove(overdue);
+  async removeOrphaned(records: readonly StoredRecord[]): Promise<void> {
+    const orphaned = records.filter((record) => this.isExpired(record, ORPHAN_GRACE_MS));
+    await this.remove(orphaned);
   }
 
-  private async writeAll(signal: AbortSignal): Promise<void> {
-    let pauseMs = FIRST_PAUSE_MS;
+  private async writeContinuously(signal: AbortSignal): Promise<void> {
+    let backoffMs = INITIAL_BACKOFF_MS;
     while (!signal.aborted) {
-      while (this.pending.size === 0 && !signal.aborted) await this.hasPending.wait(signal);
+      while (this.pending.size === 0 && !signal.aborted) await this.pendingAdded.wait(signal);
       if (signal.aborted) return;
-      const isWritten = await this.write();
-      if (!isWritten) await this.clock.sleep(pauseMs * (0.5 + this.clock.random()), signal);
-      pauseMs = isWritten ? FIRST_PAUSE_MS : Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+      const isWritten = await this.writeBatch();
+      if (!isWritten) await this.clock.sleep(backoffMs * (0.5 + this.clock.random()), signal);
+      backoffMs = isWritten ? INITIAL_BACKOFF_MS : Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
   }
 
   /**
    * Writes a batch; false when it must be retried. A retry after a lost answer writes the same bytes again.
    */
-  private async write(): Promise<boolean> {
-    const writes = [...this.pending.values()].slice(0, MAX_RECORDS);
+  private async writeBatch(): Promise<boolean> {
+    const writes = [...this.pending.values()].slice(0, MAX_RECORDS_PER_TRANSACTION);
     const outcome = await this.store.transact({ conditions: [], writes, removals: [] });
     if (outcome.isErr()) return false;
     for (const record of writes) if (this.pending.get(record.key) === record) this.pending.delete(record.key);
@@ -126,9 +126,9 @@
     return true;
   }
 
-  private async sweepRegularly(signal: AbortSignal): Promise<void> {
+  private async sweepPeriodically(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.clock.sleep(SWEEP_MS, signal);
+      await this.clock.sleep(SWEEP_INTERVAL_MS, signal);
       if (!signal.aborted) await this.sweep();
     }
   }
@@ -141,7 +141,7 @@
 
   /** Removes the first `MAX_RECORDS`; resolves to those removed, none on failure: the next sweep retries. */
   private async remove(records: readonly RecordWrite[]): Promise<readonly RecordWrite[]> {
-    const removals = records.slice(0, MAX_RECORDS);
+    const removals = records.slice(0, MAX_RECORDS_PER_TRANSACTION);
     if (removals.length === 0) return [];
     const outcome = await this.store.transact({ conditions: [], writes: [], removals });
     return outcome.isOk() ? removals : [];
--- a/src/coordination/service/requests/execution-count.ts
+++ b/src/coordination/service/requests/execution-count.ts
@@ -1,20 +1,20 @@
 /** Tells whether a request may have run, and counts it for its tenant once, while any attempt may run. */
 
 /** Counts a request of a tenant; call what it returns if the request turns out not to have run. */
-export type RunCounter = (tenant: string) => () => void;
+export type ExecutionCounter = (tenant: string) => () => void;
 
 /** Identifies an attempt. */
 export type AttemptToken = object;
 
 /** The attempts of one request. */
-export class ExecutionCount {
+export class ExecutionTracker {
   private readonly attempts = new Set<AttemptToken>();
-  private readonly queuedHere = new Set<AttemptToken>();
-  private uncount = () => {};
+  private readonly queuedLocally = new Set<AttemptToken>();
+  private revertCount = () => {};
 
   constructor(
     private readonly tenant: string | undefined,
-    private readonly countRun: RunCounter,
+    private readonly countExecution: ExecutionCounter,
   ) {}
 
   /** Attempts that run, may have run, or are still queued at this node. */
@@ -25,31 +25,32 @@
   /** An attempt starts: queued here until it is handed over. */
   start(): AttemptToken {
     const token = {};
-    this.queuedHere.add(token);
+    this.queuedLocally.add(token);
     this.attempts.add(token);
-    if (this.tenant !== undefined && this.attempts.size === 1) this.uncount = this.countRun(this.tenant);
+    if (this.tenant !== undefined && this.attempts.size === 1)
+      this.revertCount = this.countExecution(this.tenant);
     return token;
   }
 
   /** An attempt was handed over, after which it may run, or was not accepted and is queued here again. */
-  noteHandOver(token: AttemptToken, mayRun: boolean): void {
-    if (mayRun) this.queuedHere.delete(token);
-    else this.queuedHere.add(token);
+  recordHandOver(token: AttemptToken, mayRun: boolean): void {
+    if (mayRun) this.queuedLocally.delete(token);
+    else this.queuedLocally.add(token);
   }
 
   /** An attempt has an outcome. One that was withdrawn may report afterwards that it has not run: it counts once. */
-  noteEnded(token: AttemptToken, hasNotRun: boolean): void {
-    this.queuedHere.delete(token);
-    if (hasNotRun) this.discard(token);
+  recordOutcome(token: AttemptToken, isDeclined: boolean): void {
+    this.queuedLocally.delete(token);
+    if (isDeclined) this.discard(token);
   }
 
   /** Discards the attempts queued here, which their caller aborts before they can run. */
-  withdrawQueued(): void {
-    for (const token of this.queuedHere) this.discard(token);
-    this.queuedHere.clear();
+  cancelQueued(): void {
+    for (const token of this.queuedLocally) this.discard(token);
+    this.queuedLocally.clear();
   }
 
   private discard(token: AttemptToken): void {
-    if (this.attempts.delete(token) && this.attempts.size === 0) this.uncount();
+    if (this.attempts.delete(token) && this.attempts.size === 0) this.revertCount();
   }
 }
