--- a/src/coordination/service/requests/quarantine-exchange.ts
+++ b/src/coordination/service/requests/quarantine-exchange.ts
@@ -9,12 +9,12 @@
 import type { RequestQuarantine } from './request-quarantine.js';
 
 /** Interval of the exchange when this node has no new reports, milliseconds. Chosen, not measured. */
-const EXCHANGE_MS = 500;
+const EXCHANGE_INTERVAL_MS = 500;
 /** Most peers asked in one round, until the store serves one. Chosen, not measured: bounds the calls. */
-const MAX_PEERS = 4;
+const MAX_PEERS_PER_ROUND = 4;
 
 /** Dependencies of the exchange. */
-export interface QuarantineExchangeServices {
+export interface CrashReportExchangeServices {
   readonly quarantine: RequestQuarantine;
   readonly isStoreAnswering: () => boolean;
   /** Addresses (`IP:PORT`) of other nodes, those that the store most likely serves first. */
@@ -26,21 +26,21 @@
 }
 
 /** The exchange of one node. */
-export class QuarantineExchange {
-  constructor(private readonly services: QuarantineExchangeServices) {}
+export class CrashReportExchange {
+  constructor(private readonly services: CrashReportExchangeServices) {}
 
   /** Exchanges while the store does not answer, until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!this.services.isStoreAnswering()) await this.exchangeWithPeers();
-      await this.services.quarantine.reports.untilPending(EXCHANGE_MS, signal);
+      await this.services.quarantine.reports.waitForPending(EXCHANGE_INTERVAL_MS, signal);
     }
   }
 
   private async exchangeWithPeers(): Promise<void> {
     const { quarantine, peers, exchange } = this.services;
-    for (const address of peers(MAX_PEERS)) {
-      const answer = await exchange(address, quarantine.reports.unreported);
+    for (const address of peers(MAX_PEERS_PER_ROUND)) {
+      const answer = await exchange(address, quarantine.reports.unwritten);
       if (!answer) continue;
       quarantine.addFromPeer(answer.reports);
       if (answer.isServed) return;
--- a/src/coordination/service/requests/relay-policy.ts
+++ b/src/coordination/service/requests/relay-policy.ts
@@ -4,20 +4,20 @@
  * the state.
  */
 import type { RouteKind } from '../../../protocol/service/routing-configuration.js';
-import type { Verdict } from '../../../state/service/replicas/index.js';
+import type { QuarantineVerdict } from '../../../state/service/replicas/index.js';
 import type { AttemptOutcome, BufferedAnswer } from '../dispatch/index.js';
 import type { RelayOutcome } from './relayed-request.js';
 
 /** Retry-After where the dispatcher named none, ms. Chosen, not measured: short against time-outs. */
 export const DEFAULT_RETRY_AFTER_MS = 100;
 /** Share of the target latency after which a hedge is sent. Chosen, not measured: half is left to answer. */
-const HEDGE_FRACTION = 0.5;
+const HEDGE_DELAY_FRACTION = 0.5;
 /** Least delay of a hedge, milliseconds. Chosen, not measured: a low target must not double every request. */
-const MIN_HEDGE_MS = 60;
+const MIN_HEDGE_DELAY_MS = 60;
 /** Least remaining time in which an attempt starts, ms. Chosen, not measured: too short to be answered. */
-const MIN_ATTEMPT_MS = 5;
+const MIN_ATTEMPT_TIME_MS = 5;
 /** Statuses from here on are failures of the replica. */
-const FIRST_FAILURE_STATUS = 500;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /** Whether a request may run more than once, and so be retried after an attempt that may have run. */
 export function isSafeToRetry(kind: RouteKind): boolean {
@@ -26,12 +26,12 @@
 
 /** Time without an answer after which a hedge is sent, milliseconds, from the route's target latency. */
 export function hedgeDelayMs(targetLatencyMs: number): number {
-  return Math.max(MIN_HEDGE_MS, targetLatencyMs * HEDGE_FRACTION);
+  return Math.max(MIN_HEDGE_DELAY_MS, targetLatencyMs * HEDGE_DELAY_FRACTION);
 }
 
 /** Whether too little time is left to start an attempt; both on the monotonic clock, milliseconds. */
 export function isTooLateToStart(nowMs: number, deadlineMs: number): boolean {
-  return nowMs >= deadlineMs - MIN_ATTEMPT_MS;
+  return nowMs >= deadlineMs - MIN_ATTEMPT_TIME_MS;
 }
 
 /** What decides on another attempt. */
@@ -44,7 +44,7 @@
   /** Whether the dispatcher rejected the request: it is not sent again. */
   readonly isDeclined: boolean;
   readonly isHedged: boolean;
-  readonly verdict: Verdict;
+  readonly verdict: QuarantineVerdict;
 }
 
 /** Whether an attempt may start, beside pending ones or alone. A suspected request gets no hedge. */
@@ -55,7 +55,7 @@
 }
 
 /** What the outcome of an attempt means for its request. */
-export type AttemptVerdict =
+export type OutcomeClass =
   | { readonly kind: 'answer'; readonly answer: BufferedAnswer; readonly isServed: boolean }
   /** No outcome of the request: an attempt that was aborted, or a hedge for which there was no slot. */
   | { readonly kind: 'ignored' }
@@ -70,17 +70,17 @@
     };
 
 /** Judges an attempt's outcome. An error status is the final answer where a request must not run twice. */
-export function judgeAttempt(
+export function classifyOutcome(
   outcome: AttemptOutcome,
   isHedge: boolean,
   isRepeatable: boolean,
-): AttemptVerdict {
+): OutcomeClass {
   if (outcome.kind === 'cancelled') return { kind: 'ignored' };
   if (outcome.kind === 'declined')
     return isHedge ? { kind: 'ignored' } : { kind: 'declined', reason: outcome.reason };
   if (outcome.kind === 'unknown') return { kind: 'failed', reason: outcome.reason, isFinal: !isRepeatable };
   const { answer } = outcome;
-  const isServed = answer.status < FIRST_FAILURE_STATUS;
+  const isServed = answer.status < FIRST_SERVER_ERROR_STATUS;
   if (isServed || !isRepeatable) return { kind: 'answer', answer, isServed };
   return { kind: 'failed', reason: `status ${answer.status}`, isFinal: false, answer };
 }
@@ -88,7 +88,7 @@
 /** What is known of a request for which no attempt is left. */
 export interface ExhaustedInput {
   readonly lastErrorAnswer: BufferedAnswer | undefined;
-  readonly verdict: Verdict;
+  readonly verdict: QuarantineVerdict;
   readonly mayHaveRun: boolean;
   readonly lastReason: string;
   readonly retryAfterMs: number;
--- a/src/coordination/service/requests/relay-run.ts
+++ b/src/coordination/service/requests/relay-run.ts
@@ -7,14 +7,14 @@
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { BufferedAnswer, DispatchCall, DispatchResult } from '../dispatch/index.js';
-import { ExecutionCount, type RunCounter } from './execution-count.js';
+import { type ExecutionCounter, ExecutionTracker } from './execution-count.js';
 import {
+  classifyOutcome,
   DEFAULT_RETRY_AFTER_MS,
   exhaustedOutcome,
   hedgeDelayMs,
   isSafeToRetry,
   isTooLateToStart,
-  judgeAttempt,
   mayStartAttempt,
 } from './relay-policy.js';
 import type { RelayedRequest, RelayOutcome } from './relayed-request.js';
@@ -25,7 +25,7 @@
  * the remaining time, and an abort would cost the connection. Chosen, not measured; the connections that it
  * saves are in docs/incidents/connections-after-time-outs.md.
  */
-const REPLICA_END_MS = 250;
+const ABORT_GRACE_MS = 250;
 
 /** Sends an attempt; `isRepeatable` says whether the request may run more than once. Never rejects. */
 export type SendAttempt = (call: DispatchCall, isRepeatable: boolean) => Promise<DispatchResult>;
@@ -42,9 +42,9 @@
   private readonly isRepeatable: boolean;
   private readonly pending = new Set<Promise<Attempt>>();
   /** IDs of the replicas that were used. */
-  private readonly tried = new Set<string>();
+  private readonly usedReplicaIds = new Set<string>();
   private readonly controller = new AbortController();
-  private readonly executions: ExecutionCount;
+  private readonly executionTracker: ExecutionTracker;
   private failedAttempts = 0;
   private isDeclined = false;
   private retryAfterMs = DEFAULT_RETRY_AFTER_MS;
@@ -61,39 +61,39 @@
     private readonly service: string,
     private readonly send: SendAttempt,
     private readonly quarantine: RequestQuarantine,
-    countRun: RunCounter,
+    countExecution: ExecutionCounter,
   ) {
     this.deadlineMs = Math.min(request.deadlineMs, monotonicMs() + request.route.timeoutMs);
     this.isRepeatable = isSafeToRetry(request.route.kind);
-    this.executions = new ExecutionCount(request.tenant, countRun);
+    this.executionTracker = new ExecutionTracker(request.tenant, countExecution);
   }
 
   /** Runs it to its end. Never rejects. */
   async run(): Promise<RelayOutcome> {
     const { signal } = this.request;
-    const onGone = () => this.controller.abort();
+    const onCallerAbort = () => this.controller.abort();
     if (signal.aborted) return { kind: 'cancelled', attempts: [] };
-    signal.addEventListener('abort', onGone, { once: true });
+    signal.addEventListener('abort', onCallerAbort, { once: true });
     try {
       return this.finish(await this.runAttempts());
     } finally {
-      signal.removeEventListener('abort', onGone);
+      signal.removeEventListener('abort', onCallerAbort);
     }
   }
 
   private async runAttempts(): Promise<RelayOutcome> {
     for (;;) {
-      const ended = this.startOrEnd();
-      if (ended) return ended;
-      const next = await this.nextOutcome();
-      if (next === 'timeout') return this.timedOut();
-      const final = next === 'hedge' ? undefined : this.judge(next);
+      const finalOutcome = this.startOrFinish();
+      if (finalOutcome) return finalOutcome;
+      const event = await this.nextEvent();
+      if (event === 'timeout') return this.timedOut();
+      const final = event === 'hedge' ? undefined : this.handleOutcome(event);
       if (final) return final;
     }
   }
 
   /** Starts an attempt if one may start; the final outcome if none is pending and none may start. */
-  private startOrEnd(): RelayOutcome | undefined {
+  private startOrFinish(): RelayOutcome | undefined {
     if (this.request.signal.aborted) return { kind: 'cancelled', attempts: this.attempts };
     const hasPending = this.pending.size > 0;
     if (!hasPending && isTooLateToStart(monotonicMs(), this.deadlineMs)) return this.timedOut();
@@ -110,30 +110,30 @@
       maxAttempts: this.request.route.maxAttempts,
       isDeclined: this.isDeclined,
       isHedged: this.request.isHedged,
-      verdict: this.quarantine.judge(this.request),
+      verdict: this.quarantine.evaluate(this.request),
     });
   }
 
   private start(): void {
     const isHedge = this.pending.size > 0;
-    const token = this.executions.start();
-    const onHandOver = (mayRun: boolean) => this.executions.noteHandOver(token, mayRun);
-    const sent = this.send({ ...this.toCall(isHedge), onHandOver }, this.isRepeatable);
+    const token = this.executionTracker.start();
+    const onHandOver = (mayRun: boolean) => this.executionTracker.recordHandOver(token, mayRun);
+    const dispatched = this.send({ ...this.toCall(isHedge), onHandOver }, this.isRepeatable);
     this.hedgeAtMs = monotonicMs() + hedgeDelayMs(this.request.route.targetLatencyMs);
-    const tracked: Promise<Attempt> = sent.then((result) => {
+    const tracked: Promise<Attempt> = dispatched.then((result) => {
       this.pending.delete(tracked);
-      this.executions.noteEnded(token, result.outcome.kind === 'declined');
-      this.noteReplica(result);
+      this.executionTracker.recordOutcome(token, result.outcome.kind === 'declined');
+      this.recordReplica(result);
       return { result, isHedge };
     });
     this.pending.add(tracked);
   }
 
-  private noteReplica({ outcome, replica, hasCrashedReplica }: DispatchResult): void {
+  private recordReplica({ outcome, replica, hasCrashedReplica }: DispatchResult): void {
     if (!replica) return;
     if (outcome.kind !== 'declined') this.hasReachedReplica = true;
-    this.tried.add(replica.id);
-    if (hasCrashedReplica) this.quarantine.noteCrash(this.request, replica);
+    this.usedReplicaIds.add(replica.id);
+    if (hasCrashedReplica) this.quarantine.reportCrash(this.request, replica);
   }
 
   private toCall(isHedge: boolean): DispatchCall {
@@ -150,14 +150,14 @@
       deadlineMs: this.deadlineMs,
       isHedge,
       isRetry: this.hasReachedReplica,
-      excluded: this.tried,
+      excluded: this.usedReplicaIds,
       configVersion: this.request.snapshot.version,
       signal: this.controller.signal,
     };
   }
 
   /** The next outcome of a pending attempt, the time of a hedge, or the deadline, whichever comes first. */
-  private async nextOutcome(): Promise<Attempt | 'timeout' | 'hedge'> {
+  private async nextEvent(): Promise<Attempt | 'timeout' | 'hedge'> {
     const nowMs = monotonicMs();
     const remainingMs = Math.max(0, this.deadlineMs - nowMs);
     const hedgeMs = this.mayStart() ? Math.max(0, this.hedgeAtMs - nowMs) : Number.POSITIVE_INFINITY;
@@ -174,11 +174,11 @@
   }
 
   /** The final outcome, or `undefined` to go on. */
-  private judge({ result, isHedge }: Attempt): RelayOutcome | undefined {
-    const verdict = judgeAttempt(result.outcome, isHedge, this.isRepeatable);
+  private handleOutcome({ result, isHedge }: Attempt): RelayOutcome | undefined {
+    const verdict = classifyOutcome(result.outcome, isHedge, this.isRepeatable);
     if (verdict.kind === 'ignored') return undefined;
     if (verdict.kind === 'answer') {
-      if (verdict.isServed) this.quarantine.noteServed(this.request);
+      if (verdict.isServed) this.quarantine.reportServed(this.request);
       return { kind: 'answered', answer: verdict.answer, attempts: this.attempts };
     }
     this.lastReason = verdict.reason;
@@ -194,26 +194,26 @@
   }
 
   private get attempts(): string[] {
-    return [...this.tried];
+    return [...this.usedReplicaIds];
   }
 
   private exhausted(): RelayOutcome {
     const { lastErrorAnswer, mayHaveRun, lastReason, retryAfterMs, attempts } = this;
-    const verdict = this.quarantine.judge(this.request);
-    if (!lastErrorAnswer && verdict.kind === 'held') this.quarantine.noteQuarantined(this.service);
+    const verdict = this.quarantine.evaluate(this.request);
+    if (!lastErrorAnswer && verdict.kind === 'held') this.quarantine.countQuarantined(this.service);
     return exhaustedOutcome({ lastErrorAnswer, verdict, mayHaveRun, lastReason, retryAfterMs, attempts });
   }
 
   /** At the deadline attempts queued here are withdrawn; where no other was made, the request has not run. */
   private timedOut(): RelayOutcome {
-    this.executions.withdrawQueued();
-    const made = this.executions.attemptCount;
-    if (made === 0) {
+    this.executionTracker.cancelQueued();
+    const attemptsMade = this.executionTracker.attemptCount;
+    if (attemptsMade === 0) {
       // At once: a turn later another request's arrival could make the queue send what was just withdrawn.
       this.controller.abort();
       return this.exhausted();
     }
-    this.lastReason = `the time is over; ${made} attempt(s) made; before: ${this.lastReason}`;
+    this.lastReason = `the time is over; ${attemptsMade} attempt(s) made; before: ${this.lastReason}`;
     return this.failed(true);
   }
 
@@ -227,7 +227,7 @@
    */
   private finish(outcome: RelayOutcome): RelayOutcome {
     if (outcome.kind === 'failed' && outcome.isTimeout)
-      setTimeout(() => this.controller.abort(), REPLICA_END_MS).unref();
+      setTimeout(() => this.controller.abort(), ABORT_GRACE_MS).unref();
     else if (outcome.kind !== 'answered') this.controller.abort();
     return outcome;
   }
--- a/src/coordination/service/requests/request-quarantine.ts
+++ b/src/coordination/service/requests/request-quarantine.ts
@@ -16,16 +16,16 @@
   type Crash,
   CrashHistory,
   parseCrashReport,
+  type QuarantineVerdict,
+  toAnswerRecord,
   toCrashRecord,
-  toServedRecord,
-  type Verdict,
 } from '../../../state/service/replicas/index.js';
 import { FOLLOWED_TABLE } from '../../../state/service/store/index.js';
 import { type FeedHandler, readPartition } from '../../feeds/index.js';
-import { digestOf, type IdentifiedRequest, type UsedReplica } from '../dispatch/index.js';
+import { type AttemptedReplica, digestOf, type IdentifiedRequest } from '../dispatch/index.js';
 import { CrashReports } from './crash-reports.js';
 
-const CLEAR: Verdict = { kind: 'clear' };
+const CLEAR: QuarantineVerdict = { kind: 'clear' };
 const CRASH_ADDRESS = { table: FOLLOWED_TABLE, partition: CRASH_PARTITION } as const;
 
 /** Dependencies of the quarantine. */
@@ -40,55 +40,55 @@
   readonly table = FOLLOWED_TABLE;
   readonly reports: CrashReports;
   private readonly history = new CrashHistory();
-  private hasRead = false;
+  private hasLoaded = false;
 
   constructor(private readonly services: QuarantineServices) {
     this.reports = new CrashReports(services.store);
   }
 
   /** Whether this node has read what others reported before it started. */
-  get isInformed(): boolean {
-    return this.hasRead;
+  get hasLoadedReports(): boolean {
+    return this.hasLoaded;
   }
 
   /**
    * Whether a request may be sent to a replica now. The digest is computed only if some request is suspected.
    */
-  judge(request: IdentifiedRequest): Verdict {
+  evaluate(request: IdentifiedRequest): QuarantineVerdict {
     if (this.history.size === 0) return CLEAR;
-    return this.history.judge(digestOf(request), this.services.store.nowMs());
+    return this.history.verdictOf(digestOf(request), this.services.store.nowMs());
   }
 
   /** Counts a request that its verdict kept from being sent. */
-  noteQuarantined(service: string): void {
+  countQuarantined(service: string): void {
     this.services.metrics.quarantinedRequests.inc({ service });
   }
 
   /**
    * Reports that a replica crashed while it ran the request. Not for one that was leaving: it ended by plan.
    */
-  noteCrash(request: IdentifiedRequest, { id, address }: UsedReplica): void {
+  reportCrash(request: IdentifiedRequest, { id, address }: AttemptedReplica): void {
     const crash = { digest: digestOf(request), address, endedAtMs: this.services.store.nowMs() };
-    if (this.addCrash(crash, 'here', id)) this.reports.share(toCrashRecord(crash, id));
+    if (this.addCrash(crash, 'here', id)) this.reports.enqueue(toCrashRecord(crash, id));
   }
 
   /** Reports that a replica answered the request, which clears it: it does not crash replicas. */
-  noteServed(request: IdentifiedRequest): void {
+  reportServed(request: IdentifiedRequest): void {
     if (this.history.size === 0) return;
     const digest = digestOf(request);
     if (!this.history.isSuspect(digest)) return;
     const run = { digest, servedAtMs: this.services.store.nowMs() };
-    this.history.noteServed(run);
-    this.reports.share(toServedRecord(run));
+    this.history.recordAnswer(run);
+    this.reports.enqueue(toAnswerRecord(run));
   }
 
   /** Adds reports of a peer, and shares those that are new here with all nodes. */
   addFromPeer(messages: readonly CrashReportMessage[]): void {
     for (const message of messages) {
-      if (this.reports.knows(message)) continue;
+      if (this.reports.has(message)) continue;
       const { key, value } = message;
       const record = { ...CRASH_ADDRESS, key, value: Buffer.from(value, 'utf8') };
-      if (this.addReport(record)) this.reports.share(record);
+      if (this.addReport(record)) this.reports.enqueue(record);
     }
   }
 
@@ -106,8 +106,8 @@
 
   replaceAll(content: readonly StoredRecord[]): void {
     for (const record of content) this.addReport(record);
-    if (!this.hasRead) void this.reports.removeOverdue(content);
-    this.hasRead = true;
+    if (!this.hasLoaded) void this.reports.removeOrphaned(content);
+    this.hasLoaded = true;
   }
 
   apply({ key, value }: ChangedRecord): void {
@@ -118,8 +118,8 @@
   private addReport(record: Pick<StoredRecord, 'key' | 'value'>): boolean {
     const report = parseCrashReport(record);
     if (!report || this.reports.isExpired(record)) return false;
-    this.reports.remember({ key: record.key, value: record.value.toString('utf8') });
-    if (report.kind === 'served') this.history.noteServed(report.run);
+    this.reports.addRecent({ key: record.key, value: record.value.toString('utf8') });
+    if (report.kind === 'served') this.history.recordAnswer(report.run);
     else this.addCrash(report.run, 'another node', record.key);
     return true;
   }
@@ -127,9 +127,9 @@
   /** Adds a crash and logs the verdict that follows; false when it was known. */
   private addCrash(crash: Crash, source: 'here' | 'another node', replica: string): boolean {
     const nowMs = this.services.store.nowMs();
-    this.history.forgetBefore(nowMs - CRASH_EXPIRY_MS);
-    if (!this.history.note(crash)) return false;
-    const verdict = this.history.judge(crash.digest, nowMs);
+    this.history.expireBefore(nowMs - CRASH_EXPIRY_MS);
+    if (!this.history.recordCrash(crash)) return false;
+    const verdict = this.history.verdictOf(crash.digest, nowMs);
     this.services.logger.record({
       event: 'request-suspected',
       digest: crash.digest,
--- a/src/coordination/service/requests/service-relay.ts
+++ b/src/coordination/service/requests/service-relay.ts
@@ -6,7 +6,7 @@
  * no attempt is left.
  */
 import type { TargetSplitter } from '../../../state/service/configuration/index.js';
-import type { RunCounter } from './execution-count.js';
+import type { ExecutionCounter } from './execution-count.js';
 import { DEFAULT_RETRY_AFTER_MS } from './relay-policy.js';
 import { RelayRun, type SendAttempt } from './relay-run.js';
 import type { RelayedRequest, RelayOutcome } from './relayed-request.js';
@@ -18,7 +18,7 @@
     private readonly splitter: TargetSplitter,
     private readonly send: SendAttempt,
     private readonly quarantine: RequestQuarantine,
-    private readonly countRun: RunCounter = () => () => {},
+    private readonly countExecution: ExecutionCounter = () => () => {},
   ) {}
 
   /** Runs one request to its end. Never rejects. */
@@ -28,6 +28,6 @@
       const reason = 'the route has no service';
       return Promise.resolve({ kind: 'refused', reason, retryAfterMs: DEFAULT_RETRY_AFTER_MS, attempts: [] });
     }
-    return new RelayRun(request, target.service, this.send, this.quarantine, this.countRun).run();
+    return new RelayRun(request, target.service, this.send, this.quarantine, this.countExecution).run();
   }
 }
--- a/src/coordination/service/usage/usage-accounting.ts
+++ b/src/coordination/service/usage/usage-accounting.ts
@@ -60,7 +60,7 @@
   observe(records: readonly StoredRecord[], mayLead: boolean): void {
     this.lease.observe(
       records,
-      mayLead && this.reporter.wantsLeadership && this.services.store.isAnswering(),
+      mayLead && this.reporter.mayAcquireLease && this.services.store.isAnswering(),
     );
   }
 
--- a/src/coordination/service/usage/usage-counter.ts
+++ b/src/coordination/service/usage/usage-counter.ts
@@ -12,7 +12,7 @@
 const MAX_WINDOWS = 120;
 
 /** Counts of one window. */
-interface CountedWindow {
+interface WindowCounts {
   readonly counts: Map<string, number>;
   /** Rises with each change. */
   changes: number;
@@ -31,19 +31,19 @@
   readonly changed = new ConditionVariable();
   /** Requests in windows that were dropped because the store did not accept them. */
   lostRequests = 0;
-  private readonly windows = new Map<number, CountedWindow>();
+  private readonly windows = new Map<number, WindowCounts>();
 
-  constructor(private readonly time: UsageWindows) {}
+  constructor(private readonly usageWindows: UsageWindows) {}
 
   /** Counts a request of `tenant` that is sent now. Call what is returned if it turns out not to have run. */
-  begin(tenant: string): () => void {
-    const window = this.time.current;
+  countRequest(tenant: string): () => void {
+    const window = this.usageWindows.current;
     this.add(window, tenant, 1);
     return () => this.add(window, tenant, -1);
   }
 
   /** Windows in which something was counted, the oldest first. */
-  get counted(): number[] {
+  get countedWindows(): number[] {
     return [...this.windows.keys()].sort((left, right) => left - right);
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Drops a window whose counts are stored. */
-  forget(window: number): void {
+  drop(window: number): void {
     this.windows.delete(window);
   }
 
--- a/src/coordination/service/usage/usage-reporter.ts
+++ b/src/coordination/service/usage/usage-reporter.ts
@@ -14,32 +14,32 @@
 import type { StoredReport, UsageRepository } from '../../../state/service/usage/index.js';
 import type { LeaderLease } from '../leadership/index.js';
 import type { UsageWindows } from './usage-window.js';
-import { EARLIER_WINDOWS, missingNodes, sumOf } from './window-counts.js';
+import { LOOKBACK_WINDOWS, missingNodes, sumByTenant } from './window-counts.js';
 
 /** All reports are actions on one target: the handover guard covers every window. */
-const TARGET = 'usage';
+const LEASE_TARGET = 'usage';
 /** Interval of passes while this node leads, milliseconds. Chosen, not measured. */
 const PASS_INTERVAL_MS = 300;
 /** Time after its end at which a window is first checked: nodes close it before. Chosen, not measured. */
 const FIRST_CHECK_MS = 400;
 /** Time left for sending between the latest decision and the due time. Chosen, not measured. */
-const SENDING_MS = 2_500;
+const SEND_MARGIN_MS = 2_500;
 const SEND_TIMEOUT_MS = 2_000;
 /** Pause between reports: a backlog must not use up the rate that all share. Chosen, not measured. */
-const BETWEEN_REPORTS_MS = 50;
+const REPORT_SPACING_MS = 50;
 /** Pause after a failed report, milliseconds. Chosen, not measured. */
-const RETRY_MS = 250;
+const RETRY_DELAY_MS = 250;
 /** Failures in a row that release the lease: another node may reach the collector. Chosen, not measured. */
-const MAX_FAILURES = 4;
+const MAX_CONSECUTIVE_FAILURES = 4;
 /** Time for which a node that has released the lease does not acquire it. Chosen, not measured. */
-const REST_MS = 15_000;
+const LEADERSHIP_PAUSE_MS = 15_000;
 /** Most windows that a new leader reports late. Chosen, not measured. */
 const MAX_BACKLOG = 200;
 /** Windows before the last reported one whose counts (for `missingNodes`) and reports are kept. */
-const KEPT_COUNTS = EARLIER_WINDOWS;
-const KEPT_REPORTS = 60;
+const RETAINED_COUNT_WINDOWS = LOOKBACK_WINDOWS;
+const RETAINED_REPORT_WINDOWS = 60;
 /** Missing nodes that a log line names. */
-const SHOWN_NODES = 5;
+const MAX_LOGGED_NODES = 5;
 
 /** What reporting works with. */
 export interface UsageReporterServices {
@@ -55,7 +55,7 @@
 }
 
 /** Progress of one leadership. */
-interface Progress {
+interface LeadershipProgress {
   /** Epoch of the lease that it belongs to. */
   readonly epoch: number;
   /** Decided and not yet accepted, the oldest first. */
@@ -66,22 +66,22 @@
 
 /** The reporter of one node; it acts only while the lease is held. */
 export class UsageReporter {
-  private progress: Progress | undefined;
+  private progress: LeadershipProgress | undefined;
   private failures = 0;
-  private restsUntilMs = Number.NEGATIVE_INFINITY;
+  private pausedUntilMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly services: UsageReporterServices) {}
 
   /** Whether this node may acquire the lease: not for `REST_MS` after failed reports. */
-  get wantsLeadership(): boolean {
-    return monotonicMs() >= this.restsUntilMs;
+  get mayAcquireLease(): boolean {
+    return monotonicMs() >= this.pausedUntilMs;
   }
 
   /** Reports until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { lease } = this.services;
     while (!signal.aborted) {
-      await lease.untilHeld(signal);
+      await lease.waitUntilHeld(signal);
       if (lease.isHeld) await this.pass(signal);
       await sleep(PASS_INTERVAL_MS, signal);
     }
@@ -100,42 +100,42 @@
   }
 
   /** Progress of this leadership, read from the store once per epoch; `undefined` when the store fails. */
-  private async currentProgress(): Promise<Progress | undefined> {
+  private async currentProgress(): Promise<LeadershipProgress | undefined> {
     const { lease, repository, windows } = this.services;
     const { epoch } = lease;
     if (this.progress?.epoch === epoch) return this.progress;
     const reports = await repository.reports();
     if (reports.isErr()) return undefined;
     const newest = reports.value.at(-1)?.window;
-    const oldestToCatchUp = windows.current - MAX_BACKLOG;
-    const nextWindow = newest === undefined ? windows.current : Math.max(newest + 1, oldestToCatchUp);
+    const oldestBacklogWindow = windows.current - MAX_BACKLOG;
+    const nextWindow = newest === undefined ? windows.current : Math.max(newest + 1, oldestBacklogWindow);
     const unreported = reports.value.filter(({ isReported }) => !isReported);
     this.progress = { epoch, unreported, nextWindow };
     return this.progress;
   }
 
   /** Decides the next window if it may be decided now. Returns whether it is decided. */
-  private async decide(progress: Progress): Promise<boolean> {
+  private async decide(progress: LeadershipProgress): Promise<boolean> {
     const { repository, windows, dueMs, nodeName } = this.services;
     const window = progress.nextWindow;
-    const counts = await repository.countsOf(window - EARLIER_WINDOWS, window);
+    const counts = await repository.countsOf(window - LOOKBACK_WINDOWS, window);
     if (counts.isErr()) return false;
     const missing = missingNodes(counts.value, window);
-    if (!mayDecide(missing, windows.sinceEndMs(window), dueMs)) return false;
-    const decided = await repository.decide(window, sumOf(counts.value, window), nodeName);
+    if (!isDecidable(missing, windows.sinceEndMs(window), dueMs)) return false;
+    const decided = await repository.decide(window, sumByTenant(counts.value, window), nodeName);
     if (decided.isErr()) return false;
     progress.nextWindow = window + 1;
     if (!decided.value.isReported) progress.unreported.push(decided.value);
-    this.reportDecision(decided.value, missing);
+    this.logDecision(decided.value, missing);
     return true;
   }
 
   /** Sends decided reports, the oldest first. Returns whether none is left. */
-  private async sendAll({ unreported }: Progress, signal: AbortSignal): Promise<boolean> {
+  private async sendAll({ unreported }: LeadershipProgress, signal: AbortSignal): Promise<boolean> {
     for (let report = unreported[0]; report !== undefined; report = unreported[0]) {
       if (signal.aborted || !(await this.send(report))) return false;
       unreported.shift();
-      await sleep(BETWEEN_REPORTS_MS, signal);
+      await sleep(REPORT_SPACING_MS, signal);
     }
     return true;
   }
@@ -143,37 +143,37 @@
   /** Sends a report under a fresh confirmation. Returns whether it was accepted; a repeat is safe. */
   private async send(report: StoredReport): Promise<boolean> {
     const { lease, sink, nodeName, repository } = this.services;
-    if (!lease.mayActOn(TARGET)) return false;
-    const confirmation = await lease.confirm(TARGET);
+    if (!lease.allowsAction(LEASE_TARGET)) return false;
+    const confirmation = await lease.confirm(LEASE_TARGET);
     if (!confirmation?.isFresh()) return false;
     const startedAtMs = monotonicMs();
     const { window, counts } = report;
     const sender = { node: nodeName, fencingToken: confirmation.epoch };
     const answer = await sink.report({ window, counts }, sender, SEND_TIMEOUT_MS);
     const outcome = answer.isOk() ? answer.value : `unanswered: ${answer.error.failure}`;
-    this.reportSending(report, outcome, confirmation.epoch, monotonicMs() - startedAtMs);
+    this.logSending(report, outcome, confirmation.epoch, monotonicMs() - startedAtMs);
     if (outcome !== 'taken') {
-      await this.noteFailure();
+      await this.handleFailure();
       return false;
     }
     this.failures = 0;
     await repository.markReported(report);
-    await repository.removeOld(window - KEPT_COUNTS, window - KEPT_REPORTS);
+    await repository.removeOld(window - RETAINED_COUNT_WINDOWS, window - RETAINED_REPORT_WINDOWS);
     return true;
   }
 
-  private async noteFailure(): Promise<void> {
+  private async handleFailure(): Promise<void> {
     this.failures += 1;
-    if (this.failures < MAX_FAILURES) {
-      await sleep(RETRY_MS);
+    if (this.failures < MAX_CONSECUTIVE_FAILURES) {
+      await sleep(RETRY_DELAY_MS);
       return;
     }
     this.failures = 0;
-    this.restsUntilMs = monotonicMs() + REST_MS;
-    await this.services.lease.resign();
+    this.pausedUntilMs = monotonicMs() + LEADERSHIP_PAUSE_MS;
+    await this.services.lease.release();
   }
 
-  private reportDecision(report: StoredReport, missing: readonly string[]): void {
+  private logDecision(report: StoredReport, missing: readonly string[]): void {
     const { windows, logger } = this.services;
     logger.record({
       event: 'usage-decided',
@@ -181,13 +181,13 @@
       requests: total(report.counts),
       tenants: Object.keys(report.counts).length,
       missingNodes: missing.length,
-      missing: missing.slice(0, SHOWN_NODES).join(','),
+      missing: missing.slice(0, MAX_LOGGED_NODES).join(','),
       decidedBy: report.decidedBy,
       sinceEndMs: Math.round(windows.sinceEndMs(report.window)),
     });
   }
 
-  private reportSending(report: StoredReport, outcome: string, fencingToken: number, tookMs: number): void {
+  private logSending(report: StoredReport, outcome: string, fencingToken: number, tookMs: number): void {
     const { windows, logger, metrics } = this.services;
     const sinceEndMs = Math.round(windows.sinceEndMs(report.window));
     metrics.usageReports.inc({ outcome: outcome.startsWith('unanswered') ? 'unanswered' : outcome });
@@ -203,8 +203,8 @@
 }
 
 /** Whether a window may be decided: no node may add to it, or it must be sent now. Milliseconds. */
-function mayDecide(missing: readonly string[], sinceEndMs: number, dueMs: number): boolean {
-  return missing.length === 0 || sinceEndMs >= dueMs - SENDING_MS;
+function isDecidable(missing: readonly string[], sinceEndMs: number, dueMs: number): boolean {
+  return missing.length === 0 || sinceEndMs >= dueMs - SEND_MARGIN_MS;
 }
 
 function total(counts: TenantCounts): number {
--- a/src/coordination/service/usage/usage-writer.ts
+++ b/src/coordination/service/usage/usage-writer.ts
@@ -10,13 +10,13 @@
 import type { UsageWindows } from './usage-window.js';
 
 /** Least time between two writes of a node, per node of the fleet: 200 writes a second together. */
-const SPACING_PER_NODE_MS = 5;
+const WRITE_SPACING_PER_NODE_MS = 5;
 /** Time after its end at which a window is closed, all its requests counted. Chosen, not measured. */
 const CLOSE_DELAY_MS = 150;
 /** Windows before the current one that a new process closes for its predecessor on this node. */
-const CLOSED_AT_START = 2;
+const CLOSED_AT_STARTUP = 2;
 /** Windows after which counts are no longer requested by any reporter. Chosen, not measured. */
-const KEPT_WINDOWS = 12;
+const RETAINED_WINDOWS = 12;
 
 /** A window as stored. */
 interface WrittenWindow {
@@ -32,8 +32,8 @@
 export class UsageWriter {
   private readonly written = new Map<number, WrittenWindow>();
   /** The last window that is closed. */
-  private closedUpTo: number;
-  private wroteAtMs = Number.NEGATIVE_INFINITY;
+  private lastClosedWindow: number;
+  private lastWriteAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly repository: UsageRepository,
@@ -43,15 +43,15 @@
     private readonly fleetSize: () => number,
     private readonly clock: Clock = SYSTEM_CLOCK,
   ) {
-    this.closedUpTo = windows.current - CLOSED_AT_START - 1;
+    this.lastClosedWindow = windows.current - CLOSED_AT_STARTUP - 1;
   }
 
   /** Writes until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const window = this.nextWindow();
-      if (window === undefined) await this.untilChange(signal);
-      else await this.writeSpaced(window, signal);
+      if (window === undefined) await this.waitForChange(signal);
+      else await this.writeRateLimited(window, signal);
     }
   }
 
@@ -63,36 +63,36 @@
     }
   }
 
-  private get spacingMs(): number {
-    return this.fleetSize() * SPACING_PER_NODE_MS;
+  private get writeSpacingMs(): number {
+    return this.fleetSize() * WRITE_SPACING_PER_NODE_MS;
   }
 
   /** The next window to write: one whose counts have changed, or one to close. */
   private nextWindow(): number | undefined {
     const changed = this.changedWindow();
     if (changed !== undefined) return changed;
-    const next = this.closedUpTo + 1;
-    return this.isOver(next) ? next : undefined;
+    const next = this.lastClosedWindow + 1;
+    return this.hasEnded(next) ? next : undefined;
   }
 
   private changedWindow(): number | undefined {
-    return this.counter.counted.find(
+    return this.counter.countedWindows.find(
       (window) => this.counter.snapshot(window).changes !== (this.written.get(window) ?? UNWRITTEN).changes,
     );
   }
 
-  private isOver(window: number): boolean {
+  private hasEnded(window: number): boolean {
     return this.windows.sinceEndMs(window) >= CLOSE_DELAY_MS;
   }
 
-  private async untilChange(signal: AbortSignal): Promise<void> {
-    const toCloseMs = CLOSE_DELAY_MS - this.windows.sinceEndMs(this.closedUpTo + 1);
-    const spreadMs = this.clock.random() * this.spacingMs;
-    await this.counter.changed.waitAtMost(Math.max(1, toCloseMs) + spreadMs, signal, this.clock);
+  private async waitForChange(signal: AbortSignal): Promise<void> {
+    const untilCloseMs = CLOSE_DELAY_MS - this.windows.sinceEndMs(this.lastClosedWindow + 1);
+    const jitterMs = this.clock.random() * this.writeSpacingMs;
+    await this.counter.changed.waitWithTimeout(Math.max(1, untilCloseMs) + jitterMs, signal, this.clock);
   }
 
-  private async writeSpaced(window: number, signal: AbortSignal): Promise<void> {
-    const pauseMs = this.wroteAtMs + this.spacingMs - this.clock.now();
+  private async writeRateLimited(window: number, signal: AbortSignal): Promise<void> {
+    const pauseMs = this.lastWriteAtMs + this.writeSpacingMs - this.clock.now();
     if (pauseMs > 0) await this.clock.sleep(pauseMs, signal);
     if (!signal.aborted) await this.write(window, signal);
   }
@@ -100,7 +100,7 @@
   private async write(window: number, signal: AbortSignal): Promise<void> {
     const before = this.written.get(window) ?? UNWRITTEN;
     const { counts, changes } = this.counter.snapshot(window);
-    const isClosed = before.isClosed || this.isOver(window);
+    const isClosed = before.isClosed || this.hasEnded(window);
     const saved = await this.repository.saveCounts(
       window,
       this.source,
@@ -108,22 +108,22 @@
       before.version,
       signal,
     );
-    this.wroteAtMs = this.clock.now();
+    this.lastWriteAtMs = this.clock.now();
     if (saved.isErr() && saved.error.failure !== 'conflict') return;
     // A conflict means that the window is reported and cleared: nothing can be added to it.
     const version = saved.isOk() ? saved.value : before.version;
     this.written.set(window, { version, changes, isClosed });
-    this.forgetOld();
-    while (this.written.get(this.closedUpTo + 1)?.isClosed) this.closedUpTo += 1;
+    this.dropOld();
+    while (this.written.get(this.lastClosedWindow + 1)?.isClosed) this.lastClosedWindow += 1;
   }
 
-  private forgetOld(): void {
-    const oldest = this.windows.current - KEPT_WINDOWS;
-    this.closedUpTo = Math.max(this.closedUpTo, oldest);
+  private dropOld(): void {
+    const oldest = this.windows.current - RETAINED_WINDOWS;
+    this.lastClosedWindow = Math.max(this.lastClosedWindow, oldest);
     for (const window of this.written.keys()) {
       if (window >= oldest) continue;
       this.written.delete(window);
-      this.counter.forget(window);
+      this.counter.drop(window);
     }
   }
 }
--- a/src/coordination/service/usage/window-counts.ts
+++ b/src/coordination/service/usage/window-counts.ts
@@ -3,7 +3,7 @@
 import type { StoredCount } from '../../../state/service/usage/index.js';
 
 /** Windows before one whose closing shows which nodes run. Chosen, not measured; see `missingNodes`. */
-export const EARLIER_WINDOWS = 2;
+export const LOOKBACK_WINDOWS = 2;
 
 /**
  * Nodes that may still add to a window: those that closed one of the `EARLIER_WINDOWS` before it and not this
@@ -11,15 +11,15 @@
  * then none.
  */
 export function missingNodes(counts: readonly StoredCount[], window: number): string[] {
-  const closers = (from: number, to: number) =>
+  const closedCounts = (from: number, to: number) =>
     counts.filter((count) => count.isClosed && count.window >= from && count.window <= to);
-  const closed = new Set(closers(window, window).map(({ node }) => node));
-  const atWork = new Set(closers(window - EARLIER_WINDOWS, window - 1).map(({ node }) => node));
-  return [...atWork].filter((node) => !closed.has(node));
+  const closed = new Set(closedCounts(window, window).map(({ node }) => node));
+  const activeNodes = new Set(closedCounts(window - LOOKBACK_WINDOWS, window - 1).map(({ node }) => node));
+  return [...activeNodes].filter((node) => !closed.has(node));
 }
 
 /** Requests of a window by tenant, all processes together, tenants in the order of their names. */
-export function sumOf(counts: readonly StoredCount[], window: number): TenantCounts {
+export function sumByTenant(counts: readonly StoredCount[], window: number): TenantCounts {
   const totals = new Map<string, number>();
   for (const count of counts) {
     if (count.window !== window) continue;
--- a/src/coordination/service/weights/index.ts
+++ b/src/coordination/service/weights/index.ts
@@ -1,1 +1,1 @@
-export { LoadCommander } from './load-commander.js';
+export { LoadScheduler } from './load-commander.js';
--- a/src/coordination/service/weights/load-commander.ts
+++ b/src/coordination/service/weights/load-commander.ts
@@ -10,10 +10,10 @@
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { RoutingTable } from '../../../state/service/configuration/index.js';
 import type { ReplicaState, WeightVersions } from '../../../state/service/replicas/index.js';
-import { LoadExecution, type LoadExecutionServices, targetOf, type WantedLoad } from './load-execution.js';
-import { type FollowedModel, prioritizeLoads } from './load-priority.js';
-import { LoadTimes } from './load-timing.js';
-import { type PlannedModel, planReplicas, usefulReplicas } from './weight-plan.js';
+import { addressOf, LoadExecution, type LoadExecutionServices, type LoadTask } from './load-execution.js';
+import { type ModelAssignment, prioritizeLoads } from './load-priority.js';
+import { LoadDurations } from './load-timing.js';
+import { maxUsefulReplicas, type PlannedModel, planReplicas } from './weight-plan.js';
 
 /**
  * Share of a service's replicas that load at once at most. Chosen, not measured: the others go on serving,
@@ -23,12 +23,12 @@
 /** Interval between passes over all services while the lease is held, milliseconds. Chosen, not measured. */
 const PASS_INTERVAL_MS = 50;
 /** Pause of one replica after a command that failed, milliseconds. Chosen, not measured. */
-const RETRY_MS = 600;
+const RETRY_DELAY_MS = 600;
 /** Pause of all commands after the store has not confirmed the lease, milliseconds. Chosen, not measured. */
-const CONFIRMATION_RETRY_MS = 150;
+const CONFIRMATION_RETRY_DELAY_MS = 150;
 
 /** What commands are decided and executed with. */
-export interface LoadCommanderServices extends LoadExecutionServices {
+export interface LoadSchedulerServices extends LoadExecutionServices {
   readonly routing: RoutingTable;
   readonly versions: WeightVersions;
   /** Tokens that recent jobs of a model required. */
@@ -38,61 +38,61 @@
 }
 
 /** A load under way. */
-interface OpenLoad {
+interface ActiveLoad {
   readonly model: string;
   /** When its command was decided, on the monotonic clock, milliseconds. */
-  readonly sinceMs: number;
+  readonly startedAtMs: number;
 }
 
 /** The commander of one node; it acts only while the lease is held. */
-export class LoadCommander {
+export class LoadScheduler {
   /** Loads under way, by the incarnation of the replica that loads. */
-  private readonly loading = new Map<ReplicaState, OpenLoad>();
-  private readonly times = new LoadTimes();
+  private readonly activeLoads = new Map<ReplicaState, ActiveLoad>();
+  private readonly durations = new LoadDurations();
   private readonly execution: LoadExecution;
   /** End of a replica's pause, on the monotonic clock, milliseconds. */
-  private readonly notBeforeMs = new WeakMap<ReplicaState, number>();
+  private readonly pausedUntilMs = new WeakMap<ReplicaState, number>();
   /** When the lease may be confirmed again, on the monotonic clock, milliseconds. */
-  private confirmFromMs = 0;
+  private confirmationPausedUntilMs = 0;
 
-  constructor(private readonly services: LoadCommanderServices) {
-    this.execution = new LoadExecution(services, this.times);
+  constructor(private readonly services: LoadSchedulerServices) {
+    this.execution = new LoadExecution(services, this.durations);
   }
 
   /** Sends commands until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { lease } = this.services;
     while (!signal.aborted) {
-      await lease.untilHeld(signal);
-      if (lease.isHeld) this.pass(signal);
+      await lease.waitUntilHeld(signal);
+      if (lease.isHeld) this.scheduleAll(signal);
       await sleep(PASS_INTERVAL_MS, signal);
     }
   }
 
-  private pass(signal: AbortSignal): void {
+  private scheduleAll(signal: AbortSignal): void {
     const snapshot = this.services.routing.current;
-    if (!snapshot || monotonicMs() < this.confirmFromMs) return;
+    if (!snapshot || monotonicMs() < this.confirmationPausedUntilMs) return;
     for (const { name, models } of snapshot.configuration.services)
-      if (models.length > 0) this.passService(name, models, signal);
+      if (models.length > 0) this.scheduleService(name, models, signal);
   }
 
-  private passService(service: string, models: readonly string[], signal: AbortSignal): void {
+  private scheduleService(service: string, models: readonly string[], signal: AbortSignal): void {
     const { directory, versions } = this.services;
     const states = directory.availableOf(service);
     const slots = this.slotsOf(states);
     const maxLoading = Math.max(1, Math.ceil(states.length * LOADING_FRACTION));
-    let loadingCount = states.filter((state) => this.isProbablyLoading(state)).length;
+    let loadingCount = states.filter((state) => this.isLikelyLoading(state)).length;
     const targets = models.map((model) => ({
       model,
       version: Math.max(1, versions.newestOf(model)),
       demand: this.services.demandOf(model),
-      most: usefulReplicas(this.services.requestsOf(model), slots),
+      maxReplicas: maxUsefulReplicas(this.services.requestsOf(model), slots),
     }));
-    for (const load of this.wantedLoads(states, targets)) {
+    for (const load of this.nextTasks(states, targets)) {
       if (loadingCount >= maxLoading) return;
       loadingCount += 1;
-      this.loading.set(load.state, { model: load.model, sinceMs: monotonicMs() });
-      void this.load(load, signal).finally(() => this.loading.delete(load.state));
+      this.activeLoads.set(load.state, { model: load.model, startedAtMs: monotonicMs() });
+      void this.load(load, signal).finally(() => this.activeLoads.delete(load.state));
     }
   }
 
@@ -102,51 +102,52 @@
   }
 
   /** Loads to command, the most urgent first; at most one for each replica. */
-  private wantedLoads(states: readonly ReplicaState[], targets: readonly PlannedModel[]): WantedLoad[] {
+  private nextTasks(states: readonly ReplicaState[], targets: readonly PlannedModel[]): LoadTask[] {
     const byId = new Map(states.map((state) => [state.replica.id, state]));
     const models = [...planReplicas(states, targets)].map(([model, planned]) =>
-      this.toFollowedModel(model, planned),
+      this.toAssignment(model, planned),
     );
     const isFree = (id: string) => {
       const state = byId.get(id);
       return state !== undefined && this.isFree(state);
     };
-    const wanted = new Map<string, WantedLoad>();
+    const tasksByReplica = new Map<string, LoadTask>();
     for (const { id, model } of prioritizeLoads(models, isFree)) {
       const state = byId.get(id);
-      if (!state || wanted.has(id)) continue;
-      wanted.set(id, { state, model, version: this.services.versions.newestOf(model) });
+      if (!state || tasksByReplica.has(id)) continue;
+      tasksByReplica.set(id, { state, model, version: this.services.versions.newestOf(model) });
     }
-    return [...wanted.values()];
+    return [...tasksByReplica.values()];
   }
 
   /** The replicas of a model, those furthest behind first, then those with the fewest requests. */
-  private toFollowedModel(model: string, planned: readonly ReplicaState[]): FollowedModel {
+  private toAssignment(model: string, planned: readonly ReplicaState[]): ModelAssignment {
     const replicas = [...planned]
       .sort((left, right) => left.versionOf(model) - right.versionOf(model) || left.inFlight - right.inFlight)
       .map((state) => ({
         id: state.replica.id,
         version: state.versionOf(model),
-        isLoading: this.loading.get(state)?.model === model,
+        isLoading: this.activeLoads.get(state)?.model === model,
       }));
     return { model, newest: this.services.versions.newestOf(model), replicas };
   }
 
   /** The end of a load is seen late; the next load begins when a load usually ends. */
-  private isProbablyLoading(state: ReplicaState): boolean {
-    const sinceMs = this.loading.get(state)?.sinceMs;
-    return sinceMs !== undefined && monotonicMs() - sinceMs < this.times.usualMs;
+  private isLikelyLoading(state: ReplicaState): boolean {
+    const startedAtMs = this.activeLoads.get(state)?.startedAtMs;
+    return startedAtMs !== undefined && monotonicMs() - startedAtMs < this.durations.uncontendedMs;
   }
 
   private isFree(state: ReplicaState): boolean {
-    const isPaused = monotonicMs() < (this.notBeforeMs.get(state) ?? 0);
-    return !this.loading.has(state) && !isPaused && this.services.lease.mayActOn(targetOf(state));
+    const isPaused = monotonicMs() < (this.pausedUntilMs.get(state) ?? 0);
+    return !this.activeLoads.has(state) && !isPaused && this.services.lease.allowsAction(addressOf(state));
   }
 
   /** A lease that is not confirmed pauses all commands alike; everything else pauses its replica alone. */
-  private async load(wanted: WantedLoad, signal: AbortSignal): Promise<void> {
-    const end = await this.execution.execute(wanted, signal);
-    if (end === 'unconfirmed') this.confirmFromMs = monotonicMs() + CONFIRMATION_RETRY_MS;
-    if (end === 'retry-later') this.notBeforeMs.set(wanted.state, monotonicMs() + RETRY_MS);
+  private async load(task: LoadTask, signal: AbortSignal): Promise<void> {
+    const result = await this.execution.execute(task, signal);
+    if (result === 'unconfirmed')
+      this.confirmationPausedUntilMs = monotonicMs() + CONFIRMATION_RETRY_DELAY_MS;
+    if (result === 'retry-later') this.pausedUntilMs.set(task.state, monotonicMs() + RETRY_DELAY_MS);
   }
 }
--- a/src/coordination/service/weights/load-execution.ts
+++ b/src/coordination/service/weights/load-execution.ts
@@ -17,9 +17,9 @@
 } from '../../../protocol/service/replica.js';
 import type { ReplicaDirectory, ReplicaState } from '../../../state/service/replicas/index.js';
 import type { LeaderLease } from '../leadership/index.js';
-import { firstReportDelayMs, type LoadTimes, nextReportDelayMs } from './load-timing.js';
+import { firstPollDelayMs, type LoadDurations, nextPollDelayMs } from './load-timing.js';
 
-const MODE: LoadMode = 'retain';
+const LOAD_MODE: LoadMode = 'retain';
 /** Longest wait for a report or the answer to a command, milliseconds. Chosen, not measured. */
 const CALL_TIMEOUT_MS = 800;
 /** Time after which a load whose end was not seen is planned again. Chosen, not measured. */
@@ -41,14 +41,14 @@
 }
 
 /** A version that a replica should load. */
-export interface WantedLoad {
+export interface LoadTask {
   readonly state: ReplicaState;
   readonly model: string;
   readonly version: number;
 }
 
 /** How an execution ended. */
-export type LoadEnd =
+export type LoadResult =
   /** The store did not confirm the lease. */
   | 'unconfirmed'
   /** Nothing was loaded: the replica is busy, restarted or rejected it, or the confirmation expired. */
@@ -57,10 +57,10 @@
   | 'ended';
 
 /** What a report says of the wanted load. */
-type Progress = 'restarted' | 'loaded' | 'behind';
+type LoadProgress = 'restarted' | 'loaded' | 'behind';
 
 /** What two leaders are fenced by: a replica that restarts is a new one, but at the same address. */
-export function targetOf({ replica }: ReplicaState): string {
+export function addressOf({ replica }: ReplicaState): string {
   return replica.address;
 }
 
@@ -68,33 +68,33 @@
 export class LoadExecution {
   constructor(
     private readonly services: LoadExecutionServices,
-    private readonly times: LoadTimes,
+    private readonly durations: LoadDurations,
   ) {}
 
   /** Executes one command; resolves when the load has ended. */
-  async execute(wanted: WantedLoad, signal: AbortSignal): Promise<LoadEnd> {
-    const { state } = wanted;
+  async execute(task: LoadTask, signal: AbortSignal): Promise<LoadResult> {
+    const { state } = task;
     const { client, lease, directory } = this.services;
-    const confirmation = await lease.confirm(targetOf(state));
+    const confirmation = await lease.confirm(addressOf(state));
     if (!confirmation) return 'unconfirmed';
     const report = await client.report(state.replica, CALL_TIMEOUT_MS);
     if (report.isErr() || report.value.isBusy) return 'retry-later';
-    const progress = this.takeReport(wanted, report.value);
+    const progress = this.applyReport(task, report.value);
     if (progress !== 'behind') return progress === 'loaded' ? 'ended' : 'retry-later';
     if (!confirmation.isFresh() || !directory.isAvailable(state)) return 'retry-later';
-    const outcome = await this.send(wanted, confirmation.epoch, report.value.commandCount);
-    if (MAY_BE_LOADING.has(outcome)) return this.awaitLoad(wanted, signal);
+    const outcome = await this.send(task, confirmation.epoch, report.value.commandCount);
+    if (MAY_BE_LOADING.has(outcome)) return this.awaitLoad(task, signal);
     return outcome === 'already-loaded' ? 'ended' : 'retry-later';
   }
 
   private async send(
-    { state, model, version }: WantedLoad,
+    { state, model, version }: LoadTask,
     fencingToken: number,
     expectedCommandCount: number,
   ): Promise<CommandOutcome | 'unanswered'> {
     const { client, nodeName, metrics, logger } = this.services;
     const startedAtMs = monotonicMs();
-    const command = { model, version, mode: MODE, holder: nodeName, fencingToken, expectedCommandCount };
+    const command = { model, version, mode: LOAD_MODE, holder: nodeName, fencingToken, expectedCommandCount };
     const answer = await client.load(state.replica, command, CALL_TIMEOUT_MS);
     const outcome = answer.isOk() ? answer.value : 'unanswered';
     metrics.loadCommands.inc({ outcome });
@@ -110,33 +110,33 @@
     return outcome;
   }
 
-  private async awaitLoad(wanted: WantedLoad, signal: AbortSignal): Promise<LoadEnd> {
+  private async awaitLoad(task: LoadTask, signal: AbortSignal): Promise<LoadResult> {
     const startedAtMs = monotonicMs();
-    const { usualMs } = this.times;
-    await sleep(firstReportDelayMs(usualMs), signal);
+    const { uncontendedMs } = this.durations;
+    await sleep(firstPollDelayMs(uncontendedMs), signal);
     while (monotonicMs() - startedAtMs < LOAD_TIMEOUT_MS && !signal.aborted) {
-      const end = await this.checkLoad(wanted, startedAtMs);
+      const end = await this.checkLoad(task, startedAtMs);
       if (end) return end;
-      await sleep(nextReportDelayMs(usualMs, monotonicMs() - startedAtMs), signal);
+      await sleep(nextPollDelayMs(uncontendedMs, monotonicMs() - startedAtMs), signal);
     }
     return 'ended';
   }
 
   /** How the load has ended; `undefined` while it may go on. */
-  private async checkLoad(wanted: WantedLoad, startedAtMs: number): Promise<LoadEnd | undefined> {
-    const { state, model, version } = wanted;
+  private async checkLoad(task: LoadTask, startedAtMs: number): Promise<LoadResult | undefined> {
+    const { state, model, version } = task;
     const { client, directory } = this.services;
     if (!directory.isAvailable(state)) return 'ended';
     if (state.versionOf(model) >= version) {
-      this.times.note(monotonicMs() - startedAtMs);
+      this.durations.record(monotonicMs() - startedAtMs);
       return 'ended';
     }
     const report = await client.report(state.replica, CALL_TIMEOUT_MS);
     if (report.isErr()) return undefined;
     const elapsedMs = monotonicMs() - startedAtMs;
-    const progress = this.takeReport(wanted, report.value);
+    const progress = this.applyReport(task, report.value);
     if (progress === 'restarted') return 'retry-later';
-    if (progress === 'loaded') this.times.note(elapsedMs);
+    if (progress === 'loaded') this.durations.record(elapsedMs);
     const isIdle = !report.value.isBusy && elapsedMs > IDLE_TIMEOUT_MS;
     return progress === 'loaded' || isIdle ? 'ended' : undefined;
   }
@@ -146,7 +146,7 @@
    * versions. A report that names no start is taken for one of the known incarnation; while the replica is
    * unavailable nothing is taken over.
    */
-  private takeReport({ state, model, version }: WantedLoad, report: ReplicaReport): Progress {
+  private applyReport({ state, model, version }: LoadTask, report: ReplicaReport): LoadProgress {
     const { replica } = state;
     const { startedAtMs = replica.startedAtMs, modelVersions } = report;
     const isRestarted = startedAtMs !== replica.startedAtMs;
--- a/src/coordination/service/weights/load-priority.ts
+++ b/src/coordination/service/weights/load-priority.ts
@@ -6,7 +6,7 @@
  */
 
 /** A replica that should have the newest version of a model. */
-export interface FollowingReplica {
+export interface AssignedReplica {
   readonly id: string;
   /** Version that it has. */
   readonly version: number;
@@ -15,10 +15,10 @@
 }
 
 /** A model with the replicas that follow it, those first that should load first. */
-export interface FollowedModel {
+export interface ModelAssignment {
   readonly model: string;
   readonly newest: number;
-  readonly replicas: readonly FollowingReplica[];
+  readonly replicas: readonly AssignedReplica[];
 }
 
 /** One load to begin. */
@@ -31,56 +31,59 @@
  * Weight of replicas that cannot serve a model's jobs, relative to 1 for
  * those that can, but not with its newest version. Chosen, not measured.
  */
-const UNFIT_WEIGHT = 2;
+const UNUSABLE_WEIGHT = 2;
 
 /** One model while loads are assigned. */
-interface ModelCount {
+interface ModelProgress {
   readonly model: string;
   readonly newest: number;
   readonly total: number;
-  readonly waiting: FollowingReplica[];
+  readonly outdated: AssignedReplica[];
   /** Replicas that have, or will soon have, the newest version. */
   current: number;
   /** Replicas that have, or will soon have, a version that jobs may use. */
-  fit: number;
+  usable: number;
 }
 
 /** Missing loads, the most urgent first. Replicas that `isFree` rejects are skipped. */
 export function prioritizeLoads(
-  models: readonly FollowedModel[],
+  models: readonly ModelAssignment[],
   isFree: (id: string) => boolean,
 ): readonly NextLoad[] {
-  const counts = models.map((followed) => countOf(followed, isFree));
+  const progress = models.map((assignment) => progressOf(assignment, isFree));
   const loads: NextLoad[] = [];
   for (;;) {
-    const [mostUrgent] = counts
-      .filter(({ waiting }) => waiting.length > 0)
+    const [mostUrgent] = progress
+      .filter(({ outdated }) => outdated.length > 0)
       .sort((left, right) => urgencyOf(right) - urgencyOf(left));
-    const replica = mostUrgent?.waiting.shift();
+    const replica = mostUrgent?.outdated.shift();
     if (!mostUrgent || !replica) return loads;
     loads.push({ id: replica.id, model: mostUrgent.model });
     mostUrgent.current += 1;
-    if (!isFit(replica, mostUrgent.newest)) mostUrgent.fit += 1;
+    if (!isUsable(replica, mostUrgent.newest)) mostUrgent.usable += 1;
   }
 }
 
-function countOf({ model, newest, replicas }: FollowedModel, isFree: (id: string) => boolean): ModelCount {
-  const isCurrent = (replica: FollowingReplica) => replica.isLoading || replica.version >= newest;
+function progressOf(
+  { model, newest, replicas }: ModelAssignment,
+  isFree: (id: string) => boolean,
+): ModelProgress {
+  const isCurrent = (replica: AssignedReplica) => replica.isLoading || replica.version >= newest;
   return {
     model,
     newest,
     total: replicas.length,
-    waiting: replicas.filter((replica) => !isCurrent(replica) && isFree(replica.id)),
+    outdated: replicas.filter((replica) => !isCurrent(replica) && isFree(replica.id)),
     current: replicas.filter(isCurrent).length,
-    fit: replicas.filter((replica) => isCurrent(replica) || isFit(replica, newest)).length,
+    usable: replicas.filter((replica) => isCurrent(replica) || isUsable(replica, newest)).length,
   };
 }
 
-function isFit({ version }: FollowingReplica, newest: number): boolean {
+function isUsable({ version }: AssignedReplica, newest: number): boolean {
   return version >= newest - 1;
 }
 
 /** The larger, the more urgent is a load for the model. */
-function urgencyOf({ total, current, fit }: ModelCount): number {
-  return (UNFIT_WEIGHT * (total - fit) + (total - current)) / total;
+function urgencyOf({ total, current, usable }: ModelProgress): number {
+  return (UNUSABLE_WEIGHT * (total - usable) + (total - current)) / total;
 }
--- a/src/coordination/service/weights/weight-plan.ts
+++ b/src/coordination/service/weights/weight-plan.ts
@@ -18,17 +18,17 @@
   readonly version: number;
   readonly demand: number;
   /** Most replicas that its work can use. Default: all. */
-  readonly most?: number;
+  readonly maxReplicas?: number;
 }
 
-interface Pair<R extends PlannedReplica> {
+interface Candidate<R extends PlannedReplica> {
   readonly replica: R;
   readonly model: string;
   readonly lag: number;
 }
 
 /** Least replicas of a model, if there are enough: one can load or fail while another serves. */
-const REDUNDANT_SHARE = 2;
+const MIN_REDUNDANT_REPLICAS = 2;
 /**
  * Replicas beyond those that the requests of a model's largest job fill: a factor and a number on top, since
  * a zone may be lost, and loads, slow replicas and failures take others away. Chosen, not measured.
@@ -37,7 +37,7 @@
 const SPARE_REPLICAS = 2;
 
 /** Replicas that a model can use; infinite while `requests` of its largest recent job is 0 (unknown). */
-export function usefulReplicas(requests: number, slots: number): number {
+export function maxUsefulReplicas(requests: number, slots: number): number {
   if (requests === 0) return Number.POSITIVE_INFINITY;
   return Math.ceil((requests / Math.max(1, slots)) * SPARE_FACTOR) + SPARE_REPLICAS;
 }
@@ -51,19 +51,21 @@
   if (replicas.length === 0 || models.length === 0) return plan;
   const shares = shareReplicas(replicas.length, models);
   const total = [...shares.values()].reduce((sum, share) => sum + share, 0);
-  assign(plan, pairsByLag(replicas, models), shares, Math.ceil(total / replicas.length));
+  assign(plan, candidatesByLag(replicas, models), shares, Math.ceil(total / replicas.length));
   return plan;
 }
 
 /** Replicas for each model: the same small number for all, the rest by demand per replica, up to `most`. */
 export function shareReplicas(count: number, models: readonly PlannedModel[]): Map<string, number> {
-  const equal = Math.max(1, Math.min(REDUNDANT_SHARE, Math.floor(count / models.length)));
-  const shares = new Map(models.map(({ model }) => [model, equal]));
-  for (let left = count - equal * models.length; left > 0; left -= 1) {
+  const baseShare = Math.max(1, Math.min(MIN_REDUNDANT_REPLICAS, Math.floor(count / models.length)));
+  const shares = new Map(models.map(({ model }) => [model, baseShare]));
+  for (let remaining = count - baseShare * models.length; remaining > 0; remaining -= 1) {
     const [next] = models
-      .filter(({ model, most }) => (shares.get(model) ?? 0) < (most ?? count))
+      .filter(({ model, maxReplicas }) => (shares.get(model) ?? 0) < (maxReplicas ?? count))
       .sort(
-        (one, other) => pressure(other, shares) - pressure(one, shares) || compare(one.model, other.model),
+        (left, right) =>
+          demandPerReplica(right, shares) - demandPerReplica(left, shares) ||
+          compare(left.model, right.model),
       );
     if (!next) break;
     shares.set(next.model, (shares.get(next.model) ?? 0) + 1);
@@ -72,19 +74,19 @@
 }
 
 /** Demand per replica that a model has so far. */
-function pressure({ model, demand }: PlannedModel, shares: ReadonlyMap<string, number>): number {
+function demandPerReplica({ model, demand }: PlannedModel, shares: ReadonlyMap<string, number>): number {
   return demand / (shares.get(model) ?? 1);
 }
 
 /** All pairs, those least behind first; ties in an order that is the same on every node. */
-function pairsByLag<R extends PlannedReplica>(
+function candidatesByLag<R extends PlannedReplica>(
   replicas: readonly R[],
   models: readonly PlannedModel[],
-): Pair<R>[] {
-  const pairs = models.flatMap(({ model, version }) =>
+): Candidate<R>[] {
+  const candidates = models.flatMap(({ model, version }) =>
     replicas.map((replica) => ({ replica, model, lag: Math.max(0, version - replica.versionOf(model)) })),
   );
-  return pairs.sort(
+  return candidates.sort(
     (left, right) =>
       left.lag - right.lag || compare(left.replica.id, right.replica.id) || compare(left.model, right.model),
   );
@@ -92,17 +94,21 @@
 
 function assign<R extends PlannedReplica>(
   plan: Map<string, R[]>,
-  pairs: readonly Pair<R>[],
+  candidates: readonly Candidate<R>[],
   shares: ReadonlyMap<string, number>,
-  modelsEach: number,
+  maxModelsPerReplica: number,
 ): void {
   const counts = new Map<string, number>();
   for (const assigned of plan.values())
     for (const { id } of assigned) counts.set(id, (counts.get(id) ?? 0) + 1);
-  for (const { replica, model } of pairs) {
+  for (const { replica, model } of candidates) {
     const assigned = plan.get(model) as R[];
     const count = counts.get(replica.id) ?? 0;
-    if (assigned.length >= (shares.get(model) ?? 0) || count >= modelsEach || assigned.includes(replica))
+    if (
+      assigned.length >= (shares.get(model) ?? 0) ||
+      count >= maxModelsPerReplica ||
+      assigned.includes(replica)
+    )
       continue;
     assigned.push(replica);
     counts.set(replica.id, count + 1);
--- a/src/node/resource/api/caller-routes.ts
+++ b/src/node/resource/api/caller-routes.ts
@@ -23,7 +23,7 @@
 import type { AdmissionLimits } from '../../../state/resource/backends/index.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
-import { callerGone } from '../../../transport/http-server.js';
+import { disconnectSignal } from '../../../transport/http-server.js';
 import { copyBody } from '../../../transport/stream-write.js';
 import type { Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readBody } from './exchange.js';
@@ -59,7 +59,7 @@
   return ok({
     requestId: exchange.requestId,
     principal: exchange.principal,
-    signal: AbortSignal.any([callerGone(exchange.response), AbortSignal.timeout(timeoutMs)]),
+    signal: AbortSignal.any([disconnectSignal(exchange.response), AbortSignal.timeout(timeoutMs)]),
     deadlineMs: monotonicMs() + timeoutMs,
   });
 }
--- a/src/node/resource/api/trainer-routes.ts
+++ b/src/node/resource/api/trainer-routes.ts
@@ -19,7 +19,7 @@
 import { Validator } from '../../../protocol/validation.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { BatchLedger, RolloutLedger } from '../../../state/resource/samples/index.js';
-import { callerGone, sendJson } from '../../../transport/http-server.js';
+import { disconnectSignal, sendJson } from '../../../transport/http-server.js';
 import type { ApiHandler, Route } from './api-server.js';
 import { type Exchange, InvalidRequestError, readJson } from './exchange.js';
 
@@ -95,7 +95,7 @@
 const draw: TrainerHandler = async (parts, exchange, trainer) => {
   const body = await readJson(exchange, drawRequest, SMALL_BODY_LIMIT_BYTES);
   if (body.isErr()) return err(body.error);
-  const signal = callerGone(exchange.response);
+  const signal = disconnectSignal(exchange.response);
   const batch = await parts.delivery.draw(trainer, body.value, exchange.requestId, signal);
   if (batch.isErr()) return err(batch.error);
   sendJson(exchange.response, 200, batch.value);
--- a/src/node/resource/api/watch.ts
+++ b/src/node/resource/api/watch.ts
@@ -12,7 +12,7 @@
 import type { ConfigEntry } from '../../../protocol/resource/configuration-entry.js';
 import type { Kind } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
-import { callerGone } from '../../../transport/http-server.js';
+import { disconnectSignal } from '../../../transport/http-server.js';
 import { writeChunk } from '../../../transport/stream-write.js';
 import { type Exchange, InvalidRequestError } from './exchange.js';
 
@@ -49,7 +49,7 @@
 ): CoordinationResult<void> {
   const from = startRevision(view, exchange);
   if (from.isErr()) return err(from.error);
-  const signal = AbortSignal.any([callerGone(exchange.response), leaving]);
+  const signal = AbortSignal.any([disconnectSignal(exchange.response), leaving]);
   exchange.response.writeHead(200, { 'content-type': 'application/x-ndjson' });
   exchange.response.flushHeaders();
   await writeChanges(view, exchange, kind, from.value, signal);
--- a/src/node/resource/node.ts
+++ b/src/node/resource/node.ts
@@ -107,7 +107,7 @@
 
   /** Stops gracefully: rejects new work, finishes work in flight, releases leases, flushes decisions. */
   async stop(): Promise<void> {
-    if (!this.lifecycle.sendIfTaken('stopRequested')) return;
+    if (!this.lifecycle.sendIfAccepted('stopRequested')) return;
     this.tasksStop.abort();
     await Promise.all([this.server.whenIdle(), this.tasksEnded]);
     await this.coordination.nodes.announceLeaving();
@@ -134,7 +134,7 @@
 
   private async becomeReady(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && !this.coordination.follower.isLoaded) await sleep(READY_POLL_MS, signal);
-    if (!signal.aborted) this.lifecycle.sendIfTaken('configured', `revision ${this.state.view.revision}`);
+    if (!signal.aborted) this.lifecycle.sendIfAccepted('configured', `revision ${this.state.view.revision}`);
   }
 
   private addRoutes(): void {
--- a/src/node/service/dispatch-parts.ts
+++ b/src/node/service/dispatch-parts.ts
@@ -27,7 +27,7 @@
 /** Load added to replicas of other zones: used once the own zone is half full. Chosen, not measured. */
 const OTHER_ZONE_PENALTY = 0.5;
 
-export interface DispatchServices {
+export interface NodeDispatchDependencies {
   readonly store: RecordStore;
   readonly settings: ServiceSettings;
   readonly routing: RoutingTable;
@@ -38,12 +38,12 @@
   readonly logger: DecisionLogger;
 }
 
-export class DispatchParts {
+export class NodeDispatch {
   readonly fleet: FleetDirectory;
   readonly remote: RemoteDispatch;
   private readonly queues: ServiceQueues;
 
-  constructor(private readonly services: DispatchServices) {
+  constructor(private readonly services: NodeDispatchDependencies) {
     const { store, settings, directory, exchange, callPeer, metrics, logger } = services;
     this.fleet = new FleetDirectory(store);
     this.queues = new ServiceQueues({
@@ -52,8 +52,8 @@
       slotsOf: (state) => this.slotsOf(state),
       slowStartPerSecond: ({ replica }) => this.slowStartPerSecond(replica.service),
       zonePenalty: (state) => this.zonePenalty(state),
-      isAllowed: (call) => this.isAllowed(call),
-      bounds: { count: MAX_QUEUED, bytes: settings.memoryBytes * QUEUED_MEMORY_FRACTION },
+      isRouted: (call) => this.isAllowed(call),
+      queueLimits: { count: MAX_QUEUED, bytes: settings.memoryBytes * QUEUED_MEMORY_FRACTION },
       metrics,
       logger,
     });
@@ -68,12 +68,12 @@
       metrics,
       logger,
     });
-    this.fleet.onChange(() => this.remote.noteChange());
-    directory.onChange(() => this.remote.noteChange());
+    this.fleet.onChange(() => this.remote.invalidateSelections());
+    directory.onChange(() => this.remote.invalidateSelections());
   }
 
   /** Queues another node's call; `undefined` when this node is leaving, or only that one has the store. */
-  forPeer(
+  dispatchForPeer(
     framed: Framed<DispatchMessage>,
     signal: AbortSignal,
   ): Promise<Framed<DispatchOutcomeMessage>> | undefined {
@@ -91,7 +91,7 @@
   measure(): void {
     const { metrics } = this.services;
     for (const [service, queue] of this.queues.all) {
-      metrics.waitingRequests.set({ service }, queue.waitingCount);
+      metrics.queuedRequests.set({ service }, queue.queuedCount);
       metrics.freeSlots.set({ service }, queue.capacity.free);
       metrics.retryBudgetLeft.set({ service }, queue.retryBudgetLeft);
     }
@@ -104,8 +104,8 @@
   /** A dispatcher serves callers of all zones, so that its own is not nearer to them. */
   private zonePenalty({ replica }: ReplicaState): number {
     const { settings } = this.services;
-    const isNear = replica.zone === settings.zone || this.remote.hasDispatchers(replica.service);
-    return isNear ? 0 : OTHER_ZONE_PENALTY;
+    const isLocal = replica.zone === settings.zone || this.remote.hasDispatchers(replica.service);
+    return isLocal ? 0 : OTHER_ZONE_PENALTY;
   }
 
   /** A dispatcher sends nearly all that a replica gets; without dispatchers each node sends its share. */
--- a/src/node/service/drain.ts
+++ b/src/node/service/drain.ts
@@ -5,7 +5,7 @@
 const FINISH_JOBS_FRACTION = 0.5;
 const FINISH_REQUESTS_FRACTION = 0.9;
 /** Time until load balancers have seen that a node is not ready. Chosen, not measured. */
-const MOVE_AWAY_MS = 3_000;
+const READINESS_PROPAGATION_MS = 3_000;
 /** Interval of checks whether a step is over. Chosen, not measured. */
 const DRAIN_POLL_MS = 50;
 
@@ -14,7 +14,7 @@
   /** Owned jobs may finish here until then; the rest is handed over. */
   readonly finishJobsAtMs: number;
   /** Callers have moved to other nodes by then. */
-  readonly callersMovedAtMs: number;
+  readonly trafficMovedAtMs: number;
   /** Open requests may finish until then. */
   readonly finishRequestsAtMs: number;
 }
@@ -23,7 +23,7 @@
 export function drainDeadlines(startedAtMs: number, stopGraceMs: number): DrainDeadlines {
   return {
     finishJobsAtMs: startedAtMs + stopGraceMs * FINISH_JOBS_FRACTION,
-    callersMovedAtMs: startedAtMs + MOVE_AWAY_MS,
+    trafficMovedAtMs: startedAtMs + READINESS_PROPAGATION_MS,
     finishRequestsAtMs: startedAtMs + stopGraceMs * FINISH_REQUESTS_FRACTION,
   };
 }
--- a/src/node/service/job-parts.ts
+++ b/src/node/service/job-parts.ts
@@ -7,7 +7,7 @@
  */
 import { MILLISECONDS_PER_SECOND } from '../../common/clock.js';
 import type { CrashCheck } from '../../coordination/service/dispatch/index.js';
-import { Placement, SampleLengths, SampleScorer } from '../../coordination/service/generation/index.js';
+import { LengthEstimator, Placement, SampleScorer } from '../../coordination/service/generation/index.js';
 import { JobCalls, JobForwarding, JobOwnership } from '../../coordination/service/jobs/index.js';
 import type { PeerAddresses, SessionMonitor } from '../../coordination/service/membership/index.js';
 import type { RequestQuarantine, ServiceRelay } from '../../coordination/service/requests/index.js';
@@ -20,7 +20,7 @@
 const RESULT_CACHE_FRACTION = 0.05;
 
 /** What jobs work with. */
-export interface JobPartsServices {
+export interface NodeJobsDependencies {
   readonly splitter: TargetSplitter;
   readonly crashCheck: CrashCheck;
   readonly quarantine: RequestQuarantine;
@@ -30,21 +30,21 @@
 }
 
 /** The jobs of one node. */
-export class JobParts {
+export class NodeJobs {
   readonly ownership: JobOwnership;
   readonly calls: JobCalls;
   private readonly placement: Placement;
 
   constructor(
     private readonly context: NodeContext,
-    services: JobPartsServices,
+    services: NodeJobsDependencies,
   ) {
     const { store, routing, directory, settings, parseSubmission } = context;
     const { zone, memoryBytes } = settings();
     const cache = new ResultCache(memoryBytes * RESULT_CACHE_FRACTION);
     const repository = new JobRepository(store);
     this.placement = new Placement(directory, zone, ({ replica }) =>
-      routing.current?.slowStartPerSecondOfOwner(replica.service),
+      routing.current?.slowStartPerSecondPerOwner(replica.service),
     );
     this.ownership = this.createOwnership(services, repository, cache);
     const isStoreAnswering = () => store.isAnswering();
@@ -63,7 +63,7 @@
   /** Why this process takes part in sessions on account of jobs. */
   get sessionRole(): SessionRole {
     return {
-      isHolder: () => this.ownership.isWarm,
+      isHolder: () => this.ownership.isRecentOwner,
       mustWatch: () => this.ownership.hasForeignJobs,
       holders: () => this.ownership.heads.owners,
     };
@@ -78,7 +78,7 @@
   }
 
   private createOwnership(
-    { splitter, crashCheck, quarantine, relay, sessions }: JobPartsServices,
+    { splitter, crashCheck, quarantine, relay, sessions }: NodeJobsDependencies,
     repository: JobRepository,
     cache: ResultCache,
   ): JobOwnership {
@@ -89,7 +89,7 @@
       placement,
       crashCheck,
       quarantine,
-      lengths: new SampleLengths(),
+      lengths: new LengthEstimator(),
       scorer: new SampleScorer(context.routing, relay),
       repository,
       cache,
--- a/src/node/service/node-feeds.ts
+++ b/src/node/service/node-feeds.ts
@@ -23,11 +23,11 @@
 } from '../../coordination/service/membership/index.js';
 import type { RequestQuarantine } from '../../coordination/service/requests/index.js';
 import { CRASH_PARTITION } from '../../state/service/replicas/index.js';
-import { changePauseMs, isConfigurationFollowed, isFeedFollowed } from './readiness.js';
+import { isConfigurationFresh, isFeedCurrent, pollDelayMs } from './readiness.js';
 import type { NodeContext } from './service-node-parts.js';
 
 /** Who takes what the feeds bring, and what sets their pace. */
-export interface NodeFeedServices {
+export interface NodeFeedDependencies {
   readonly fleet: FleetDirectory;
   readonly ownership: JobOwnership;
   readonly quarantine: RequestQuarantine;
@@ -51,28 +51,28 @@
 
   constructor(
     private readonly context: NodeContext,
-    private readonly services: NodeFeedServices,
+    private readonly services: NodeFeedDependencies,
   ) {
     const { store, format, routing, versions, directory, settings, metrics, logger } = context;
     const observer = feedObserver(logger);
     const pause = (signal: AbortSignal) =>
-      services.sessions.pauseUnlessHolder(changePauseMs(services.peers.fleetSize), signal);
-    const follow = <T>(handler: FeedHandler<T>) =>
+      services.sessions.pauseUnlessHolder(pollDelayMs(services.peers.fleetSize), signal);
+    const createFeed = <T>(handler: FeedHandler<T>) =>
       new RecordFeed(store, handler, observer, pause) as RecordFeed<unknown>;
     // A cycle: the handler asks how fresh its own feed is, but not before that feed has brought a record.
     const replicas = new ReplicaAnnouncements({
       ...context,
       heartbeatMs: () => settings().replicaHeartbeatMs,
-      isFollowed: () => isFeedFollowed(this.freshnessOf(replicaFeed)),
+      isFeedCurrent: () => isFeedCurrent(this.freshnessOf(replicaFeed)),
     });
-    const replicaFeed = follow(replicas);
+    const replicaFeed = createFeed(replicas);
     this.operators = new OperatorAnnouncements(store, format, routing, versions, directory, metrics, logger);
-    this.operatorFeed = follow(this.operators);
+    this.operatorFeed = createFeed(this.operators);
     const jobs = new SharedTable(services.ownership, {
       partition: CRASH_PARTITION,
       handler: services.quarantine,
     });
-    this.feeds = [this.operatorFeed, replicaFeed, follow(services.fleet), follow(jobs)];
+    this.feeds = [this.operatorFeed, replicaFeed, createFeed(services.fleet), createFeed(jobs)];
   }
 
   /** Follows all tables until `signal` is aborted. */
@@ -81,13 +81,13 @@
   }
 
   /** Age of the operators' feed, milliseconds; infinite before its first answer about changes. */
-  get operatorAgeMs(): number {
+  get operatorFeedAgeMs(): number {
     return this.operatorFeed.ageMs;
   }
 
   /** Whether a change of the configuration that is unknown here is within the operator's bound. */
-  get isConfigurationFollowed(): boolean {
-    return isConfigurationFollowed(
+  get isConfigurationFresh(): boolean {
+    return isConfigurationFresh(
       this.freshnessOf(this.operatorFeed),
       this.context.settings().configurationBoundMs,
     );
--- a/src/node/service/peer-endpoint.ts
+++ b/src/node/service/peer-endpoint.ts
@@ -1,7 +1,7 @@
 /** HTTP endpoint for peers, on a port of their own: forwarded requests, configuration, crash reports. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { setImmediate } from 'node:timers/promises';
-import { CONFIGURATION_PATH, NEWER_THAN } from '../../protocol/service/configuration-peer.js';
+import { CONFIGURATION_PATH, NEWER_THAN_PARAMETER } from '../../protocol/service/configuration-peer.js';
 import {
   CRASH_REPORTS_PATH,
   MAX_MESSAGE_BYTES,
@@ -13,7 +13,7 @@
   parseDispatch,
   renderDispatchOutcome,
 } from '../../protocol/service/dispatch-peer.js';
-import { callerGone, type HttpServer, readRequestBody, sendJson } from '../../transport/http-server.js';
+import { disconnectSignal, type HttpServer, readRequestBody, sendJson } from '../../transport/http-server.js';
 import type { ServiceNode } from './service-node.js';
 
 /**
@@ -22,9 +22,9 @@
  * next turn: its caller has left, and it must not be sent. Two were enough in 6 of 6 runs of the test; one
  * more is a spare. Costs well below a millisecond.
  */
-const READ_AHEAD_TURNS = 3;
+const EVENT_LOOP_TURNS_BEFORE_DISPATCH = 3;
 
-async function turnsOfEventLoop(count: number): Promise<void> {
+async function yieldToEventLoop(count: number): Promise<void> {
   for (let turns = 0; turns < count; turns += 1) await setImmediate();
 }
 
@@ -48,7 +48,7 @@
   private answerConfiguration(request: IncomingMessage, response: ServerResponse): void {
     const { originalUrl } = request as { originalUrl?: string };
     const url = new URL(originalUrl ?? request.url ?? '/', 'http://peer');
-    const version = Number(url.searchParams.get(NEWER_THAN) ?? 0);
+    const version = Number(url.searchParams.get(NEWER_THAN_PARAMETER) ?? 0);
     const answer = this.node.configurationFor(Number.isFinite(version) ? version : 0);
     if (answer.kind === 'newer') response.writeHead(200).end(answer.value);
     else response.writeHead(answer.kind === 'same' ? 204 : 503).end();
@@ -70,10 +70,10 @@
       sendJson(response, 400, { error: 'no request' });
       return;
     }
-    const gone = callerGone(response);
-    await turnsOfEventLoop(READ_AHEAD_TURNS);
-    if (gone.aborted) return;
-    const outcome = this.node.dispatchForPeer(framed, gone);
+    const disconnected = disconnectSignal(response);
+    await yieldToEventLoop(EVENT_LOOP_TURNS_BEFORE_DISPATCH);
+    if (disconnected.aborted) return;
+    const outcome = this.node.dispatchForPeer(framed, disconnected);
     if (!outcome) {
       sendJson(response, 503, { error: 'this node is leaving' });
       return;
--- a/src/node/service/peer-exchange.ts
+++ b/src/node/service/peer-exchange.ts
@@ -8,14 +8,14 @@
  */
 import type { JobOwnership } from '../../coordination/service/jobs/index.js';
 import { type PeerAddresses, PeerConfiguration } from '../../coordination/service/membership/index.js';
-import { QuarantineExchange, type RequestQuarantine } from '../../coordination/service/requests/index.js';
+import { CrashReportExchange, type RequestQuarantine } from '../../coordination/service/requests/index.js';
 import type { PeerConfigurationAnswer } from '../../protocol/service/configuration-peer.js';
 import type { CrashReportMessage, CrashReportsAnswer } from '../../protocol/service/crash-report-peer.js';
 import type { NodeFeeds } from './node-feeds.js';
 import type { NodeContext } from './service-node-parts.js';
 
 /** What is exchanged, and with whom. */
-export interface PeerExchangeServices {
+export interface PeerExchangeDependencies {
   readonly ownership: JobOwnership;
   readonly quarantine: RequestQuarantine;
   readonly peers: PeerAddresses;
@@ -25,27 +25,27 @@
 /** The exchange of one node with its peers. */
 export class PeerExchange {
   private readonly configuration: PeerConfiguration;
-  private readonly crashReports: QuarantineExchange;
+  private readonly crashReports: CrashReportExchange;
 
   constructor(
     private readonly context: NodeContext,
-    private readonly services: PeerExchangeServices,
+    private readonly services: PeerExchangeDependencies,
   ) {
-    const { store, logger, askForConfiguration, exchangeCrashReports } = context;
+    const { store, logger, fetchPeerConfiguration: askForConfiguration, exchangeCrashReports } = context;
     const { ownership, quarantine, peers, feeds } = services;
     const isStoreAnswering = () => store.isAnswering();
-    const likeliestPeers = (count: number) => peers.likeliestPeers(count);
+    const likeliestPeers = (count: number) => peers.rankedPeerAddresses(count);
     this.configuration = new PeerConfiguration({
       isStoreAnswering,
-      isFollowed: () => feeds.isConfigurationFollowed,
+      isFeedCurrent: () => feeds.isConfigurationFresh,
       peers: likeliestPeers,
       version: () => this.version,
-      ask: askForConfiguration,
-      take: (value) => feeds.operators.takeConfiguration(value),
+      fetch: askForConfiguration,
+      apply: (value) => feeds.operators.applyConfiguration(value),
       onRejectedByStore: () => ownership.cancelRuns(),
       logger,
     });
-    this.crashReports = new QuarantineExchange({
+    this.crashReports = new CrashReportExchange({
       quarantine,
       isStoreAnswering,
       peers: likeliestPeers,
@@ -68,16 +68,16 @@
   configurationFor(version: number): PeerConfigurationAnswer {
     const { feeds } = this.services;
     const { configuration } = feeds.operators;
-    if (!configuration || !feeds.isConfigurationFollowed) return { kind: 'unavailable' };
+    if (!configuration || !feeds.isConfigurationFresh) return { kind: 'unavailable' };
     return this.version > version ? { kind: 'newer', value: configuration } : { kind: 'same' };
   }
 
   /** Takes a peer's crash reports; answers with those known here before. */
   exchangeCrashReports(reports: readonly CrashReportMessage[]): CrashReportsAnswer {
     const { quarantine } = this.services;
-    const known = quarantine.reports.newest;
+    const knownReports = quarantine.reports.recent;
     quarantine.addFromPeer(reports);
-    return { isServed: this.context.store.isAnswering(), reports: [...known] };
+    return { isServed: this.context.store.isAnswering(), reports: [...knownReports] };
   }
 
   /** Version of the configuration in force; 0 while none is known. */
--- a/src/node/service/readiness.ts
+++ b/src/node/service/readiness.ts
@@ -2,35 +2,35 @@
  * Rules of readiness and of configuration freshness: pure functions of what the node observes. Ages and
  * durations are in milliseconds on the monotonic clock.
  */
-import { FEED_WAIT_MS } from '../../coordination/feeds/index.js';
+import { LONG_POLL_TIMEOUT_MS } from '../../coordination/feeds/index.js';
 
 /**
  * Time after start from which a node may be ready without having read the crash reports, since their part of
  * the store may be down. Chosen, not measured: long enough for a first read of a store that answers, short
  * beside a rolling restart.
  */
-const CRASH_REPORTS_WAIT_MS = 2_000;
+const CRASH_REPORTS_TIMEOUT_MS = 2_000;
 /**
  * Pause before the next long poll of a node that holds neither jobs nor a lease, per node of the fleet, so
  * that several changes arrive in one answer: at most 200 polls a second of the whole fleet during changes,
  * until the longest pause is reached. Both chosen, not measured.
  */
-const CHANGE_PAUSE_PER_NODE_MS = 5;
-const LONGEST_CHANGE_PAUSE_MS = 1_000;
+const POLL_DELAY_PER_NODE_MS = 5;
+const MAX_POLL_DELAY_MS = 1_000;
 /** Time of a long poll's answer beyond the time for which it is held. Chosen, not measured. */
-const FEED_ANSWER_MS = 500;
+const FEED_RESPONSE_MS = 500;
 
 /** Inputs of readiness. */
 export interface ReadinessInput {
   readonly isDraining: boolean;
   readonly isStoreAnswering: boolean;
   readonly hasConfiguration: boolean;
-  readonly knownReplicas: number;
+  readonly knownReplicaCount: number;
   /** Infinite before the first answer about changes of the operators' table. */
   readonly operatorFeedAgeMs: number;
   readonly hasReadCrashReports: boolean;
   /** Negative infinity before the start. */
-  readonly sinceStartMs: number;
+  readonly uptimeMs: number;
 }
 
 /**
@@ -38,20 +38,20 @@
  * and configuration grows old, while other nodes may still reach the store.
  */
 export function isReady(input: ReadinessInput): boolean {
-  const isInformed = input.hasConfiguration && input.knownReplicas > 0;
-  const hasFollowed = Number.isFinite(input.operatorFeedAgeMs);
-  const isPastCrashReports = input.hasReadCrashReports || input.sinceStartMs > CRASH_REPORTS_WAIT_MS;
-  return !input.isDraining && isInformed && hasFollowed && isPastCrashReports && input.isStoreAnswering;
+  const canRoute = input.hasConfiguration && input.knownReplicaCount > 0;
+  const hasReadFeed = Number.isFinite(input.operatorFeedAgeMs);
+  const isCrashWaitOver = input.hasReadCrashReports || input.uptimeMs > CRASH_REPORTS_TIMEOUT_MS;
+  return !input.isDraining && canRoute && hasReadFeed && isCrashWaitOver && input.isStoreAnswering;
 }
 
 /** Pause between two long polls of a feed after changes. */
-export function changePauseMs(fleetSize: number): number {
-  return Math.min(LONGEST_CHANGE_PAUSE_MS, fleetSize * CHANGE_PAUSE_PER_NODE_MS);
+export function pollDelayMs(fleetSize: number): number {
+  return Math.min(MAX_POLL_DELAY_MS, fleetSize * POLL_DELAY_PER_NODE_MS);
 }
 
 /** Age that a feed reaches normally: a long poll held to its end, its answer, the pause before it. */
-function usualFeedAgeMs(fleetSize: number): number {
-  return FEED_WAIT_MS + FEED_ANSWER_MS + changePauseMs(fleetSize);
+function expectedFeedAgeMs(fleetSize: number): number {
+  return LONG_POLL_TIMEOUT_MS + FEED_RESPONSE_MS + pollDelayMs(fleetSize);
 }
 
 /** Inputs of a feed's freshness. */
@@ -66,12 +66,12 @@
  * operator's bound. Only the feed of the operators' table counts: answers about other tables prove nothing
  * about it.
  */
-export function isConfigurationFollowed(input: FeedFreshnessInput, configurationBoundMs: number): boolean {
-  const boundMs = Math.max(configurationBoundMs, usualFeedAgeMs(input.fleetSize));
+export function isConfigurationFresh(input: FeedFreshnessInput, configurationBoundMs: number): boolean {
+  const boundMs = Math.max(configurationBoundMs, expectedFeedAgeMs(input.fleetSize));
   return input.isStoreAnswering && input.feedAgeMs < boundMs;
 }
 
 /** Whether a feed runs normally: its newest answer belongs to the open long poll or the one before. */
-export function isFeedFollowed({ isStoreAnswering, feedAgeMs, fleetSize }: FeedFreshnessInput): boolean {
-  return isStoreAnswering && feedAgeMs < FEED_WAIT_MS + usualFeedAgeMs(fleetSize);
+export function isFeedCurrent({ isStoreAnswering, feedAgeMs, fleetSize }: FeedFreshnessInput): boolean {
+  return isStoreAnswering && feedAgeMs < LONG_POLL_TIMEOUT_MS + expectedFeedAgeMs(fleetSize);
 }
--- a/src/node/service/service-node-parts.ts
+++ b/src/node/service/service-node-parts.ts
@@ -17,7 +17,7 @@
 import { ReplicaDirectory, WeightVersions } from '../../state/service/replicas/index.js';
 
 /** What an adapter supplies. */
-export interface ServiceNodeParts {
+export interface ServiceNodeDependencies {
   /** The settings in force; they may be reloaded while the node runs. */
   readonly settings: () => ServiceSettings;
   readonly store: RecordStore;
@@ -28,7 +28,7 @@
   /** Creates the client of the usage collector; called only where usage is reported. */
   readonly createUsageSink: (settings: UsageSettings) => UsageSink;
   /** Asks another node for a configuration newer than a version. */
-  readonly askForConfiguration: (address: string, version: number) => Promise<PeerConfigurationAnswer>;
+  readonly fetchPeerConfiguration: (address: string, version: number) => Promise<PeerConfigurationAnswer>;
   /** Exchanges crash reports with another node; `undefined` when it does not answer. */
   readonly exchangeCrashReports: (
     address: string,
@@ -41,7 +41,7 @@
 }
 
 /** What all subsystems of one node may use. */
-export interface NodeContext extends ServiceNodeParts {
+export interface NodeContext extends ServiceNodeDependencies {
   /** This process: the node's name and its incarnation. */
   readonly self: OwnerReference;
   readonly routing: RoutingTable;
@@ -50,7 +50,7 @@
 }
 
 /** Begins a new incarnation of the node, which knows nothing yet. */
-export function createContext(parts: ServiceNodeParts): NodeContext {
+export function createNodeContext(parts: ServiceNodeDependencies): NodeContext {
   return {
     ...parts,
     self: { node: parts.settings().nodeName, life: uniqueId() },
--- a/src/node/service/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -14,7 +14,7 @@
   type SendAttempt,
   ServiceRelay,
 } from '../../coordination/service/requests/index.js';
-import type { LoadCommander } from '../../coordination/service/weights/index.js';
+import type { LoadScheduler } from '../../coordination/service/weights/index.js';
 import type { PeerConfigurationAnswer } from '../../protocol/service/configuration-peer.js';
 import type { CrashReportMessage, CrashReportsAnswer } from '../../protocol/service/crash-report-peer.js';
 import type {
@@ -23,15 +23,15 @@
   Framed,
 } from '../../protocol/service/dispatch-peer.js';
 import { type RoutingTable, TargetSplitter } from '../../state/service/configuration/index.js';
-import { DispatchParts } from './dispatch-parts.js';
+import { NodeDispatch } from './dispatch-parts.js';
 import { drainDeadlines, waitUntil } from './drain.js';
-import { JobParts } from './job-parts.js';
+import { NodeJobs } from './job-parts.js';
 import { createLoadCommander } from './load-parts.js';
 import { NodeFeeds } from './node-feeds.js';
 import { PeerExchange } from './peer-exchange.js';
 import { isReady } from './readiness.js';
-import { createContext, type NodeContext, type ServiceNodeParts } from './service-node-parts.js';
-import { JoinedRoles } from './session-roles.js';
+import { createNodeContext, type NodeContext, type ServiceNodeDependencies } from './service-node-parts.js';
+import { CombinedSessionRoles } from './session-roles.js';
 import { SingletonTasks } from './singleton-tasks.js';
 
 /** Parts of a node that run, are measured, or are drained. */
@@ -39,12 +39,12 @@
   readonly peers: PeerAddresses;
   readonly sessions: SessionMonitor;
   readonly quarantine: RequestQuarantine;
-  readonly dispatch: DispatchParts;
+  readonly dispatch: NodeDispatch;
   readonly tasks: SingletonTasks;
-  readonly jobs: JobParts;
+  readonly jobs: NodeJobs;
   readonly feeds: NodeFeeds;
   readonly peerExchange: PeerExchange;
-  readonly loadCommander: LoadCommander;
+  readonly loadCommander: LoadScheduler;
 }
 
 /** One node. */
@@ -59,27 +59,27 @@
   private startedAtMs = Number.POSITIVE_INFINITY;
   private openRequests = 0;
 
-  constructor(parts: ServiceNodeParts) {
+  constructor(parts: ServiceNodeDependencies) {
     setMaxListeners(0, this.controller.signal);
-    const context = createContext(parts);
+    const context = createNodeContext(parts);
     const { store, self, routing, metrics, logger } = context;
     const settings = parts.settings();
     const { zone, processorCores: capacity } = settings;
     const peers = new PeerAddresses(store, self.node, logger, SYSTEM_CLOCK, { zone, capacity });
-    const roles = new JoinedRoles(() => peers.fleetSize);
+    const roles = new CombinedSessionRoles(() => peers.fleetSize);
     const sessions = new SessionMonitor(store, self, roles);
     const quarantine = new RequestQuarantine({ store, metrics, logger });
     const splitter = new TargetSplitter();
     const crashCheck = new CrashCheck(metrics);
     const exchange = new ReplicaExchange(parts.client, crashCheck, metrics, logger);
-    const dispatch = new DispatchParts({ ...context, settings, exchange, callPeer: parts.dispatchAtPeer });
+    const dispatch = new NodeDispatch({ ...context, settings, exchange, callPeer: parts.dispatchAtPeer });
     const tasks = new SingletonTasks(context, sessions, peers);
     const send: SendAttempt = (call, isRepeatable) => dispatch.remote.dispatch(call, isRepeatable);
     const relay = new ServiceRelay(splitter, send, quarantine, (tenant) => tasks.countRequest(tenant));
-    const jobs = new JobParts(context, { splitter, crashCheck, quarantine, relay, sessions, peers });
+    const jobs = new NodeJobs(context, { splitter, crashCheck, quarantine, relay, sessions, peers });
     const { ownership } = jobs;
-    roles.join(jobs.sessionRole);
-    roles.join(tasks);
+    roles.add(jobs.sessionRole);
+    roles.add(tasks);
     sessions.onPoll((records) => tasks.observe(records, !this.isDraining));
     const feeds = new NodeFeeds(context, { fleet: dispatch.fleet, ownership, quarantine, sessions, peers });
     const peerExchange = new PeerExchange(context, { ownership, quarantine, peers, feeds });
@@ -124,10 +124,10 @@
       isDraining: this.isDraining,
       isStoreAnswering: this.context.store.isAnswering(),
       hasConfiguration: this.routing.current !== undefined,
-      knownReplicas: this.context.directory.ids.length,
-      operatorFeedAgeMs: this.subsystems.feeds.operatorAgeMs,
-      hasReadCrashReports: this.subsystems.quarantine.isInformed,
-      sinceStartMs: monotonicMs() - this.startedAtMs,
+      knownReplicaCount: this.context.directory.ids.length,
+      operatorFeedAgeMs: this.subsystems.feeds.operatorFeedAgeMs,
+      hasReadCrashReports: this.subsystems.quarantine.hasLoadedReports,
+      uptimeMs: monotonicMs() - this.startedAtMs,
     });
   }
 
@@ -137,7 +137,7 @@
    */
   get isConfigurationCertain(): boolean {
     const { feeds, peerExchange } = this.subsystems;
-    return feeds.isConfigurationFollowed || peerExchange.isConfigurationConfirmed;
+    return feeds.isConfigurationFresh || peerExchange.isConfigurationConfirmed;
   }
 
   /** Answers a peer that asks for a configuration newer than `version`. */
@@ -155,7 +155,7 @@
     framed: Framed<DispatchMessage>,
     signal: AbortSignal,
   ): Promise<Framed<DispatchOutcomeMessage>> | undefined {
-    return this.subsystems.dispatch.forPeer(framed, signal);
+    return this.subsystems.dispatch.dispatchForPeer(framed, signal);
   }
 
   /** Whether the node has begun to drain. */
@@ -194,12 +194,12 @@
     ownership.stopClaiming();
     void peers.withdraw();
     dispatch.close();
-    await Promise.all([sessions.announceLeaving(), tasks.resign()]);
+    await Promise.all([sessions.announceDraining(), tasks.releaseLeases()]);
     await waitUntil(() => ownership.ownedCount === 0, deadlines.finishJobsAtMs);
-    await ownership.handOver();
-    await waitUntil(() => false, deadlines.callersMovedAtMs);
+    await ownership.releaseAll();
+    await waitUntil(() => false, deadlines.trafficMovedAtMs);
     await waitUntil(() => this.openRequests === 0, deadlines.finishRequestsAtMs);
-    await tasks.flush();
+    await tasks.flushUsage();
     this.controller.abort();
   }
 }
--- a/src/node/service/service-process.ts
+++ b/src/node/service/service-process.ts
@@ -17,16 +17,16 @@
 const MAX_HEADER_BYTES = 64 * 1024;
 const REQUEST_TIMEOUT_MS = 60_000;
 /** Interval of measurements of the event loop's delay, milliseconds. Chosen, not measured. */
-const PULSE_MS = 500;
+const LOOP_DELAY_INTERVAL_MS = 500;
 /** Delay of a measurement above which a process pause is logged, milliseconds. Chosen, not measured. */
-const LOGGED_PAUSE_MS = 400;
+const LOGGED_LOOP_DELAY_MS = 400;
 /** Kept longer than callers may reuse an idle connection, milliseconds. Chosen, not measured. */
 const KEEP_ALIVE_MARGIN_MS = 1_000;
 /** Time for which an idle connection of a peer is kept: longer than peers keep theirs (45 s). */
 const PEER_KEEP_ALIVE_MS = 60_000;
 
 /** What the process works with. */
-export interface ServiceProcessParts {
+export interface ServiceProcessDependencies {
   readonly node: ServiceNode;
   readonly settings: () => ServiceSettings;
   readonly metrics: ServiceMetrics;
@@ -41,11 +41,11 @@
 }
 
 /** Settings that take effect while the process runs. */
-const RELOADABLE = ['stopGraceMs', 'configurationBoundMs', 'leaseMs', 'resultRetentionMs'] as const;
+const RELOADABLE_SETTINGS = ['stopGraceMs', 'configurationBoundMs', 'leaseMs', 'resultRetentionMs'] as const;
 
 /** What a reload has changed, one text per setting. */
-function changedSettings(before: ServiceSettings, after: ServiceSettings): string[] {
-  return RELOADABLE.filter((name) => before[name] !== after[name]).map(
+function describeChanges(before: ServiceSettings, after: ServiceSettings): string[] {
+  return RELOADABLE_SETTINGS.filter((name) => before[name] !== after[name]).map(
     (name) => `${name} ${before[name]} to ${after[name]}`,
   );
 }
@@ -55,13 +55,13 @@
   private readonly callers: HttpServer;
   private readonly readiness: HttpServer;
   private readonly peers: HttpServer;
-  private lastPulseMs = monotonicMs();
+  private lastLoopCheckMs = monotonicMs();
 
-  constructor(private readonly parts: ServiceProcessParts) {
+  constructor(private readonly dependencies: ServiceProcessDependencies) {
     const fallbacks = {
       notFound: (request: IncomingMessage, response: ServerResponse) => this.serveCaller(request, response),
       failed: (cause: unknown, _request: IncomingMessage, response: ServerResponse) =>
-        this.fail(cause, response),
+        this.answerFailure(cause, response),
     };
     this.callers = new HttpServer(fallbacks, {
       maxHeaderBytes: MAX_HEADER_BYTES,
@@ -71,25 +71,27 @@
       ...fallbacks,
       notFound: async (_, response) => sendJson(response, 404, {}),
     });
-    this.readiness.route('GET', parts.readyPath, async (_, response) => this.answerReady(response));
+    this.readiness.route('GET', dependencies.readyPath, async (_, response) =>
+      this.answerReadinessCheck(response),
+    );
     this.peers = new HttpServer(
       { ...fallbacks, notFound: async (_, response) => sendJson(response, 404, {}) },
       { keepAliveTimeoutMs: PEER_KEEP_ALIVE_MS },
     );
-    new PeerEndpoint(parts.node).register(this.peers);
+    new PeerEndpoint(dependencies.node).register(this.peers);
   }
 
   /** Listens and serves until a signal ends the process. */
   async run(detail: string): Promise<void> {
-    const { node, logger, metricsPort } = this.parts;
+    const { node, logger, metricsPort } = this.dependencies;
     this.handleSignals();
-    const { ingress, readiness } = this.parts.settings();
+    const { ingress, readiness } = this.dependencies.settings();
     const readinessPort = await this.readiness.listen(readiness.host, readiness.port);
     const ingressPort = await this.callers.listen(ingress.host, ingress.port);
-    const peerPort = await this.peers.listen(ingress.host, this.parts.settings().peerPort);
+    const peerPort = await this.peers.listen(ingress.host, this.dependencies.settings().peerPort);
     node.start(`${ingress.host}:${ingressPort}`, `${ingress.host}:${peerPort}`);
     const metrics = metricsPort === undefined ? 0 : await this.serveMetrics(ingress.host, metricsPort);
-    setInterval(() => this.pulse(), PULSE_MS).unref();
+    setInterval(() => this.measureLoopDelay(), LOOP_DELAY_INTERVAL_MS).unref();
     logger.record({
       event: 'process-started',
       ingress: `${ingress.host}:${ingressPort}`,
@@ -100,18 +102,18 @@
   }
 
   private serveCaller(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { node, serve } = this.parts;
+    const { node, serve } = this.dependencies;
     return node.track(() => serve(request, response));
   }
 
-  private answerReady(response: ServerResponse): void {
-    const { isReady } = this.parts.node;
+  private answerReadinessCheck(response: ServerResponse): void {
+    const { isReady } = this.dependencies.node;
     sendJson(response, isReady ? 200 : 503, { ready: isReady });
   }
 
-  private fail(cause: unknown, response: ServerResponse): void {
+  private answerFailure(cause: unknown, response: ServerResponse): void {
     const detail = cause instanceof Error ? (cause.stack ?? cause.message) : String(cause);
-    this.parts.logger.record({
+    this.dependencies.logger.record({
       event: 'process-changed',
       change: 'a request failed within the node',
       detail,
@@ -123,36 +125,36 @@
   private serveMetrics(host: string, port: number): Promise<number> {
     const server = new HttpServer({
       notFound: async (_, response) => sendJson(response, 404, {}),
-      failed: (cause, _, response) => this.fail(cause, response),
+      failed: (cause, _, response) => this.answerFailure(cause, response),
     });
     server.route('GET', '/metrics', async (_, response) => {
       this.measureProcess();
-      const text = await this.parts.metrics.registry.metrics();
-      response.writeHead(200, { 'content-type': this.parts.metrics.registry.contentType });
+      const text = await this.dependencies.metrics.registry.metrics();
+      response.writeHead(200, { 'content-type': this.dependencies.metrics.registry.contentType });
       response.end(text);
     });
     return server.listen(host, port);
   }
 
   private measureProcess(): void {
-    const { metrics, logger, node } = this.parts;
+    const { metrics, logger, node } = this.dependencies;
     metrics.memory.set({}, process.memoryUsage.rss());
     metrics.droppedLines.set({}, logger.droppedLines);
     node.measure();
   }
 
-  private pulse(): void {
+  private measureLoopDelay(): void {
     const now = monotonicMs();
-    const delayMs = now - this.lastPulseMs - PULSE_MS;
-    this.lastPulseMs = now;
-    this.parts.metrics.loopDelay.set({}, Math.max(0, delayMs) / MILLISECONDS_PER_SECOND);
-    if (delayMs > LOGGED_PAUSE_MS)
-      this.parts.logger.record({
+    const delayMs = now - this.lastLoopCheckMs - LOOP_DELAY_INTERVAL_MS;
+    this.lastLoopCheckMs = now;
+    this.dependencies.metrics.loopDelay.set({}, Math.max(0, delayMs) / MILLISECONDS_PER_SECOND);
+    if (delayMs > LOGGED_LOOP_DELAY_MS)
+      this.dependencies.logger.record({
         event: 'process-changed',
         change: 'process paused',
         detail: `${Math.round(delayMs)} ms`,
       });
-    const limits = this.parts.node.routing.current?.limits;
+    const limits = this.dependencies.node.routing.current?.limits;
     if (limits) this.callers.setTimeouts(limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS, limits.headerTimeoutMs);
   }
 
@@ -160,31 +162,31 @@
     process.on('SIGTERM', () => void this.stop('SIGTERM'));
     process.on('SIGINT', () => void this.stop('SIGINT'));
     process.on('SIGHUP', () => this.reload());
-    process.on('unhandledRejection', (cause) => this.reportDefect('unhandled rejection', cause));
+    process.on('unhandledRejection', (cause) => this.logFailure('unhandled rejection', cause));
     process.on('uncaughtException', (cause) => {
-      this.reportDefect('uncaught exception', cause);
-      void this.parts.logger.close().then(() => process.exit(1));
+      this.logFailure('uncaught exception', cause);
+      void this.dependencies.logger.close().then(() => process.exit(1));
     });
   }
 
-  private reportDefect(change: string, cause: unknown): void {
+  private logFailure(change: string, cause: unknown): void {
     const detail = cause instanceof Error ? (cause.stack ?? cause.message) : String(cause);
-    this.parts.logger.record({ event: 'process-changed', change, detail });
+    this.dependencies.logger.record({ event: 'process-changed', change, detail });
   }
 
   private reload(): void {
     try {
-      const before = this.parts.settings();
-      const { settings, unusedFields } = this.parts.reload();
-      const detail = [...changedSettings(before, settings), `${unusedFields} unused fields`].join(', ');
-      this.parts.logger.record({ event: 'process-changed', change: 'settings read again', detail });
+      const before = this.dependencies.settings();
+      const { settings, unusedFields } = this.dependencies.reload();
+      const detail = [...describeChanges(before, settings), `${unusedFields} unused fields`].join(', ');
+      this.dependencies.logger.record({ event: 'process-changed', change: 'settings read again', detail });
     } catch (cause) {
-      this.reportDefect('settings are wrong, the old ones stay', cause);
+      this.logFailure('settings are wrong, the old ones stay', cause);
     }
   }
 
   private async stop(signal: string): Promise<void> {
-    const { node, logger } = this.parts;
+    const { node, logger } = this.dependencies;
     if (node.isLeaving) return;
     logger.record({ event: 'process-changed', change: 'stopping', detail: signal });
     await node.drain();
--- a/src/node/service/session-roles.ts
+++ b/src/node/service/session-roles.ts
@@ -13,14 +13,14 @@
 export type SessionRole = Pick<SessionRoles, 'isHolder' | 'mustWatch' | 'holders'>;
 
 /** All reasons of one process. */
-export class JoinedRoles implements SessionRoles {
+export class CombinedSessionRoles implements SessionRoles {
   private readonly roles: SessionRole[] = [];
 
   /** `fleetSize` is the number of nodes that run, 1 while unknown. */
   constructor(readonly fleetSize: () => number) {}
 
   /** Adds a reason. Before the node starts. */
-  join(role: SessionRole): void {
+  add(role: SessionRole): void {
     this.roles.push(role);
   }
 
--- a/src/node/service/singleton-tasks.ts
+++ b/src/node/service/singleton-tasks.ts
@@ -20,7 +20,7 @@
 const LOAD_COMMANDS_TASK = 'weight-orders';
 const USAGE_TASK = 'usage';
 /** Longest final attempt to store counted usage. Chosen, not measured. */
-const FLUSH_MS = 1_500;
+const FLUSH_TIMEOUT_MS = 1_500;
 
 /** The singleton tasks as one node takes part in them. */
 export class SingletonTasks implements SessionRole {
@@ -58,17 +58,18 @@
 
   /** Counts a request of `tenant` that is sent now. Call what is returned if it turns out not to have run. */
   countRequest(tenant: string): () => void {
-    return this.usage?.counter.begin(tenant) ?? (() => {});
+    return this.usage?.counter.countRequest(tenant) ?? (() => {});
   }
 
   /** Releases all leases that are held. */
-  async resign(): Promise<void> {
-    await Promise.all(this.leases.map((lease) => lease.resign()));
+  async releaseLeases(): Promise<void> {
+    await Promise.all(this.leases.map((lease) => lease.release()));
   }
 
   /** Stores counted usage before the process ends; gives up after `FLUSH_MS`. */
-  async flush(): Promise<void> {
-    if (this.usage) await Promise.race([this.usage.flush(AbortSignal.timeout(FLUSH_MS)), sleep(FLUSH_MS)]);
+  async flushUsage(): Promise<void> {
+    if (this.usage)
+      await Promise.race([this.usage.flush(AbortSignal.timeout(FLUSH_TIMEOUT_MS)), sleep(FLUSH_TIMEOUT_MS)]);
   }
 
   /** Sets the gauges. */
--- a/src/protocol/record-store.ts
+++ b/src/protocol/record-store.ts
@@ -46,7 +46,7 @@
   /** Most records to return. Default: the store's own limit. */
   readonly limit?: number;
   /** Accepts an answer older than one before the call. Default: such a read fails as `stale`. */
-  readonly allowsOld?: boolean;
+  readonly allowStale?: boolean;
 }
 
 /** Records of a range as of one moment. `version` is the newest of the whole store at that moment. */
@@ -55,7 +55,7 @@
   readonly hasMore: boolean;
   readonly version: number;
   /** Whether the process had a newer answer, about any table, before the call. Default: false. */
-  readonly isOld?: boolean;
+  readonly isStale?: boolean;
 }
 
 /** A record that has changed; `value` is `undefined` when it was removed. */
@@ -130,7 +130,7 @@
   listObjects(prefix: string): Promise<Result<string[], RecordStoreError>>;
   removeObject(name: string): Promise<Result<void, RecordStoreError>>;
   /** How long an answer usually takes now, milliseconds; 0 while unknown. */
-  usualAnswerMs(): number;
+  averageLatencyMs(): number;
   /** Whether the store answers this process; false when no call was served for some time. */
   isAnswering(): boolean;
   /** The store's steady clock, milliseconds, estimated from its newest answer. */
--- a/src/protocol/service/configuration-peer.ts
+++ b/src/protocol/service/configuration-peer.ts
@@ -3,7 +3,7 @@
 
 /** Path, and its query parameter: the version that the asking node has. */
 export const CONFIGURATION_PATH = '/configuration';
-export const NEWER_THAN = 'newer-than';
+export const NEWER_THAN_PARAMETER = 'newer-than';
 
 /** Answer of a peer. */
 export type PeerConfigurationAnswer =
@@ -14,24 +14,24 @@
   /** The peer does not answer, or does not reach the store either. */
   | { readonly kind: 'unavailable' };
 
-const STATUS_NEWER = 200;
-const STATUS_SAME = 204;
+const STATUS_OK = 200;
+const STATUS_NO_CONTENT = 204;
 /** Milliseconds. Chosen, not measured: several peers are asked one after the other. */
 const CALL_TIMEOUT_MS = 800;
 
 /** Asks the node at `address` (`IP:PORT`) for a configuration newer than `version`. Never rejects. */
-export async function askForConfiguration(
+export async function fetchConfiguration(
   http: HttpClient,
   address: string,
   version: number,
 ): Promise<PeerConfigurationAnswer> {
   const answer = await http.exchange({
     method: 'GET',
-    url: `http://${address}${CONFIGURATION_PATH}?${NEWER_THAN}=${version}`,
+    url: `http://${address}${CONFIGURATION_PATH}?${NEWER_THAN_PARAMETER}=${version}`,
     totalTimeoutMs: CALL_TIMEOUT_MS,
   });
   if (answer.isErr()) return { kind: 'unavailable' };
   const { status, body } = answer.value;
-  if (status === STATUS_NEWER) return { kind: 'newer', value: body };
-  return { kind: status === STATUS_SAME ? 'same' : 'unavailable' };
+  if (status === STATUS_OK) return { kind: 'newer', value: body };
+  return { kind: status === STATUS_NO_CONTENT ? 'same' : 'unavailable' };
 }
--- a/src/protocol/service/crash-report-peer.ts
+++ b/src/protocol/service/crash-report-peer.ts
@@ -14,12 +14,12 @@
 /** Largest message, bytes. */
 export const MAX_MESSAGE_BYTES = 256 * 1024;
 /** Longest key and value, characters. Chosen, not measured. */
-const MAX_TEXT = 200;
+const MAX_TEXT_LENGTH = 200;
 
 /** A report as stored: key and value of its record. */
 const ReportSchema = Type.Object({
-  key: Type.String({ maxLength: MAX_TEXT }),
-  value: Type.String({ maxLength: MAX_TEXT }),
+  key: Type.String({ maxLength: MAX_TEXT_LENGTH }),
+  value: Type.String({ maxLength: MAX_TEXT_LENGTH }),
 });
 export type CrashReportMessage = Static<typeof ReportSchema>;
 
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -21,31 +21,31 @@
 export const MAX_DISPATCH_BYTES = 17 * 1024 * 1024;
 
 /** Bounds of a message: characters of a name, replicas that are excluded. Chosen, not measured: far above those in use. */
-const MAX_NAME = 512;
+const MAX_NAME_LENGTH = 512;
 const MAX_EXCLUDED = 64;
-const LINE_END = 0x0a;
+const LINE_FEED = 0x0a;
 const STATUS_OK = 200;
 
 const HeadersSchema = Type.Record(Type.String(), Type.Union([Type.String(), Type.Array(Type.String())]));
 
 const CallSchema = Type.Object({
-  service: Type.String({ maxLength: MAX_NAME }),
-  workKind: Type.String({ maxLength: MAX_NAME }),
-  id: Type.String({ maxLength: MAX_NAME }),
-  method: Type.String({ maxLength: MAX_NAME }),
+  service: Type.String({ maxLength: MAX_NAME_LENGTH }),
+  workKind: Type.String({ maxLength: MAX_NAME_LENGTH }),
+  id: Type.String({ maxLength: MAX_NAME_LENGTH }),
+  method: Type.String({ maxLength: MAX_NAME_LENGTH }),
   path: Type.String(),
-  host: Type.String({ maxLength: MAX_NAME }),
+  host: Type.String({ maxLength: MAX_NAME_LENGTH }),
   headers: HeadersSchema,
-  tenant: Type.Optional(Type.String({ maxLength: MAX_NAME })),
+  tenant: Type.Optional(Type.String({ maxLength: MAX_NAME_LENGTH })),
   rank: Type.Number(),
-  party: Type.String({ maxLength: MAX_NAME }),
+  party: Type.String({ maxLength: MAX_NAME_LENGTH }),
   isPatient: Type.Boolean(),
   isExtra: Type.Boolean(),
   isRetry: Type.Boolean(),
   /** Time until the latency target, and until the deadline, milliseconds. */
   aimMs: Type.Number(),
   leftMs: Type.Number({ minimum: 0 }),
-  excluded: Type.Array(Type.String({ maxLength: MAX_NAME }), { maxItems: MAX_EXCLUDED }),
+  excluded: Type.Array(Type.String({ maxLength: MAX_NAME_LENGTH }), { maxItems: MAX_EXCLUDED }),
   configVersion: Type.Number(),
   /** Whether the store answers the calling node, so that its configuration is current. */
   isServed: Type.Boolean(),
@@ -82,15 +82,15 @@
   readonly body: Buffer;
 }
 
-const call = new Validator(CallSchema);
-const outcome = new Validator(OutcomeSchema);
+const callValidator = new Validator(CallSchema);
+const outcomeValidator = new Validator(OutcomeSchema);
 
 function frame(message: object, body: Buffer): Buffer {
   return Buffer.concat([Buffer.from(`${JSON.stringify(message)}\n`, 'utf8'), body]);
 }
 
 function unframe(bytes: Buffer): { line: unknown; body: Buffer } | undefined {
-  const end = bytes.indexOf(LINE_END);
+  const end = bytes.indexOf(LINE_FEED);
   if (end < 0) return undefined;
   try {
     return { line: JSON.parse(bytes.toString('utf8', 0, end)), body: bytes.subarray(end + 1) };
@@ -103,7 +103,7 @@
 /** The call in the bytes of a request; `undefined` when they are no valid message. */
 export function parseDispatch(bytes: Buffer): Framed<DispatchMessage> | undefined {
   const parts = unframe(bytes);
-  const message = parts && call.check(parts.line).unwrapOr(undefined as never);
+  const message = parts && callValidator.check(parts.line).unwrapOr(undefined as never);
   return parts && message && { message, body: parts.body };
 }
 
@@ -122,7 +122,7 @@
 
 export interface PeerDispatchOptions {
   /** Called when the other node acknowledges the call. */
-  readonly onTaken: () => void;
+  readonly onAcknowledged: () => void;
   /** Time-out of the outcome, milliseconds. */
   readonly timeoutMs: number;
   readonly signal: AbortSignal;
@@ -133,7 +133,7 @@
   http: HttpClient,
   address: string,
   { message, body }: Framed<DispatchMessage>,
-  { onTaken, timeoutMs, signal }: PeerDispatchOptions,
+  { onAcknowledged, timeoutMs, signal }: PeerDispatchOptions,
 ): Promise<PeerDispatch> {
   const sent = await http.send({
     method: 'POST',
@@ -150,7 +150,7 @@
     sent.value.body.resume();
     return { kind: 'not-taken', reason: `status ${sent.value.status}` };
   }
-  onTaken();
+  onAcknowledged();
   const read = await readOutcome(sent.value.body);
   return read.isOk()
     ? { kind: 'outcome', outcome: read.value }
@@ -161,7 +161,7 @@
   const bytes = await readFully(body, MAX_DISPATCH_BYTES);
   return bytes.andThen((whole) => {
     const parts = unframe(whole);
-    const message = parts && outcome.check(parts.line).unwrapOr(undefined as never);
+    const message = parts && outcomeValidator.check(parts.line).unwrapOr(undefined as never);
     if (!parts || !message)
       return err(new TransportError('connection-lost', true, 'the outcome cannot be read'));
     return ok({ message, body: parts.body });
--- a/src/protocol/service/event-stream.ts
+++ b/src/protocol/service/event-stream.ts
@@ -21,9 +21,13 @@
 
 /** Position after the blank line that ends the first event of `bytes`, or -1. */
 function endOfEvent(bytes: Buffer, from: number): number {
-  for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
-    if (bytes[at + 1] === LINE_FEED) return at + 2;
-    if (bytes[at + 1] === CARRIAGE_RETURN && bytes[at + 2] === LINE_FEED) return at + 3;
+  for (
+    let lineEnd = bytes.indexOf(LINE_FEED, from);
+    lineEnd >= 0;
+    lineEnd = bytes.indexOf(LINE_FEED, lineEnd + 1)
+  ) {
+    if (bytes[lineEnd + 1] === LINE_FEED) return lineEnd + 2;
+    if (bytes[lineEnd + 1] === CARRIAGE_RETURN && bytes[lineEnd + 2] === LINE_FEED) return lineEnd + 3;
   }
   return -1;
 }
@@ -53,18 +57,18 @@
 
 /** Parser of one stream. */
 export class EventStreamParser {
-  private rest: Buffer = Buffer.alloc(0);
+  private remainder: Buffer = Buffer.alloc(0);
 
   /** Whether bytes of an incomplete event are left over. */
   get hasRemainder(): boolean {
-    return this.rest.length > 0;
+    return this.remainder.length > 0;
   }
 
   /**
    * Adds a chunk; returns the events that it completed. Throws `EventStreamError` when an event is too large.
    */
   push(chunk: Buffer): StreamEvent[] {
-    const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+    const bytes = this.remainder.length === 0 ? chunk : Buffer.concat([this.remainder, chunk]);
     const events: StreamEvent[] = [];
     let start = 0;
     for (let end = endOfEvent(bytes, start); end >= 0; end = endOfEvent(bytes, start)) {
@@ -72,8 +76,8 @@
       if (event) events.push(event);
       start = end;
     }
-    this.rest = start === bytes.length ? Buffer.alloc(0) : Buffer.from(bytes.subarray(start));
-    if (this.rest.length > MAX_EVENT_BYTES) throw new EventStreamError('an event is too large');
+    this.remainder = start === bytes.length ? Buffer.alloc(0) : Buffer.from(bytes.subarray(start));
+    if (this.remainder.length > MAX_EVENT_BYTES) throw new EventStreamError('an event is too large');
     return events;
   }
 }
--- a/src/protocol/service/replica.ts
+++ b/src/protocol/service/replica.ts
@@ -50,7 +50,7 @@
   readonly waiting: number;
   readonly slots: number;
   /** Service time in percent of the usual one; `undefined` where it is not reported. */
-  readonly pacePercent: number | undefined;
+  readonly serviceTimePercent: number | undefined;
 }
 
 /** The head of a replica's answer; `body` must be read or destroyed. */
@@ -61,7 +61,7 @@
   /** Whether the replica states that it did not run the request. */
   readonly isNotExecuted: boolean;
   /** Whether the answer names the request that was sent. */
-  readonly isForRequest: boolean;
+  readonly matchesRequest: boolean;
   /** Whether the body is encoded, so that it cannot be the replica's own. */
   readonly isEncoded: boolean;
   /** The replica's signature of the answer. */
@@ -114,7 +114,7 @@
   report(replica: Replica, timeoutMs: number): Promise<Result<ReplicaReport, TransportError>>;
   load(
     replica: Replica,
-    order: LoadCommand,
+    command: LoadCommand,
     timeoutMs: number,
   ): Promise<Result<CommandOutcome, TransportError>>;
 }
--- a/src/state/resource/backends/backend-registry.ts
+++ b/src/state/resource/backends/backend-registry.ts
@@ -87,23 +87,23 @@
     this.reportedAtMs = monotonicMs();
     const mixed = new Set(report.shardVersions).size > 1;
     if (mixed && !report.swapping) {
-      this.lifecycle.sendIfTaken('mixedVersions', `shards at ${report.shardVersions.join(', ')}`);
+      this.lifecycle.sendIfAccepted('mixedVersions', `shards at ${report.shardVersions.join(', ')}`);
     }
-    if (!mixed) this.lifecycle.sendIfTaken('versionsAgree');
+    if (!mixed) this.lifecycle.sendIfAccepted('versionsAgree');
     this.noteSuccess();
   }
 
   /** An exchange succeeded. */
   noteSuccess(): void {
     this.failuresInARow = 0;
-    this.lifecycle.sendIfTaken('answered');
+    this.lifecycle.sendIfAccepted('answered');
   }
 
   /** An exchange failed. */
   noteFailure(reason: string): void {
     this.failuresInARow += 1;
     this.failedAtMs = monotonicMs();
-    if (this.failuresInARow >= FAILURES_UNTIL_FAILING) this.lifecycle.sendIfTaken('failed', reason);
+    if (this.failuresInARow >= FAILURES_UNTIL_FAILING) this.lifecycle.sendIfAccepted('failed', reason);
   }
 }
 
--- a/src/state/resource/tables/row-table.ts
+++ b/src/state/resource/tables/row-table.ts
@@ -245,8 +245,8 @@
 
   private noteHealth(answer: Result<unknown, RecordStoreError>, tookMs: number): void {
     const isDown = answer.isErr() && answer.error.failure === 'unavailable';
-    if (isDown) this.health.sendIfTaken('failed', answer.error.message);
-    else this.health.sendIfTaken(tookMs > LATE_MS ? 'answeredLate' : 'answered');
+    if (isDown) this.health.sendIfAccepted('failed', answer.error.message);
+    else this.health.sendIfAccepted(tookMs > LATE_MS ? 'answeredLate' : 'answered');
   }
 }
 
--- a/src/state/service/admission/admission.ts
+++ b/src/state/service/admission/admission.ts
@@ -69,7 +69,7 @@
 /** Free share of slots below which no hedge is sent: first attempts go first. Chosen, not measured. */
 const MIN_FREE_SLOT_FRACTION_FOR_HEDGE = 0.1;
 
-const TEXTS: Readonly<Record<RejectionReason, string>> = {
+const REJECTION_TEXTS: Readonly<Record<RejectionReason, string>> = {
   'no-replica': 'no replica is available',
   'deadline-unreachable': 'the deadline cannot be met',
   'queue-full': 'the queue is full',
@@ -139,5 +139,5 @@
 /** Text of a rejection, for log lines and for the caller. */
 export function rejectionText({ reason, expectedWaitMs }: Rejection): string {
   const wait = expectedWaitMs ? `: expected wait for a slot ${Math.round(expectedWaitMs)} ms` : '';
-  return TEXTS[reason] + wait;
+  return REJECTION_TEXTS[reason] + wait;
 }
--- a/src/state/service/admission/flow-usage.ts
+++ b/src/state/service/admission/flow-usage.ts
@@ -6,13 +6,13 @@
  */
 
 /** Half-life of a use, milliseconds. Chosen, not measured: about as long as callers wait in a queue. */
-const HALF_LIFE_MS = 1_000;
+const USAGE_HALF_LIFE_MS = 1_000;
 /** Flows that are kept. Chosen, not measured: more than the tenants of a large configuration. */
 const MAX_FLOWS = 100_000;
 /** Use below which a flow is removed, milliseconds of replica time. Chosen: far below one request. */
-const NEGLIGIBLE_MS = 1;
+const MIN_KEPT_USAGE_MS = 1;
 /** Flows removed at each addition, at most. Above 1, so that the number of flows can fall. */
-const MAX_REMOVED_PER_ADDITION = 2;
+const MAX_EVICTIONS_PER_ADD = 2;
 
 interface Usage {
   usedMs: number;
@@ -40,22 +40,22 @@
     const total = Math.max(0, (usage ? decayed(usage, nowMs) : 0) + usedMs);
     this.usages.delete(flow);
     this.usages.set(flow, { usedMs: total, atMs: nowMs });
-    this.removeIdle(nowMs);
+    this.evictFlows(nowMs);
   }
 
   /** Removes idle flows, and beyond the maximum any; least recently used ones come first in the map. */
-  private removeIdle(nowMs: number): void {
+  private evictFlows(nowMs: number): void {
     let removed = 0;
     for (const [flow, usage] of this.usages) {
-      const isIdle = decayed(usage, nowMs) < NEGLIGIBLE_MS;
+      const isIdle = decayed(usage, nowMs) < MIN_KEPT_USAGE_MS;
       if (!isIdle && this.usages.size <= MAX_FLOWS) return;
       this.usages.delete(flow);
       removed += 1;
-      if (removed >= MAX_REMOVED_PER_ADDITION) return;
+      if (removed >= MAX_EVICTIONS_PER_ADD) return;
     }
   }
 }
 
 function decayed({ usedMs, atMs }: Usage, nowMs: number): number {
-  return usedMs * 2 ** (-Math.max(0, nowMs - atMs) / HALF_LIFE_MS);
+  return usedMs * 2 ** (-Math.max(0, nowMs - atMs) / USAGE_HALF_LIFE_MS);
 }
--- a/src/state/service/admission/index.ts
+++ b/src/state/service/admission/index.ts
@@ -12,4 +12,4 @@
 export { FlowUsage } from './flow-usage.js';
 export { RetryBudget } from './retry-budget.js';
 export { type RunningRequest, slotWaitMs } from './slot-wait.js';
-export { type Waiting, type WaitingBounds, WaitingList } from './waiting-list.js';
+export { FairQueue, type QueuedRequest, type QueueLimits } from './waiting-list.js';
--- a/src/state/service/admission/retry-budget.ts
+++ b/src/state/service/admission/retry-budget.ts
@@ -4,27 +4,27 @@
  */
 
 /** Retries and hedges for each first attempt. Chosen, not measured: not enough for a slow service. */
-const RETRIES_PER_REQUEST = 0.2;
+const TOKENS_PER_FIRST_ATTEMPT = 0.2;
 /** Largest budget, requests. Chosen, not measured: what a few replicas that fail together have in flight. */
-const MAX_SAVED = 20;
+const MAX_TOKENS = 20;
 
 export class RetryBudget {
-  private saved = MAX_SAVED / 2;
+  private tokens = MAX_TOKENS / 2;
 
   /** Whole retries or hedges that may be sent now. */
-  get left(): number {
-    return Math.floor(this.saved);
+  get available(): number {
+    return Math.floor(this.tokens);
   }
 
   /** Notes a first attempt. */
-  noteFirst(): void {
-    this.saved = Math.min(MAX_SAVED, this.saved + RETRIES_PER_REQUEST);
+  recordFirstAttempt(): void {
+    this.tokens = Math.min(MAX_TOKENS, this.tokens + TOKENS_PER_FIRST_ATTEMPT);
   }
 
   /** Takes one from the budget; false when it is exhausted. */
-  take(): boolean {
-    if (this.saved < 1) return false;
-    this.saved -= 1;
+  tryTake(): boolean {
+    if (this.tokens < 1) return false;
+    this.tokens -= 1;
     return true;
   }
 }
--- a/src/state/service/admission/slot-wait.ts
+++ b/src/state/service/admission/slot-wait.ts
@@ -13,7 +13,7 @@
 }
 
 /** The slots of one replica, and the requests of this node that run there. */
-export interface ReplicaUse {
+export interface ReplicaOccupancy {
   readonly slots: number;
   readonly running: Iterable<RunningRequest>;
   readonly runningCount: number;
@@ -23,7 +23,7 @@
  * Least expected time until a slot becomes free, milliseconds; 0 where one is free, may be held by requests
  * of other nodes, or runs a request that has not yet exceeded its expected time.
  */
-export function slotWaitMs(replicas: Iterable<ReplicaUse>, nowMs: number): number {
+export function slotWaitMs(replicas: Iterable<ReplicaOccupancy>, nowMs: number): number {
   let leastMs = Number.POSITIVE_INFINITY;
   for (const { slots, running, runningCount } of replicas) {
     if (runningCount < slots) return 0;
--- a/src/state/service/admission/waiting-list.ts
+++ b/src/state/service/admission/waiting-list.ts
@@ -9,7 +9,7 @@
 import type { FlowUsage } from './flow-usage.js';
 
 /** What the order depends on. Times are on the monotonic clock, milliseconds. */
-export interface Waiting {
+export interface QueuedRequest {
   /** 0 is the most urgent; counts upwards. */
   readonly priority: number;
   /** Charged for the use of replicas: a tenant, or a caller. */
@@ -28,39 +28,39 @@
 }
 
 /** Queue limits: requests, and bytes of their bodies. */
-export interface WaitingBounds {
+export interface QueueLimits {
   readonly count: number;
   readonly bytes: number;
 }
 
 /** Every 25th slot goes to another priority: the first one keeps 96 in 100, above the aim of 95. */
-const OTHER_PRIORITY_TURN = 25;
+const OTHER_PRIORITY_INTERVAL = 25;
 /** Every 4th slot goes to the longest waiting background work of the priority. Chosen, not measured. */
-const BACKGROUND_TURN = 4;
+const BACKGROUND_INTERVAL = 4;
 
-export class WaitingList<W extends Waiting> {
-  private readonly waiting = new Set<W>();
+export class FairQueue<W extends QueuedRequest> {
+  private readonly queued = new Set<W>();
   private bytes = 0;
-  private turns = 0;
+  private slotsAssigned = 0;
 
   constructor(
     private readonly usage: FlowUsage,
-    private readonly bounds: WaitingBounds,
+    private readonly limits: QueueLimits,
   ) {}
 
   get size(): number {
-    return this.waiting.size;
+    return this.queued.size;
   }
 
   [Symbol.iterator](): IterableIterator<W> {
-    return this.waiting.values();
+    return this.queued.values();
   }
 
   /** Adds a request. Beyond a limit, removes and returns the last in order, which may be itself. */
   add(one: W, nowMs: number): W | undefined {
-    this.waiting.add(one);
+    this.queued.add(one);
     this.bytes += one.bytes;
-    if (this.waiting.size <= this.bounds.count && this.bytes <= this.bounds.bytes) return undefined;
+    if (this.queued.size <= this.limits.count && this.bytes <= this.limits.bytes) return undefined;
     const last = this.first((left, right) => this.compare(right, left, nowMs));
     if (last) this.remove(last);
     return last;
@@ -68,7 +68,7 @@
 
   /** Removes a request; false when it is not queued. */
   remove(one: W): boolean {
-    if (!this.waiting.delete(one)) return false;
+    if (!this.queued.delete(one)) return false;
     this.bytes -= one.bytes;
     return true;
   }
@@ -77,10 +77,10 @@
   next(nowMs: number, isEligible: (one: W) => boolean = () => true): W | undefined {
     const first = this.first((left, right) => this.compare(left, right, nowMs), isEligible);
     if (!first) return undefined;
-    const turn = this.turns + 1;
-    if (turn % OTHER_PRIORITY_TURN === 0)
+    const turn = this.slotsAssigned + 1;
+    if (turn % OTHER_PRIORITY_INTERVAL === 0)
       return this.longestWaiting((one) => one.priority !== first.priority && isEligible(one)) ?? first;
-    if (turn % BACKGROUND_TURN === 0)
+    if (turn % BACKGROUND_INTERVAL === 0)
       return (
         this.longestWaiting(
           (one) => one.isBackground && one.priority === first.priority && isEligible(one),
@@ -90,14 +90,14 @@
   }
 
   /** A slot was assigned to a queued request. */
-  noteServed(): void {
-    this.turns += 1;
+  recordSlotAssigned(): void {
+    this.slotsAssigned += 1;
   }
 
   /** Work of the requests that are served before `one`, milliseconds. */
   queuedAheadMs(one: W, nowMs: number): number {
     let workMs = 0;
-    for (const other of this.waiting)
+    for (const other of this.queued)
       if (other !== one && this.compare(other, one, nowMs) <= 0) workMs += other.serviceTimeMs;
     return workMs;
   }
@@ -105,7 +105,7 @@
   /** Work of all queued requests, milliseconds. */
   get queuedMs(): number {
     let workMs = 0;
-    for (const one of this.waiting) workMs += one.serviceTimeMs;
+    for (const one of this.queued) workMs += one.serviceTimeMs;
     return workMs;
   }
 
@@ -119,7 +119,7 @@
     isEligible: (one: W) => boolean = () => true,
   ): W | undefined {
     let first: W | undefined;
-    for (const one of this.waiting) if (isEligible(one) && (!first || order(one, first) < 0)) first = one;
+    for (const one of this.queued) if (isEligible(one) && (!first || order(one, first) < 0)) first = one;
     return first;
   }
 
@@ -135,6 +135,6 @@
 }
 
 /** Whether a request would miss its latency target even if it ran now. */
-function isLate({ targetAtMs, serviceTimeMs }: Waiting, nowMs: number): boolean {
+function isLate({ targetAtMs, serviceTimeMs }: QueuedRequest, nowMs: number): boolean {
   return nowMs + serviceTimeMs > targetAtMs;
 }
--- a/src/state/service/configuration/routing-table.ts
+++ b/src/state/service/configuration/routing-table.ts
@@ -10,13 +10,13 @@
 import { TenantDirectory } from './tenant-directory.js';
 
 /** Whether a caller may send a request. */
-export type Access =
+export type AccessDecision =
   /** `tenant` is `undefined` where callers are not identified. */
   | { readonly kind: 'granted'; readonly tenant: Tenant | undefined }
   | { readonly kind: 'denied'; readonly reason: string };
 
-const DENIED_NO_KEY: Access = { kind: 'denied', reason: 'a key is needed' };
-const DENIED_UNKNOWN_KEY: Access = { kind: 'denied', reason: 'the key is not known' };
+const DENIED_MISSING_KEY: AccessDecision = { kind: 'denied', reason: 'a key is needed' };
+const DENIED_UNKNOWN_KEY: AccessDecision = { kind: 'denied', reason: 'the key is not known' };
 
 /** One configuration with its index. A request keeps the snapshot that it began with. */
 export class RoutingSnapshot {
@@ -51,9 +51,9 @@
     const prefixes = this.routesByHost.get(hostName(host));
     if (!prefixes) return undefined;
     const end = path.indexOf('?');
-    const bare = end < 0 ? path : path.slice(0, end);
-    for (let slash = bare.lastIndexOf('/'); slash >= 0; slash = bare.lastIndexOf('/', slash - 1)) {
-      const route = prefixes.get(bare.slice(0, slash + 1));
+    const pathname = end < 0 ? path : path.slice(0, end);
+    for (let slash = pathname.lastIndexOf('/'); slash >= 0; slash = pathname.lastIndexOf('/', slash - 1)) {
+      const route = prefixes.get(pathname.slice(0, slash + 1));
       if (route) return route;
       if (slash === 0) break;
     }
@@ -66,12 +66,12 @@
   }
 
   /** Whether a caller with this `Authorization` header may send requests of `route`, and for which tenant. */
-  accessTo(route: Route, authorization: string | undefined): Access {
+  accessTo(route: Route, authorization: string | undefined): AccessDecision {
     return this.access(route.isPublic, authorization);
   }
 
   /** Whether a caller may ask about jobs submitted under `host`; who owns a job is not checked here. */
-  accessToJobs(host: string, authorization: string | undefined): Access {
+  accessToJobs(host: string, authorization: string | undefined): AccessDecision {
     return this.access(this.publicJobHosts.has(hostName(host)), authorization);
   }
 
@@ -86,18 +86,18 @@
   }
 
   /** The share of one job owner in it: each model has one owner at a time. */
-  slowStartPerSecondOfOwner(service: string): number | undefined {
+  slowStartPerSecondPerOwner(service: string): number | undefined {
     const perSecond = this.slowStartPerSecondOf(service);
     const owners = Math.max(1, this.services.get(service)?.models.length ?? 1);
     return perSecond && perSecond / owners;
   }
 
-  private access(isPublic: boolean, authorization: string | undefined): Access {
+  private access(isPublic: boolean, authorization: string | undefined): AccessDecision {
     if (!this.tenants) return { kind: 'granted', tenant: undefined };
     const identity = this.tenants.identify(authorization);
     if (identity.kind === 'tenant') return { kind: 'granted', tenant: identity.tenant };
     if (isPublic) return { kind: 'granted', tenant: undefined };
-    return identity.kind === 'anonymous' ? DENIED_NO_KEY : DENIED_UNKNOWN_KEY;
+    return identity.kind === 'anonymous' ? DENIED_MISSING_KEY : DENIED_UNKNOWN_KEY;
   }
 
   private prefixesOf(host: string): Map<string, Route> {
--- a/src/state/service/configuration/target-splitter.ts
+++ b/src/state/service/configuration/target-splitter.ts
@@ -5,7 +5,7 @@
 import type { Route, RouteTarget } from '../../../protocol/service/routing-configuration.js';
 
 /** Most splits kept; beyond, all begin anew. Chosen, not measured. */
-const MAX_SPLITS = 1_000;
+const MAX_TRACKED_ROUTES = 1_000;
 
 /** The splits of one process. */
 export class TargetSplitter {
@@ -15,23 +15,24 @@
   next(route: Route): RouteTarget | undefined {
     if (route.targets.length <= 1) return route.targets[0];
     const credits = this.creditsOf(route);
-    let best: RouteTarget | undefined;
+    let selected: RouteTarget | undefined;
     let total = 0;
     for (const target of route.targets) {
       total += target.weight;
       const credit = (credits.get(target.service) ?? Math.random() * target.weight) + target.weight;
       credits.set(target.service, credit);
-      if (target.weight > 0 && (!best || credit > (credits.get(best.service) ?? 0))) best = target;
+      if (target.weight > 0 && (!selected || credit > (credits.get(selected.service) ?? 0)))
+        selected = target;
     }
-    if (best) credits.set(best.service, (credits.get(best.service) ?? 0) - total);
-    return best;
+    if (selected) credits.set(selected.service, (credits.get(selected.service) ?? 0) - total);
+    return selected;
   }
 
   private creditsOf(route: Route): Map<string, number> {
     const key = `${route.name} ${route.targets.map((target) => `${target.service}=${target.weight}`).join()}`;
     const existing = this.credits.get(key);
     if (existing) return existing;
-    if (this.credits.size > MAX_SPLITS) this.credits.clear();
+    if (this.credits.size > MAX_TRACKED_ROUTES) this.credits.clear();
     const created = new Map<string, number>();
     this.credits.set(key, created);
     return created;
--- a/src/state/service/configuration/tenant-directory.ts
+++ b/src/state/service/configuration/tenant-directory.ts
@@ -25,8 +25,8 @@
 /** Identifies a caller's header in log lines, where no key may appear; `none` without a header. */
 export function fingerprintOf(authorization: string | undefined): string {
   if (authorization === undefined) return 'none';
-  const shown = keyOf(authorization) ?? authorization;
-  return createHash('sha256').update(shown).digest('hex').slice(0, FINGERPRINT_DIGITS);
+  const credential = keyOf(authorization) ?? authorization;
+  return createHash('sha256').update(credential).digest('hex').slice(0, FINGERPRINT_DIGITS);
 }
 
 /** The tenants of one configuration. A key of several tenants belongs to the first. */
--- a/src/state/service/jobs/job-contents.ts
+++ b/src/state/service/jobs/job-contents.ts
@@ -7,7 +7,7 @@
 import type { RecordStore, RecordWrite, StoredRecord } from '../../../protocol/record-store.js';
 import type { PartialText } from '../../../protocol/service/batch-job.js';
 import { StateError } from '../../state-error.js';
-import { readRange, settle } from '../store/index.js';
+import { readRange, transactWithRetry } from '../store/index.js';
 import {
   headAddress,
   type JobHead,
@@ -27,36 +27,37 @@
 /**
  * Share of a record that values fill, so that a record with its key stays under the store's limit. Chosen.
  */
-const FILL = 0.9;
+const RECORD_FILL_RATIO = 0.9;
 /** Submissions up to this size are stored in records, in one transaction; larger ones in an object. Bytes. */
-const RECORD_SUBMISSION_BYTES = 500_000;
+const MAX_RECORD_SUBMISSION_BYTES = 500_000;
 /** Most bytes and records of a transaction. Chosen: below the store's 1 MB and 100 entries. */
-const TRANSACTION_BYTES = 600_000;
-const TRANSACTION_RECORDS = 80;
+const MAX_TRANSACTION_BYTES = 600_000;
+const MAX_TRANSACTION_RECORDS = 80;
 /** Most records of results in a transaction: with a condition for each, and the head, below 100 entries. */
-const RESULT_RECORDS = 48;
+const MAX_RESULT_RECORDS = 48;
 
 /** Splits bytes into pieces of at most `size`. */
-function pieces(bytes: Buffer, size: number): Buffer[] {
-  const found: Buffer[] = [];
-  for (let at = 0; at < bytes.length; at += size) found.push(bytes.subarray(at, at + size));
-  return found;
+function splitIntoChunks(bytes: Buffer, size: number): Buffer[] {
+  const chunks: Buffer[] = [];
+  for (let offset = 0; offset < bytes.length; offset += size)
+    chunks.push(bytes.subarray(offset, offset + size));
+  return chunks;
 }
 
 /** Access to the contents of jobs. */
 export class JobContents {
-  private readonly pieceBytes: number;
+  private readonly chunkBytes: number;
 
   constructor(private readonly store: RecordStore) {
-    this.pieceBytes = Math.floor(store.limits.recordBytes * FILL);
+    this.chunkBytes = Math.floor(store.limits.recordBytes * RECORD_FILL_RATIO);
   }
 
   /** The records to write for a submission, or the name of the object that now holds it. */
   async storeSubmission(
     job: SubmittedJob,
   ): Promise<Result<{ writes: RecordWrite[]; object?: string }, StateError>> {
-    if (job.submission.length <= RECORD_SUBMISSION_BYTES) {
-      const chunks = pieces(job.submission, this.pieceBytes);
+    if (job.submission.length <= MAX_RECORD_SUBMISSION_BYTES) {
+      const chunks = splitIntoChunks(job.submission, this.chunkBytes);
       return ok({
         writes: chunks.map((value, index) => ({ ...submissionAddress(job.jobId, index), value })),
       });
@@ -67,7 +68,7 @@
     return ok({ writes: [], object });
   }
 
-  private async objectSubmission(name: string): Promise<Result<Buffer, StateError>> {
+  private async readSubmissionObject(name: string): Promise<Result<Buffer, StateError>> {
     const found = await this.store.getObject(name);
     if (found.isErr()) return err(new StateError('unavailable', 'none', found.error.message));
     return found.value ? ok(found.value) : err(new StateError('not-found', 'none', `object ${name}`));
@@ -76,7 +77,7 @@
   /** The submission of a job. */
   async submission(head: JobHead): Promise<Result<Buffer, StateError>> {
     const { jobId, record } = head;
-    if (record.object !== undefined) return this.objectSubmission(record.object);
+    if (record.object !== undefined) return this.readSubmissionObject(record.object);
     const from = submissionAddress(jobId, 0).key;
     const records = await readRange(this.store, SUBMISSION_TABLE, partitionOf(jobId), from, rangeEnd(jobId));
     if (records.isErr()) return err(records.error);
@@ -101,7 +102,7 @@
       this.resultWrites(head.jobId, firstPosition + index, result),
     );
     if (writes.length === 0) return ok(undefined);
-    const outcome = await settle(
+    const outcome = await transactWithRetry(
       this.store,
       {
         conditions: [
@@ -114,21 +115,21 @@
       {
         deadlineMs,
         signal,
-        isApplied: (current) => areAllWritten(writes, current),
+        isApplied: (current) => areAllApplied(writes, current),
       },
     );
     return outcome.map(() => undefined);
   }
 
   /** How many of `results` fit into one transaction, at least one. */
-  fittingResults(results: readonly string[]): number {
+  countFittingResults(results: readonly string[]): number {
     let bytes = 0;
     let records = 0;
     let count = 0;
     for (const result of results) {
       bytes += result.length;
-      records += Math.ceil(result.length / this.pieceBytes);
-      if (count > 0 && (bytes > TRANSACTION_BYTES || records > RESULT_RECORDS)) break;
+      records += Math.ceil(result.length / this.chunkBytes);
+      if (count > 0 && (bytes > MAX_TRANSACTION_BYTES || records > MAX_RESULT_RECORDS)) break;
       count += 1;
     }
     return count;
@@ -169,7 +170,7 @@
       const value = Buffer.from(JSON.stringify(text), 'utf8');
       if (value.length > this.store.limits.recordBytes) continue;
       bytes += value.length;
-      if (writes.length >= TRANSACTION_RECORDS || bytes > TRANSACTION_BYTES) break;
+      if (writes.length >= MAX_TRANSACTION_RECORDS || bytes > MAX_TRANSACTION_BYTES) break;
       writes.push({ ...textAddress(head.jobId, itemId), value });
       saved.push(itemId);
     }
@@ -200,8 +201,8 @@
     for (const table of [TEXT_TABLE, SUBMISSION_TABLE, RESULT_TABLE]) {
       const found = await readRange(this.store, table, partitionOf(jobId), `${jobId}/`, rangeEnd(jobId));
       if (found.isErr()) return false;
-      for (let at = 0; at < found.value.records.length; at += TRANSACTION_RECORDS) {
-        const removals = found.value.records.slice(at, at + TRANSACTION_RECORDS);
+      for (let offset = 0; offset < found.value.records.length; offset += MAX_TRANSACTION_RECORDS) {
+        const removals = found.value.records.slice(offset, offset + MAX_TRANSACTION_RECORDS);
         const outcome = await this.store.transact({ conditions: [], writes: [], removals });
         if (outcome.isErr()) return false;
       }
@@ -210,7 +211,7 @@
   }
 
   private resultWrites(jobId: string, position: number, result: string): RecordWrite[] {
-    const chunks = pieces(Buffer.from(result, 'utf8'), this.pieceBytes);
+    const chunks = splitIntoChunks(Buffer.from(result, 'utf8'), this.chunkBytes);
     return chunks.map((value, index) => ({
       ...resultAddress(jobId, position, index, chunks.length),
       value,
@@ -219,7 +220,7 @@
 }
 
 /** Whether each record has the value that was to be written. */
-function areAllWritten(writes: readonly RecordWrite[], current: readonly StoredRecord[]): boolean {
+function areAllApplied(writes: readonly RecordWrite[], current: readonly StoredRecord[]): boolean {
   const values = new Map(current.map(({ key, value }) => [key, value]));
   return writes.every(({ key, value }) => values.get(key)?.equals(value) ?? false);
 }
--- a/src/state/service/jobs/job-record.ts
+++ b/src/state/service/jobs/job-record.ts
@@ -1,5 +1,5 @@
 /** Records of batch jobs: their shape in the store, tables and keys. */
-import { spread } from '../../../common/spread.js';
+import { fnv1aHash } from '../../../common/spread.js';
 import type { RecordAddress } from '../../../protocol/record-store.js';
 import { FOLLOWED_TABLE } from '../store/index.js';
 
@@ -13,7 +13,7 @@
 const PARTITION_COUNT = 8;
 const POSITION_DIGITS = 7;
 /** Sorts after every character that keys use. */
-const AFTER_KEYS = '~';
+const KEY_UPPER_BOUND = '~';
 
 /** Who runs a job: one incarnation of one node. */
 export interface OwnerReference {
@@ -66,7 +66,7 @@
 
 /** Partition of a job: all its records share one, so that one transaction can change them. */
 export function partitionOf(jobId: string): string {
-  return JOB_PARTITIONS[spread(jobId) % PARTITION_COUNT] as string;
+  return JOB_PARTITIONS[fnv1aHash(jobId) % PARTITION_COUNT] as string;
 }
 
 export function headAddress(jobId: string): RecordAddress {
@@ -74,12 +74,12 @@
 }
 
 export function submissionAddress(jobId: string, chunk: number): RecordAddress {
-  return { table: SUBMISSION_TABLE, partition: partitionOf(jobId), key: `${jobId}/${padded(chunk)}` };
+  return { table: SUBMISSION_TABLE, partition: partitionOf(jobId), key: `${jobId}/${zeroPadded(chunk)}` };
 }
 
 /** A result larger than one record is stored in several; `chunk` counts them from 0. */
 export function resultAddress(jobId: string, position: number, chunk: number, chunks: number): RecordAddress {
-  const key = `${jobId}/${padded(position)}/${padded(chunk)}-${chunks}`;
+  const key = `${jobId}/${zeroPadded(position)}/${zeroPadded(chunk)}-${chunks}`;
   return { table: RESULT_TABLE, partition: partitionOf(jobId), key };
 }
 
@@ -89,12 +89,12 @@
 
 /** First key of the results from `position` on. */
 export function resultRangeStart(jobId: string, position: number): string {
-  return `${jobId}/${padded(position)}`;
+  return `${jobId}/${zeroPadded(position)}`;
 }
 
 /** End of all keys that belong to a job. */
 export function rangeEnd(jobId: string): string {
-  return `${jobId}/${AFTER_KEYS}`;
+  return `${jobId}/${KEY_UPPER_BOUND}`;
 }
 
 /** The parts of a result's key. */
@@ -121,6 +121,6 @@
   }
 }
 
-function padded(number: number): string {
+function zeroPadded(number: number): string {
   return String(number).padStart(POSITION_DIGITS, '0');
 }
--- a/src/state/service/jobs/job-repository.ts
+++ b/src/state/service/jobs/job-repository.ts
@@ -9,7 +9,7 @@
 import type { RecordStore, RecordWrite, StoredRecord } from '../../../protocol/record-store.js';
 import { StateError } from '../../state-error.js';
 import { readCurrent } from '../../store/index.js';
-import { ConflictError, readRange, settle } from '../store/index.js';
+import { ConflictError, readRange, transactWithRetry } from '../store/index.js';
 import { JobContents } from './job-contents.js';
 import {
   belongsTo,
@@ -86,7 +86,7 @@
     if (page.isErr() && page.error.failure !== 'stale')
       return err(new StateError('unavailable', 'none', page.error.message));
     const [record] = page.isOk() ? page.value.records : [];
-    return record?.key === jobId ? ok(toJobHead(record)) : this.readNow(jobId);
+    return record?.key === jobId ? ok(toJobHead(record)) : this.readCurrentHead(jobId);
   }
 
   /** All jobs. */
@@ -158,7 +158,7 @@
     return ended.isErr() && ended.error.failure === 'conflict' ? 'retry' : ended;
   }
 
-  private async readNow(jobId: string): Promise<Result<JobHead | undefined, StateError>> {
+  private async readCurrentHead(jobId: string): Promise<Result<JobHead | undefined, StateError>> {
     const current = await readCurrent(this.store, [headAddress(jobId)]);
     return current.map(({ records: [record] }) => record && toJobHead(record));
   }
@@ -171,7 +171,7 @@
   ): Promise<Result<Acceptance, StateError>> {
     const address = headAddress(jobId);
     const value = Buffer.from(JSON.stringify(record), 'utf8');
-    const outcome = await settle(
+    const outcome = await transactWithRetry(
       this.store,
       { conditions: [{ ...address, version: 0 }], writes: [{ ...address, value }, ...writes], removals: [] },
       { deadlineMs, isApplied: () => false },
@@ -184,11 +184,11 @@
     if (!belongsTo(head, record.tenant))
       return err(new StateError('invalid', 'none', 'the identifier is that of another tenant'));
     if (head.record.total > 0 || record.total === 0) return ok({ head, isNew: false });
-    return this.completeEnded(head, record, writes, deadlineMs);
+    return this.addSubmissionToEnded(head, record, writes, deadlineMs);
   }
 
   /** Adds the submission to a job that was ended before it was accepted; it stays ended. */
-  private async completeEnded(
+  private async addSubmissionToEnded(
     head: JobHead,
     record: JobRecord,
     writes: readonly RecordWrite[],
@@ -197,7 +197,7 @@
     const address = headAddress(head.jobId);
     const ended: JobRecord = { ...record, state: 'ended', owner: null };
     const value = Buffer.from(JSON.stringify(ended), 'utf8');
-    const outcome = await settle(
+    const outcome = await transactWithRetry(
       this.store,
       {
         conditions: [{ ...address, version: head.version }],
@@ -241,7 +241,7 @@
     const address = headAddress(head.jobId);
     const value = Buffer.from(JSON.stringify(record), 'utf8');
     let appliedVersion = 0;
-    const outcome = await settle(
+    const outcome = await transactWithRetry(
       this.store,
       {
         conditions: [{ ...address, version: head.version }],
--- a/src/state/service/jobs/result-cache.ts
+++ b/src/state/service/jobs/result-cache.ts
@@ -47,7 +47,7 @@
   }
 
   /** Calls `listener` when results of the job are added; returns a function that stops this. */
-  listen(jobId: string, listener: Listener): () => void {
+  subscribe(jobId: string, listener: Listener): () => void {
     const listeners = this.listeners.get(jobId) ?? new Set();
     listeners.add(listener);
     this.listeners.set(jobId, listeners);
@@ -57,15 +57,15 @@
     };
   }
 
-  forget(jobId: string): void {
+  remove(jobId: string): void {
     this.totalBytes -= this.jobs.get(jobId)?.bytes ?? 0;
     this.jobs.delete(jobId);
   }
 
-  private evict(keep: string): void {
+  private evict(exceptJobId: string): void {
     for (const jobId of this.jobs.keys()) {
       if (this.totalBytes <= this.maxBytes) return;
-      if (jobId !== keep) this.forget(jobId);
+      if (jobId !== exceptJobId) this.remove(jobId);
     }
   }
 }
--- a/src/state/service/replicas/crash-history.ts
+++ b/src/state/service/replicas/crash-history.ts
@@ -17,14 +17,14 @@
 }
 
 /** A replica answered a request. */
-export interface ServedRun {
+export interface AnsweredRequest {
   readonly digest: string;
   /** Milliseconds. */
   readonly servedAtMs: number;
 }
 
 /** Whether a request may be sent. The kinds are values of the log key `verdict`; `ends` counts crashes. */
-export type Verdict =
+export type QuarantineVerdict =
   /** It ran at no crash. */
   | { readonly kind: 'clear' }
   /** It may run, at one replica at a time. */
@@ -33,9 +33,9 @@
   | { readonly kind: 'held'; readonly ends: number; readonly retryAfterMs: number };
 
 /** Crashes after which a request is quarantined for long: the most that one request may cause. */
-const MAX_CRASHES = 3;
+const LONG_QUARANTINE_CRASHES = 3;
 /** Crashes after which it is quarantined for a short time if no other request ran at all of them. */
-const SOLE_SUSPECT_CRASHES = 2;
+const SHORT_QUARANTINE_CRASHES = 2;
 /**
  * Quarantine after the last crash, milliseconds. Chosen, not measured. The short one exceeds the restart of
  * replicas, some three seconds on the recorded day (docs/design/retries-hedges-and-quarantine.md), and costs a wrong suspect
@@ -44,14 +44,14 @@
 const SHORT_QUARANTINE_MS = 4_000;
 const LONG_QUARANTINE_MS = 600_000;
 /** Crashes reported at one address within this time are one, milliseconds: a restart takes longer. */
-const SAME_CRASH_MS = 1_000;
+const CRASH_MERGE_WINDOW_MS = 1_000;
 /** Requests that are kept, the oldest dropped first; some 800 bytes each with one crash (heap of 5,000). */
 const MAX_REQUESTS = 5_000;
 
 /** Time after which a crash no longer counts, milliseconds. */
 export const CRASH_EXPIRY_MS = LONG_QUARANTINE_MS;
 
-const CLEAR: Verdict = { kind: 'clear' };
+const CLEAR: QuarantineVerdict = { kind: 'clear' };
 
 /** A crash, and the requests that ran at it. */
 interface ReplicaCrash {
@@ -71,18 +71,18 @@
   }
 
   /** Notes a crash; false when it is known, or the request was answered since. */
-  note({ digest, address, endedAtMs }: Crash): boolean {
+  recordCrash({ digest, address, endedAtMs }: Crash): boolean {
     if (endedAtMs <= (this.servedAtMs.get(digest) ?? Number.NEGATIVE_INFINITY)) return false;
     const crash = this.crashAt(address, endedAtMs);
     if (crash.digests.has(digest)) return false;
     crash.digests.add(digest);
     this.crashesByDigest.set(digest, [...(this.crashesByDigest.get(digest) ?? []), crash]);
-    if (this.size > MAX_REQUESTS) this.forgetOldest();
+    if (this.size > MAX_REQUESTS) this.evictOldest();
     return true;
   }
 
   /** Notes an answer: earlier crashes no longer count. False when there were none. */
-  noteServed({ digest, servedAtMs }: ServedRun): boolean {
+  recordAnswer({ digest, servedAtMs }: AnsweredRequest): boolean {
     const before = this.servedAtMs.get(digest) ?? Number.NEGATIVE_INFINITY;
     this.servedAtMs.delete(digest);
     this.servedAtMs.set(digest, Math.max(before, servedAtMs));
@@ -102,7 +102,7 @@
   }
 
   /** Whether a request may be sent at `nowMs`. */
-  judge(digest: string, nowMs: number): Verdict {
+  verdictOf(digest: string, nowMs: number): QuarantineVerdict {
     const crashes = this.crashesByDigest.get(digest);
     if (!crashes) return CLEAR;
     const count = crashes.length;
@@ -114,15 +114,15 @@
   }
 
   /** Removes all crashes and answers before `ms`. */
-  forgetBefore(ms: number): void {
+  expireBefore(ms: number): void {
     removeBefore(this.crashesByDigest, ms);
     removeBefore(this.crashesByAddress, ms);
     for (const [digest, servedAtMs] of this.servedAtMs) if (servedAtMs < ms) this.servedAtMs.delete(digest);
   }
 
   private quarantineMs(digest: string, crashes: readonly ReplicaCrash[]): number {
-    if (crashes.length >= MAX_CRASHES) return LONG_QUARANTINE_MS;
-    const isQuarantined = crashes.length >= SOLE_SUSPECT_CRASHES && this.isSoleSuspect(digest, crashes);
+    if (crashes.length >= LONG_QUARANTINE_CRASHES) return LONG_QUARANTINE_MS;
+    const isQuarantined = crashes.length >= SHORT_QUARANTINE_CRASHES && this.isSoleSuspect(digest, crashes);
     return isQuarantined ? SHORT_QUARANTINE_MS : 0;
   }
 
@@ -135,14 +135,14 @@
 
   private crashAt(address: string, endedAtMs: number): ReplicaCrash {
     const crashes = this.crashesByAddress.get(address) ?? [];
-    const same = crashes.find((crash) => Math.abs(crash.endedAtMs - endedAtMs) < SAME_CRASH_MS);
+    const same = crashes.find((crash) => Math.abs(crash.endedAtMs - endedAtMs) < CRASH_MERGE_WINDOW_MS);
     if (same) return same;
     const crash: ReplicaCrash = { endedAtMs, digests: new Set() };
     this.crashesByAddress.set(address, [...crashes, crash]);
     return crash;
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     const [oldest] = this.crashesByDigest.keys();
     if (oldest === undefined) return;
     for (const crash of this.crashesByDigest.get(oldest) ?? []) crash.digests.delete(oldest);
--- a/src/state/service/replicas/dispatcher-selection.ts
+++ b/src/state/service/replicas/dispatcher-selection.ts
@@ -66,12 +66,12 @@
 export function rankDispatchers(service: string, members: readonly FleetMember[]): FleetMember[] {
   const strongest = Math.max(0, ...members.map(({ capacity }) => capacity));
   const able = members.filter(({ capacity }) => capacity >= strongest * MIN_RELATIVE_CAPACITY);
-  const scored = able.map((member) => ({ member, score: scoreOf(service, member) }));
+  const scored = able.map((member) => ({ member, score: rendezvousScore(service, member) }));
   scored.sort((one, other) => other.score - one.score || (one.member.name < other.member.name ? -1 : 1));
   return scored.map(({ member }) => member);
 }
 
-function scoreOf(service: string, { name, capacity }: FleetMember): number {
+function rendezvousScore(service: string, { name, capacity }: FleetMember): number {
   const drawn = (xxHash32(`${service}|${name}`) + 1) / (HASH_RANGE + 1);
   return -Math.max(capacity, Number.EPSILON) / Math.log(drawn);
 }
--- a/src/state/service/replicas/index.ts
+++ b/src/state/service/replicas/index.ts
@@ -1,13 +1,19 @@
-export { CRASH_EXPIRY_MS, type Crash, CrashHistory, type Verdict } from './crash-history.js';
+export { CRASH_EXPIRY_MS, type Crash, CrashHistory, type QuarantineVerdict } from './crash-history.js';
 export {
   CRASH_PARTITION,
   parseCrashReport,
-  timeOf,
+  reportTimeMs,
+  toAnswerRecord,
   toCrashRecord,
-  toServedRecord,
 } from './crash-record.js';
 export { type DispatcherSelection, type FleetMember, selectDispatchers } from './dispatcher-selection.js';
-export { type Choice, type ChoiceInput, capacityOf, chooseReplica, drainRate } from './replica-choice.js';
+export {
+  capacityOf,
+  chooseReplica,
+  drainRate,
+  type ReplicaChoice,
+  type ReplicaChoiceInput,
+} from './replica-choice.js';
 export { ReplicaDirectory } from './replica-directory.js';
 export type { IncarnationOrder } from './replica-incarnation.js';
 export { ReplicaState } from './replica-state.js';
--- a/src/state/service/replicas/replica-choice.ts
+++ b/src/state/service/replicas/replica-choice.ts
@@ -7,11 +7,11 @@
  * `replica-selection.ts`, which places generation requests. Ejected replicas are used when there are no
  * others; replicas that back off are waited for.
  */
-import { SLOW_RATIO } from './latency-estimate.js';
+import { SLOW_LATENCY_RATIO } from './latency-estimate.js';
 import type { ReplicaState } from './replica-state.js';
 
 /** Inputs of the choice. Times in milliseconds. */
-export interface ChoiceInput {
+export interface ReplicaChoiceInput {
   /** Requests that a replica runs at once. */
   readonly slotsOf: (state: ReplicaState) => number;
   /** Added to the load of a replica, as a share of its slots: its distance. */
@@ -24,7 +24,7 @@
 }
 
 /** The decision. `expectedMs` is the expected service time at the replica. */
-export type Choice =
+export type ReplicaChoice =
   | { readonly kind: 'send'; readonly state: ReplicaState; readonly expectedMs: number }
   /** No slot is free, or only slots of replicas so slow that waiting for another is sooner. */
   | { readonly kind: 'wait' }
@@ -42,7 +42,7 @@
  * Replicas up to `SLOW_RATIO` times as slow as the fastest are equal, since the estimates are no better than
  * that; the one of least load is chosen. A slower one is chosen only where the request ends there first.
  */
-export function chooseReplica(states: readonly ReplicaState[], input: ChoiceInput): Choice {
+export function chooseReplica(states: readonly ReplicaState[], input: ReplicaChoiceInput): ReplicaChoice {
   if (states.length === 0) return { kind: 'none' };
   const healthy = states.filter((state) => !state.isEjected);
   const candidates = (healthy.length > 0 ? healthy : states).map((state) => ({
@@ -53,24 +53,29 @@
   const fastestMs = Math.min(...candidates.map(({ timeMs }) => timeMs));
   const free = candidates.filter((candidate) => hasFreeSlot(candidate, input));
   const fast = leastLoaded(
-    free.filter(({ timeMs }) => timeMs <= fastestMs * SLOW_RATIO),
+    free.filter(({ timeMs }) => timeMs <= fastestMs * SLOW_LATENCY_RATIO),
     input,
   );
-  if (fast) return toSend(fast);
+  if (fast) return sendTo(fast);
   const slow = fastestCandidate(free);
   if (!slow) return { kind: 'wait' };
-  return slow.timeMs <= waitMs(candidates, fastestMs, input) + fastestMs ? toSend(slow) : { kind: 'wait' };
+  return slow.timeMs <= fastSlotWaitMs(candidates, fastestMs, input) + fastestMs
+    ? sendTo(slow)
+    : { kind: 'wait' };
 }
 
 /** Work that the replicas finish in a millisecond with all slots taken, milliseconds. */
-export function drainRate(states: readonly ReplicaState[], input: Pick<ChoiceInput, 'slotsOf'>): number {
+export function drainRate(
+  states: readonly ReplicaState[],
+  input: Pick<ReplicaChoiceInput, 'slotsOf'>,
+): number {
   return states.reduce((sum, state) => sum + slotsOf(state, input) / state.latencyRatio, 0);
 }
 
 /** Free slots, and all slots. Slots of replicas that back off are not free. */
 export function capacityOf(
   states: readonly ReplicaState[],
-  input: Pick<ChoiceInput, 'slotsOf'>,
+  input: Pick<ReplicaChoiceInput, 'slotsOf'>,
 ): { free: number; all: number } {
   let free = 0;
   let all = 0;
@@ -82,30 +87,30 @@
   return { free, all };
 }
 
-function slotsOf(state: ReplicaState, input: Pick<ChoiceInput, 'slotsOf'>): number {
+function slotsOf(state: ReplicaState, input: Pick<ReplicaChoiceInput, 'slotsOf'>): number {
   return Math.max(1, input.slotsOf(state));
 }
 
 /** A slow replica without recent measurements gets one request at a time. */
-function hasFreeSlot({ state, slots }: Candidate, input: ChoiceInput): boolean {
+function hasFreeSlot({ state, slots }: Candidate, input: ReplicaChoiceInput): boolean {
   const perSecond = input.slowStartPerSecond?.(state);
   if (state.isBackingOff) return false;
   if (perSecond !== undefined && !state.allowsInSlowStart(perSecond)) return false;
   return state.occupied < (state.isLatencyStale ? 1 : slots);
 }
 
-function toSend({ state, timeMs }: Candidate): Choice {
+function sendTo({ state, timeMs }: Candidate): ReplicaChoice {
   return { kind: 'send', state, expectedMs: timeMs };
 }
 
 /** The candidate of least load; of equal ones the one that was sent nothing for the longest time. */
-function leastLoaded(candidates: readonly Candidate[], input: ChoiceInput): Candidate | undefined {
+function leastLoaded(candidates: readonly Candidate[], input: ReplicaChoiceInput): Candidate | undefined {
   let best: Candidate | undefined;
   let bestLoad = Number.POSITIVE_INFINITY;
   for (const candidate of candidates) {
     const { state, slots } = candidate;
     const load = state.occupied / slots + input.zonePenalty(state);
-    const isTurn = load === bestLoad && best && state.lastAssignedAtMs < best.state.lastAssignedAtMs;
+    const isTurn = load === bestLoad && best && state.lastSentAtMs < best.state.lastSentAtMs;
     if (load > bestLoad || (load === bestLoad && !isTurn)) continue;
     best = candidate;
     bestLoad = load;
@@ -120,8 +125,12 @@
 }
 
 /** How long the request would wait for a slot of a fast replica, milliseconds. */
-function waitMs(candidates: readonly Candidate[], fastestMs: number, input: ChoiceInput): number {
-  const fast = candidates.filter(({ timeMs }) => timeMs <= fastestMs * SLOW_RATIO);
+function fastSlotWaitMs(
+  candidates: readonly Candidate[],
+  fastestMs: number,
+  input: ReplicaChoiceInput,
+): number {
+  const fast = candidates.filter(({ timeMs }) => timeMs <= fastestMs * SLOW_LATENCY_RATIO);
   const perMs = fast.reduce((sum, { slots, timeMs }) => sum + (slots * input.serviceTimeMs) / timeMs, 0);
   return (input.queuedAheadMs + input.serviceTimeMs) / perMs;
 }
--- a/src/state/service/replicas/replica-directory.ts
+++ b/src/state/service/replicas/replica-directory.ts
@@ -4,18 +4,18 @@
  */
 import type { Replica } from '../../../protocol/service/replica.js';
 import { compareIncarnations, type IncarnationOrder } from './replica-incarnation.js';
-import { type SelectionCriteria, selectReplica } from './replica-selection.js';
+import { type SelectionCriteria, selectGenerationReplica } from './replica-selection.js';
 import { ReplicaState } from './replica-state.js';
 
 /** Replicas without an announcement that are kept, the oldest dropped first. Chosen, not measured. */
-const MAX_ABSENT = 256;
+const MAX_WITHDRAWN = 256;
 
 export class ReplicaDirectory {
   private readonly states = new Map<string, ReplicaState>();
   private readonly services = new Map<string, Set<ReplicaState>>();
   private readonly listeners = new Set<() => void>();
   /** Replicas whose announcement is gone, by id: the incarnation may be announced again. */
-  private readonly absent = new Map<string, ReplicaState>();
+  private readonly withdrawn = new Map<string, ReplicaState>();
   /** Ids of replicas of which it is not known which incarnation runs. */
   private readonly unconfirmed = new Set<string>();
   private readonly evacuated = new Set<string>();
@@ -36,7 +36,7 @@
     this.unconfirmed.delete(replica.id);
     if (!existing) this.add(replica);
     else if (order === 'same') this.update(existing, replica);
-    else this.succeed(existing, replica);
+    else this.replaceIncarnation(existing, replica);
     this.notify();
     return order;
   }
@@ -45,7 +45,7 @@
   replace(replica: Replica): void {
     const existing = this.states.get(replica.id);
     this.unconfirmed.delete(replica.id);
-    if (existing) this.succeed(existing, replica);
+    if (existing) this.replaceIncarnation(existing, replica);
     else this.add(replica);
     this.notify();
   }
@@ -57,7 +57,7 @@
   }
 
   /** Notes a weight version that a replica shows before it announces it. */
-  noteVersion(state: ReplicaState, model: string, version: number): void {
+  recordVersion(state: ReplicaState, model: string, version: number): void {
     if (state.versionOf(model) >= version || !this.isAvailable(state)) return;
     this.set({ ...state.replica, modelVersions: new Map(state.replica.modelVersions).set(model, version) });
   }
@@ -86,10 +86,10 @@
     const state = this.states.get(id);
     if (!state) return;
     this.unregister(state);
-    state.noteEnd('left');
-    this.absent.set(id, state);
-    const [oldest] = this.absent.keys();
-    if (this.absent.size > MAX_ABSENT && oldest !== undefined) this.absent.delete(oldest);
+    state.recordEnd('left');
+    this.withdrawn.set(id, state);
+    const [oldest] = this.withdrawn.keys();
+    if (this.withdrawn.size > MAX_WITHDRAWN && oldest !== undefined) this.withdrawn.delete(oldest);
     this.notify();
   }
 
@@ -113,18 +113,18 @@
   }
 
   /** The replica for a generation request, or `undefined` when none fits. */
-  select(criteria: SelectionCriteria): ReplicaState | undefined {
-    return selectReplica(this.availableOf(criteria.service), criteria);
+  selectForGeneration(criteria: SelectionCriteria): ReplicaState | undefined {
+    return selectGenerationReplica(this.availableOf(criteria.service), criteria);
   }
 
   /** A replica whose weight versions change has finished a load: it takes requests again. */
   private update(state: ReplicaState, replica: Replica): void {
     const before = state.replica.modelVersions;
-    if (state.replica.service !== replica.service) this.moveTo(replica.service, state);
+    if (state.replica.service !== replica.service) this.moveToService(replica.service, state);
     state.replica = replica;
     if (replica.slowStartMs > 0) state.beginSlowStart(replica.slowStartMs);
     for (const [model, version] of replica.modelVersions)
-      if (before.get(model) !== version) state.noteTaken();
+      if (before.get(model) !== version) state.recordAccepted();
   }
 
   private isUsable({ replica }: ReplicaState): boolean {
@@ -132,9 +132,9 @@
   }
 
   /** Replaces an incarnation by the next one. */
-  private succeed(state: ReplicaState, replica: Replica): void {
+  private replaceIncarnation(state: ReplicaState, replica: Replica): void {
     this.unregister(state);
-    state.noteEnd('restarted');
+    state.recordEnd('restarted');
     this.add(replica);
   }
 
@@ -146,17 +146,17 @@
 
   /** The kept state of the announced incarnation, or a new one. */
   private stateFor(replica: Replica): ReplicaState {
-    const known = this.absent.get(replica.id);
-    this.absent.delete(replica.id);
+    const known = this.withdrawn.get(replica.id);
+    this.withdrawn.delete(replica.id);
     const isSame =
       known?.replica.service === replica.service && compareIncarnations(known.replica, replica) === 'same';
     if (!known || !isSame) {
-      known?.noteEnd('restarted');
+      known?.recordEnd('restarted');
       return new ReplicaState(replica);
     }
     known.replica = replica;
     if (replica.slowStartMs > 0) known.beginSlowStart(replica.slowStartMs);
-    known.noteReturn();
+    known.clearEnd();
     return known;
   }
 
@@ -166,7 +166,7 @@
     this.register(replica.service, state);
   }
 
-  private moveTo(service: string, state: ReplicaState): void {
+  private moveToService(service: string, state: ReplicaState): void {
     this.services.get(state.replica.service)?.delete(state);
     this.register(service, state);
   }
--- a/src/state/service/replicas/replica-health.ts
+++ b/src/state/service/replicas/replica-health.ts
@@ -7,7 +7,7 @@
  *
  * "Unhealthy" is ejected or backing off. Slow is not unhealthy. Times are on the monotonic clock.
  */
-import { exponentialMs } from '../../../common/backoff.js';
+import { exponentialBackoffMs } from '../../../common/backoff.js';
 
 /** First and longest ejection, milliseconds; doubles with each failure. Chosen, not measured. */
 const MIN_EJECTION_MS = 250;
@@ -17,18 +17,18 @@
 /** Requests that may await an answer. Chosen, not measured: what one decline may cost in delayed requests. */
 const MAX_UNANSWERED = 3;
 /** Time without an answer after which a replica is silent, milliseconds. Chosen, not measured. */
-const SILENCE_MS = 100;
+const STALL_TIMEOUT_MS = 100;
 
 export class ReplicaHealth {
-  private failures = 0;
-  private declines = 0;
+  private consecutiveFailures = 0;
+  private consecutiveDeclines = 0;
   private ejectedUntilMs = 0;
   private backoffUntilMs = 0;
-  private isProbed = false;
+  private isProbeInFlight = false;
   /** Requests that were sent and neither taken nor declined yet. */
   private unanswered = 0;
   /** Time of the last answer, or of the first request that awaits one. */
-  private answeredAtMs = 0;
+  private lastAnswerAtMs = 0;
 
   isEjected(nowMs: number): boolean {
     return nowMs < this.ejectedUntilMs;
@@ -38,59 +38,60 @@
     return nowMs < this.backoffUntilMs;
   }
 
-  admitsMore(nowMs: number): boolean {
-    if (this.declines > 0) return !this.isProbed;
-    return this.unanswered < MAX_UNANSWERED || !this.isSilent(nowMs);
+  allowsGeneration(nowMs: number): boolean {
+    if (this.consecutiveDeclines > 0) return !this.isProbeInFlight;
+    return this.unanswered < MAX_UNANSWERED || !this.isStalled(nowMs);
   }
 
   isAwaitingAnswers(nowMs: number): boolean {
-    return this.unanswered >= MAX_UNANSWERED && !this.isSilent(nowMs);
+    return this.unanswered >= MAX_UNANSWERED && !this.isStalled(nowMs);
   }
 
   get hasDeclined(): boolean {
-    return this.declines > 0;
+    return this.consecutiveDeclines > 0;
   }
 
-  noteSent(nowMs: number): void {
-    if (this.unanswered === 0) this.answeredAtMs = nowMs;
+  recordSent(nowMs: number): void {
+    if (this.unanswered === 0) this.lastAnswerAtMs = nowMs;
     this.unanswered += 1;
-    this.isProbed = this.declines > 0;
+    this.isProbeInFlight = this.consecutiveDeclines > 0;
   }
 
-  noteAnswered(nowMs: number): void {
+  recordSettled(nowMs: number): void {
     this.unanswered -= 1;
-    this.answeredAtMs = nowMs;
-    this.isProbed = false;
+    this.lastAnswerAtMs = nowMs;
+    this.isProbeInFlight = false;
   }
 
   /** It takes requests: a back-off ends. */
-  noteTaken(): void {
-    this.declines = 0;
+  recordAccepted(): void {
+    this.consecutiveDeclines = 0;
     this.backoffUntilMs = 0;
-    this.isProbed = false;
+    this.isProbeInFlight = false;
   }
 
   /** It finished a request: an ejection ends as well. */
-  noteFinished(): void {
-    this.failures = 0;
+  recordFinished(): void {
+    this.consecutiveFailures = 0;
     this.ejectedUntilMs = 0;
-    this.noteTaken();
+    this.recordAccepted();
   }
 
-  noteFailure(nowMs: number): void {
-    this.ejectedUntilMs = nowMs + exponentialMs(MIN_EJECTION_MS, this.failures, MAX_EJECTION_MS);
-    this.failures += 1;
+  recordFailure(nowMs: number): void {
+    this.ejectedUntilMs =
+      nowMs + exponentialBackoffMs(MIN_EJECTION_MS, this.consecutiveFailures, MAX_EJECTION_MS);
+    this.consecutiveFailures += 1;
   }
 
   /** It declined a request since it is full; counts once while it is unhealthy. */
   backOff(durationMs: number, nowMs: number): void {
-    this.isProbed = false;
+    this.isProbeInFlight = false;
     if (this.isEjected(nowMs) || this.isBackingOff(nowMs)) return;
-    this.backoffUntilMs = nowMs + exponentialMs(durationMs, this.declines, MAX_BACKOFF_MS);
-    this.declines += 1;
+    this.backoffUntilMs = nowMs + exponentialBackoffMs(durationMs, this.consecutiveDeclines, MAX_BACKOFF_MS);
+    this.consecutiveDeclines += 1;
   }
 
-  private isSilent(nowMs: number): boolean {
-    return this.unanswered > 0 && nowMs - this.answeredAtMs > SILENCE_MS;
+  private isStalled(nowMs: number): boolean {
+    return this.unanswered > 0 && nowMs - this.lastAnswerAtMs > STALL_TIMEOUT_MS;
   }
 }
--- a/src/state/service/replicas/replica-selection.ts
+++ b/src/state/service/replicas/replica-selection.ts
@@ -9,7 +9,7 @@
 import type { ReplicaState } from './replica-state.js';
 
 /** A preferred replica is used up to this multiple of the fastest `averageMs`. Chosen, not measured. */
-const PREFERRED_SLACK = 1.2;
+const MAX_PREFERRED_LATENCY_RATIO = 1.2;
 
 /** What a selection depends on. */
 export interface SelectionCriteria {
@@ -27,13 +27,17 @@
 export type ReplicaCost = (state: ReplicaState, zone: string, fastestMs: number) => number;
 
 /** The preferred one or that of lowest cost of the available `states`; `undefined` when none fits. */
-export function selectReplica(
+export function selectGenerationReplica(
   states: readonly ReplicaState[],
   { accepts, preferred, zone, cost }: SelectionCriteria,
 ): ReplicaState | undefined {
   const candidates = states.filter((state) => accepts(state) && !state.isUnhealthy);
-  const fastestMs = fastestOf(candidates);
-  if (preferred && candidates.includes(preferred) && preferred.averageMs <= fastestMs * PREFERRED_SLACK)
+  const fastestMs = lowestAverageMs(candidates);
+  if (
+    preferred &&
+    candidates.includes(preferred) &&
+    preferred.averageMs <= fastestMs * MAX_PREFERRED_LATENCY_RATIO
+  )
     return preferred;
   let best: ReplicaState | undefined;
   let bestCost = Number.POSITIVE_INFINITY;
@@ -46,6 +50,6 @@
   return best;
 }
 
-function fastestOf(candidates: readonly ReplicaState[]): number {
+function lowestAverageMs(candidates: readonly ReplicaState[]): number {
   return Math.min(...candidates.map((state) => state.averageMs || Number.POSITIVE_INFINITY));
 }
--- a/src/state/service/replicas/replica-state.ts
+++ b/src/state/service/replicas/replica-state.ts
@@ -8,7 +8,7 @@
 import { LatencyEstimate } from './latency-estimate.js';
 import { ReplicaHealth } from './replica-health.js';
 import { ReportedLoad } from './reported-load.js';
-import { ResponseSilence } from './response-silence.js';
+import { StallDetector } from './response-silence.js';
 import { SlowStart } from './slow-start.js';
 
 /** Weights of the newest request and of the newest event in `averageMs`. Chosen, not measured. */
@@ -23,12 +23,12 @@
   inFlight = 0;
   /** Mean service time, at a model replica time between events, milliseconds; 0 if unknown. */
   averageMs = 0;
-  private ending: IncarnationEnd | undefined;
-  private sentAtMs = 0;
+  private end: IncarnationEnd | undefined;
+  private lastRequestAtMs = 0;
   private readonly health = new ReplicaHealth();
   private readonly latency = new LatencyEstimate();
-  private readonly silence = new ResponseSilence();
-  private readonly reported = new ReportedLoad();
+  private readonly stallDetector = new StallDetector();
+  private readonly reportedLoad = new ReportedLoad();
   private readonly slowStart = new SlowStart();
   private readonly restartListeners = new Set<() => void>();
 
@@ -47,12 +47,12 @@
 
   /** Whether a later incarnation is known: whatever ran in this one has ended. */
   get hasRestarted(): boolean {
-    return this.ending === 'restarted';
+    return this.end === 'restarted';
   }
 
   /** Whether it is draining or its announcement is gone: its end is planned, and no crash. */
   get isLeaving(): boolean {
-    return this.replica.isDraining || this.ending === 'left';
+    return this.replica.isDraining || this.end === 'left';
   }
 
   /** Calls `listener` once if the replica restarts; returns the function that removes the listener. */
@@ -61,15 +61,15 @@
     return () => this.restartListeners.delete(listener);
   }
 
-  noteEnd(ending: IncarnationEnd): void {
-    this.ending = ending;
+  recordEnd(ending: IncarnationEnd): void {
+    this.end = ending;
     if (ending !== 'restarted') return;
     for (const listener of this.restartListeners) listener();
     this.restartListeners.clear();
   }
 
-  noteReturn(): void {
-    this.ending = undefined;
+  clearEnd(): void {
+    this.end = undefined;
   }
 
   /** Whether it is ejected or backing off; the states are described at `ReplicaHealth`. */
@@ -86,8 +86,8 @@
   }
 
   /** Whether one more generation request may be sent. */
-  get admitsMore(): boolean {
-    return this.health.admitsMore(monotonicMs());
+  get allowsGeneration(): boolean {
+    return this.health.allowsGeneration(monotonicMs());
   }
 
   /** Whether as many generation requests as may be sent await its answer. */
@@ -102,14 +102,14 @@
 
   /** Requests that it has, of this node and, by its last report, of others. */
   get occupied(): number {
-    return this.inFlight + this.reported.others(monotonicMs());
+    return this.inFlight + this.reportedLoad.requestsOfOthers(monotonicMs());
   }
 
   /** Service time over the usual one: measured times the reported pace, or its silence if longer. */
   get latencyRatio(): number {
     const nowMs = monotonicMs();
-    const silence = this.inFlight === 0 ? 0 : this.silence.ratio(nowMs);
-    return Math.max(this.latency.ratio(nowMs) * this.reported.pace(nowMs), silence);
+    const silence = this.inFlight === 0 ? 0 : this.stallDetector.ratio(nowMs);
+    return Math.max(this.latency.ratio(nowMs) * this.reportedLoad.latencyRatio(nowMs), silence);
   }
 
   /** Whether it was slow and has not been measured since: it gets one request at a time. */
@@ -118,8 +118,8 @@
   }
 
   /** Time of the last request that was sent to it, on the monotonic clock, milliseconds. */
-  get lastAssignedAtMs(): number {
-    return this.sentAtMs;
+  get lastSentAtMs(): number {
+    return this.lastRequestAtMs;
   }
 
   /** Whether one more request keeps the limit of slow start. */
@@ -132,61 +132,61 @@
     this.slowStart.begin(forMs, monotonicMs());
   }
 
-  noteLatencyRatio(ratio: number): void {
-    this.latency.note(ratio, monotonicMs());
+  recordLatencyRatio(ratio: number): void {
+    this.latency.record(ratio, monotonicMs());
   }
 
-  noteLoad(load: ReplicaLoad): void {
-    this.reported.note(load, this.inFlight, monotonicMs());
+  recordLoad(load: ReplicaLoad): void {
+    this.reportedLoad.record(load, this.inFlight, monotonicMs());
   }
 
   /** Notes that a request is sent whose expected time is `expectedMs`, 0 where it is not known. */
-  noteAssigned(expectedMs = 0): void {
-    this.silence.noteAssigned(expectedMs, this.inFlight === 0, monotonicMs());
+  recordAttemptStart(expectedMs = 0): void {
+    this.stallDetector.recordAttemptStart(expectedMs, this.inFlight === 0, monotonicMs());
     this.inFlight += 1;
-    this.noteSending();
+    this.recordSend();
   }
 
   /** Notes that a request has ended; `isAnswered` when the replica answered or declined it. */
-  noteReturned(isAnswered: boolean): void {
+  recordAttemptEnd(isAnswered: boolean): void {
     this.inFlight -= 1;
-    if (isAnswered) this.silence.noteAnswered(monotonicMs());
+    if (isAnswered) this.stallDetector.recordAnswer(monotonicMs());
   }
 
   /** Notes that a generation request is sent, which it is to take or decline. */
-  noteSent(): void {
-    this.health.noteSent(monotonicMs());
-    this.noteSending();
+  recordGenerationSent(): void {
+    this.health.recordSent(monotonicMs());
+    this.recordSend();
   }
 
   /** Notes that it took or declined a generation request, or that the request ended before. */
-  noteAnswered(): void {
-    this.health.noteAnswered(monotonicMs());
+  recordGenerationSettled(): void {
+    this.health.recordSettled(monotonicMs());
   }
 
-  noteTaken(): void {
-    this.health.noteTaken();
+  recordAccepted(): void {
+    this.health.recordAccepted();
   }
 
   /** Notes that it served a request in `tookMs`. */
-  noteSuccess(tookMs: number): void {
-    this.noteFinished();
-    this.measure(tookMs, REQUEST_WEIGHT);
+  recordSuccess(tookMs: number): void {
+    this.recordFinished();
+    this.updateAverage(tookMs, REQUEST_WEIGHT);
   }
 
   /** Notes that it finished a request whose events were measured one by one. */
-  noteFinished(): void {
-    this.health.noteFinished();
+  recordFinished(): void {
+    this.health.recordFinished();
   }
 
   /** Notes that it sent an event `tookMs` after the one before. */
-  noteEvent(tookMs: number): void {
-    this.measure(tookMs, EVENT_WEIGHT);
+  recordEventInterval(tookMs: number): void {
+    this.updateAverage(tookMs, EVENT_WEIGHT);
   }
 
   /** Notes a failed attempt: it is ejected for a while. */
-  noteFailure(): void {
-    this.health.noteFailure(monotonicMs());
+  recordFailure(): void {
+    this.health.recordFailure(monotonicMs());
   }
 
   /** Notes that it declined a request since it is full; the first back-off takes `durationMs`. */
@@ -194,12 +194,12 @@
     this.health.backOff(durationMs, monotonicMs());
   }
 
-  private noteSending(): void {
-    this.sentAtMs = monotonicMs();
-    this.slowStart.noteSent(this.sentAtMs);
+  private recordSend(): void {
+    this.lastRequestAtMs = monotonicMs();
+    this.slowStart.recordSent(this.lastRequestAtMs);
   }
 
-  private measure(tookMs: number, weight: number): void {
+  private updateAverage(tookMs: number, weight: number): void {
     this.averageMs = this.averageMs === 0 ? tookMs : this.averageMs + (tookMs - this.averageMs) * weight;
   }
 }
--- a/src/state/service/replicas/response-silence.ts
+++ b/src/state/service/replicas/response-silence.ts
@@ -4,16 +4,16 @@
  */
 
 /** Ratio up to which silence is no sign: single requests take that long. Chosen, not measured. */
-const MIN_RATIO = 4;
+const MIN_STALL_RATIO = 4;
 
-export class ResponseSilence {
+export class StallDetector {
   /** Longest expected service time since the replica was last idle, milliseconds; 0 where it is not known. */
   private longestExpectedMs = 0;
   /** Time of the last answer, or of the first request after idleness. */
   private sinceMs = 0;
 
   /** Notes that a request is sent; `isFirst` when the replica had none of this node. */
-  noteAssigned(expectedMs: number, isFirst: boolean, nowMs: number): void {
+  recordAttemptStart(expectedMs: number, isFirst: boolean, nowMs: number): void {
     if (isFirst) {
       this.sinceMs = nowMs;
       this.longestExpectedMs = 0;
@@ -21,7 +21,7 @@
     this.longestExpectedMs = Math.max(this.longestExpectedMs, expectedMs);
   }
 
-  noteAnswered(nowMs: number): void {
+  recordAnswer(nowMs: number): void {
     this.sinceMs = nowMs;
   }
 
@@ -29,6 +29,6 @@
   ratio(nowMs: number): number {
     if (this.longestExpectedMs === 0) return 0;
     const ratio = (nowMs - this.sinceMs) / this.longestExpectedMs;
-    return ratio > MIN_RATIO ? ratio : 0;
+    return ratio > MIN_STALL_RATIO ? ratio : 0;
   }
 }
--- a/src/state/service/replicas/service-times.ts
+++ b/src/state/service/replicas/service-times.ts
@@ -7,13 +7,13 @@
  */
 
 /** Weight of the newest request in the mean of the logarithm. Chosen, not measured. */
-const WEIGHT = 0.1;
+const SMOOTHING_FACTOR = 0.1;
 /** Kinds that are kept; beyond, all are measured anew. Chosen: far more than routes. */
 const MAX_KINDS = 1_000;
 /** Usual time of an unmeasured kind, milliseconds; counts like one request. Chosen, not measured. */
-const UNMEASURED_MS = 50;
+const DEFAULT_SERVICE_TIME_MS = 50;
 /** Shortest time that is noted, milliseconds: bounds the logarithm. */
-const MIN_MS = 0.1;
+const MIN_RECORDED_MS = 0.1;
 
 interface KindTime {
   /** Mean of the logarithm of the times, and number of requests. */
@@ -27,16 +27,16 @@
   /** Usual time of a kind, milliseconds. */
   expectedMs(kind: string): number {
     const known = this.kinds.get(kind);
-    return known ? Math.exp(known.log) : UNMEASURED_MS;
+    return known ? Math.exp(known.log) : DEFAULT_SERVICE_TIME_MS;
   }
 
   /** Notes the time of a request. Returns its ratio to the usual time; 1 for the first of its kind. */
-  note(kind: string, tookMs: number): number {
-    const log = Math.log(Math.max(tookMs, MIN_MS));
+  record(kind: string, tookMs: number): number {
+    const log = Math.log(Math.max(tookMs, MIN_RECORDED_MS));
     const known = this.kindOf(kind);
     const ratio = known.count === 1 ? 1 : Math.exp(log - known.log);
     known.count += 1;
-    known.log += (log - known.log) * Math.max(WEIGHT, 1 / known.count);
+    known.log += (log - known.log) * Math.max(SMOOTHING_FACTOR, 1 / known.count);
     return ratio;
   }
 
@@ -44,7 +44,7 @@
     const known = this.kinds.get(kind);
     if (known) return known;
     if (this.kinds.size >= MAX_KINDS) this.kinds.clear();
-    const created = { log: Math.log(UNMEASURED_MS), count: 1 };
+    const created = { log: Math.log(DEFAULT_SERVICE_TIME_MS), count: 1 };
     this.kinds.set(kind, created);
     return created;
   }
--- a/src/state/service/replicas/slow-start.ts
+++ b/src/state/service/replicas/slow-start.ts
@@ -11,7 +11,7 @@
     this.untilMs = nowMs + forMs;
   }
 
-  noteSent(nowMs: number): void {
+  recordSent(nowMs: number): void {
     if (nowMs < this.untilMs) this.sentAtMs.push(nowMs);
   }
 
--- a/src/state/service/replicas/weight-versions.ts
+++ b/src/state/service/replicas/weight-versions.ts
@@ -4,7 +4,7 @@
   private readonly newest = new Map<string, number>();
 
   /** Notes a named version; returns whether it is newer than the known one. */
-  note(model: string, version: number): boolean {
+  record(model: string, version: number): boolean {
     if (version <= (this.newest.get(model) ?? 0)) return false;
     this.newest.set(model, version);
     return true;
--- a/src/state/service/store/index.ts
+++ b/src/state/service/store/index.ts
@@ -1,4 +1,4 @@
 export { readRange } from '../../store/index.js';
 export { FOLLOWED_TABLE } from './followed-table.js';
 export { InstrumentedStore } from './instrumented-store.js';
-export { ConflictError, settle } from './settled-transaction.js';
+export { ConflictError, transactWithRetry } from './settled-transaction.js';
--- a/src/state/service/store/instrumented-store.ts
+++ b/src/state/service/store/instrumented-store.ts
@@ -24,35 +24,35 @@
 type Health = 'answering' | 'slow' | 'silent';
 type HealthEvent = 'answered' | 'answeredLate' | 'failed';
 
-const HEALTH_TABLE = {
+const HEALTH_TRANSITIONS = {
   answering: { answered: 'answering', answeredLate: 'slow', failed: 'silent' },
   slow: { answered: 'answering', answeredLate: 'slow', failed: 'silent' },
   silent: { answered: 'answering', answeredLate: 'slow', failed: 'silent' },
 } as const;
 
 /** Usual time of an answer above which the store is logged as slow, milliseconds. Chosen, not measured. */
-const SLOW_ANSWER_MS = 100;
+const SLOW_LATENCY_MS = 100;
 
 /**
  * The store counts as not answering after this time without an answer, milliseconds, or this many usual
  * answers if that is longer. Chosen, not measured.
  */
-const SILENCE_MS = 1_000;
-const SILENCE_ANSWERS = 4;
+const SILENCE_TIMEOUT_MS = 1_000;
+const SILENCE_LATENCY_FACTOR = 4;
 
 /** A minimal scan, to learn whether the store answers. */
 const PROBE: RecordRange = { table: 'probe', partition: '', limit: 1 };
 
 /** Failures by which the store has not served the call: it was unreachable, or rejected the call unread. */
-const NOT_SERVED: ReadonlySet<RecordStoreFailure> = new Set(['unavailable', 'rate-limited']);
+const UNSERVED_FAILURES: ReadonlySet<RecordStoreFailure> = new Set(['unavailable', 'rate-limited']);
 
-function isAnswered(answer: Result<unknown, RecordStoreError>): boolean {
-  return answer.isOk() || !NOT_SERVED.has(answer.error.failure);
+function wasServed(answer: Result<unknown, RecordStoreError>): boolean {
+  return answer.isOk() || !UNSERVED_FAILURES.has(answer.error.failure);
 }
 
 /** Whether a store that was silent for `silentMs` still counts as answering; both in milliseconds. */
-function countsAsAnswering(silentMs: number, usualAnswerMs: number): boolean {
-  return silentMs < Math.max(SILENCE_MS, usualAnswerMs * SILENCE_ANSWERS);
+function countsAsAnswering(silentMs: number, averageLatencyMs: number): boolean {
+  return silentMs < Math.max(SILENCE_TIMEOUT_MS, averageLatencyMs * SILENCE_LATENCY_FACTOR);
 }
 
 /** Wraps a store; passes every call through unchanged. */
@@ -67,7 +67,7 @@
   ) {
     const info = (change: string, fields: { reason?: unknown } = {}) =>
       logger.record({ event: 'process-changed', change, detail: String(fields.reason ?? '') });
-    this.health = new Lifecycle<Health, HealthEvent>('store', 'store', 'answering', HEALTH_TABLE, {
+    this.health = new Lifecycle<Health, HealthEvent>('store', 'store', 'answering', HEALTH_TRANSITIONS, {
       logger: { info },
       metrics,
     });
@@ -77,12 +77,12 @@
     return this.inner.limits;
   }
 
-  usualAnswerMs(): number {
-    return this.calls.usualAnswerMs;
+  averageLatencyMs(): number {
+    return this.calls.averageLatencyMs;
   }
 
   isAnswering(): boolean {
-    return countsAsAnswering(this.calls.silentMs, this.usualAnswerMs());
+    return countsAsAnswering(this.calls.silentMs, this.averageLatencyMs());
   }
 
   nowMs(): number {
@@ -90,11 +90,11 @@
   }
 
   transact(transaction: RecordTransaction) {
-    return this.measured('transact', (signal) => this.inner.transact(transaction, signal));
+    return this.measure('transact', (signal) => this.inner.transact(transaction, signal));
   }
 
   scan(range: RecordRange): Promise<Result<RecordPage, RecordStoreError>> {
-    return this.measured('scan', (signal) => this.inner.scan(range, signal));
+    return this.measure('scan', (signal) => this.inner.scan(range, signal));
   }
 
   async changes(
@@ -105,52 +105,52 @@
   ): Promise<Result<RecordChanges, RecordStoreError>> {
     const call = this.calls.open(waitMs, signal);
     const answer = await this.inner.changes(table, after, waitMs, call.signal);
-    call.close(isAnswered(answer));
+    call.close(wasServed(answer));
     this.metrics.storeCalls.inc({ call: 'changes', outcome: answer.isOk() ? 'ok' : answer.error.failure });
     return answer;
   }
 
   putObject(name: string, bytes: Buffer) {
-    return this.measured('put-object', () => this.inner.putObject(name, bytes));
+    return this.measure('put-object', () => this.inner.putObject(name, bytes));
   }
 
   getObject(name: string) {
-    return this.measured('get-object', () => this.inner.getObject(name));
+    return this.measure('get-object', () => this.inner.getObject(name));
   }
 
   listObjects(prefix: string) {
-    return this.measured('list-objects', () => this.inner.listObjects(prefix));
+    return this.measure('list-objects', () => this.inner.listObjects(prefix));
   }
 
   removeObject(name: string) {
-    return this.measured('remove-object', () => this.inner.removeObject(name));
+    return this.measure('remove-object', () => this.inner.removeObject(name));
   }
 
-  private async measured<T>(
+  private async measure<T>(
     call: string,
     run: (signal: AbortSignal) => Promise<Result<T, RecordStoreError>>,
   ): Promise<Result<T, RecordStoreError>> {
     const startedAt = monotonicMs();
     const open = this.calls.open(0);
     const answer = await run(open.signal);
-    open.close(isAnswered(answer));
-    const tookMs = monotonicMs() - startedAt;
-    this.metrics.storeSeconds.observe({ call }, tookMs / MILLISECONDS_PER_SECOND);
+    open.close(wasServed(answer));
+    const latencyMs = monotonicMs() - startedAt;
+    this.metrics.storeSeconds.observe({ call }, latencyMs / MILLISECONDS_PER_SECOND);
     this.metrics.storeCalls.inc({ call, outcome: answer.isOk() ? 'ok' : answer.error.failure });
-    this.noteHealth(
+    this.updateHealth(
       answer.isErr() && answer.error.failure === 'unavailable' ? answer.error.message : undefined,
     );
     return answer;
   }
 
   /** A failure while other calls are answered changes nothing: a partition may be down, an answer lost. */
-  private noteHealth(failure: string | undefined): void {
-    const usualMs = this.usualAnswerMs();
-    if (!this.isAnswering()) this.health.sendIfTaken('failed', failure ?? 'no answer');
+  private updateHealth(failure: string | undefined): void {
+    const latencyMs = this.averageLatencyMs();
+    if (!this.isAnswering()) this.health.sendIfAccepted('failed', failure ?? 'no answer');
     else if (failure === undefined)
-      this.health.sendIfTaken(
-        usualMs > SLOW_ANSWER_MS ? 'answeredLate' : 'answered',
-        `${Math.round(usualMs)} ms`,
+      this.health.sendIfAccepted(
+        latencyMs > SLOW_LATENCY_MS ? 'answeredLate' : 'answered',
+        `${Math.round(latencyMs)} ms`,
       );
   }
 }
