--- a/src/state/service/store/overdue-calls.ts
+++ b/src/state/service/store/overdue-calls.ts
@@ -12,14 +12,14 @@
  * milliseconds. Chosen, not measured: a call aborted too early is repeated and costs another, one aborted too
  * late delays its caller.
  */
-const OVERDUE_ANSWERS = 8;
-const SHORTEST_WAIT_MS = 150;
+const OVERDUE_LATENCY_FACTOR = 8;
+const MIN_OVERDUE_MS = 150;
 /** Weight of the newest answer in the moving average of answer times. Chosen, not measured. */
 const AVERAGE_WEIGHT = 0.25;
 /** Wait after which a call is late, and the interval of checks from then on. Chosen, not measured. */
-const CHECK_MS = 100;
+const CHECK_INTERVAL_MS = 100;
 /** Interval of probes while calls are late. Chosen, not measured. */
-const PROBE_MS = 200;
+const PROBE_INTERVAL_MS = 200;
 
 /** A call under way. */
 export interface OpenCall {
@@ -29,33 +29,33 @@
   close(isAnswered: boolean): void;
 }
 
-interface WaitingCall {
+interface PendingCall {
   readonly startedAtMs: number;
   /** Time for which the store may hold the answer (long poll), milliseconds. */
-  readonly heldMs: number;
+  readonly longPollMs: number;
   readonly controller: AbortController;
 }
 
 /** The open calls of a process. */
 export class OverdueCalls {
-  private readonly waiting = new Set<WaitingCall>();
+  private readonly pending = new Set<PendingCall>();
   /** Moving average of answer times, milliseconds; 0 before the first answer. */
   private averageMs = 0;
   /** Start of the latest call that has been answered. */
-  private answeredCallStartedAtMs = Number.NEGATIVE_INFINITY;
-  private answeredAtMs = Number.NEGATIVE_INFINITY;
+  private lastAnsweredStartMs = Number.NEGATIVE_INFINITY;
+  private lastAnswerAtMs = Number.NEGATIVE_INFINITY;
   /** When the first call that failed since the last answer was due; `undefined` without one. */
   private failingSinceMs: number | undefined;
-  private probedAtMs = Number.NEGATIVE_INFINITY;
+  private lastProbeAtMs = Number.NEGATIVE_INFINITY;
   private timer: NodeJS.Timeout | undefined;
   /** When the timer fires; infinite while there is none. */
-  private checksAtMs = Number.POSITIVE_INFINITY;
+  private nextCheckAtMs = Number.POSITIVE_INFINITY;
 
   /** `probe` makes a minimal call, which is opened and closed here like any other. */
   constructor(private readonly probe: () => void) {}
 
   /** How long an answer usually takes now, milliseconds; 0 before the first. */
-  get usualAnswerMs(): number {
+  get averageLatencyMs(): number {
     return this.averageMs;
   }
 
@@ -65,78 +65,78 @@
    */
   get silentMs(): number {
     const now = monotonicMs();
-    const dueSinceMs = [...this.waiting].map(dueAtMs);
-    const askedAtMs = Math.min(this.failingSinceMs ?? now, ...dueSinceMs, now);
-    return Math.min(now - askedAtMs, now - this.answeredAtMs);
+    const dueSinceMs = [...this.pending].map(dueAtMs);
+    const overdueSinceMs = Math.min(this.failingSinceMs ?? now, ...dueSinceMs, now);
+    return Math.min(now - overdueSinceMs, now - this.lastAnswerAtMs);
   }
 
   /** Opens a call; the caller may abort it by `outer`. */
-  open(heldMs: number, outer?: AbortSignal): OpenCall {
-    const call = { startedAtMs: monotonicMs(), heldMs, controller: new AbortController() };
-    this.waiting.add(call);
-    this.checkAt(dueAtMs(call) + CHECK_MS);
+  open(waitMs: number, outer?: AbortSignal): OpenCall {
+    const call = { startedAtMs: monotonicMs(), longPollMs: waitMs, controller: new AbortController() };
+    this.pending.add(call);
+    this.scheduleCheck(dueAtMs(call) + CHECK_INTERVAL_MS);
     const onOuterAbort = () => call.controller.abort();
     if (outer?.aborted) onOuterAbort();
     outer?.addEventListener('abort', onOuterAbort, { once: true });
     return {
       signal: call.controller.signal,
       close: (isAnswered) => {
-        this.waiting.delete(call);
+        this.pending.delete(call);
         outer?.removeEventListener('abort', onOuterAbort);
-        if (isAnswered) this.noteAnswer(call);
-        else if (!outer?.aborted) this.noteFailure(call);
+        if (isAnswered) this.recordAnswer(call);
+        else if (!outer?.aborted) this.recordFailure(call);
       },
     };
   }
 
-  private noteFailure(call: WaitingCall): void {
+  private recordFailure(call: PendingCall): void {
     const sinceMs = Math.min(dueAtMs(call), monotonicMs());
     this.failingSinceMs = Math.min(this.failingSinceMs ?? sinceMs, sinceMs);
   }
 
-  private noteAnswer(call: WaitingCall): void {
-    this.answeredAtMs = monotonicMs();
+  private recordAnswer(call: PendingCall): void {
+    this.lastAnswerAtMs = monotonicMs();
     this.failingSinceMs = undefined;
-    this.answeredCallStartedAtMs = Math.max(this.answeredCallStartedAtMs, call.startedAtMs);
-    if (call.heldMs > 0) return;
-    const tookMs = monotonicMs() - call.startedAtMs;
-    this.averageMs += (tookMs - this.averageMs) * AVERAGE_WEIGHT;
+    this.lastAnsweredStartMs = Math.max(this.lastAnsweredStartMs, call.startedAtMs);
+    if (call.longPollMs > 0) return;
+    const latencyMs = monotonicMs() - call.startedAtMs;
+    this.averageMs += (latencyMs - this.averageMs) * AVERAGE_WEIGHT;
     this.abortOverdue();
   }
 
   /** Checks the waiting calls at `timeMs` or before. */
-  private checkAt(timeMs: number): void {
-    if (timeMs >= this.checksAtMs) return;
+  private scheduleCheck(timeMs: number): void {
+    if (timeMs >= this.nextCheckAtMs) return;
     clearTimeout(this.timer);
-    this.checksAtMs = timeMs;
+    this.nextCheckAtMs = timeMs;
     this.timer = setTimeout(() => this.check(), Math.ceil(timeMs - monotonicMs()));
     this.timer.unref();
   }
 
   private check(): void {
-    this.checksAtMs = Number.POSITIVE_INFINITY;
-    if (this.waiting.size === 0) return;
+    this.nextCheckAtMs = Number.POSITIVE_INFINITY;
+    if (this.pending.size === 0) return;
     this.abortOverdue();
     const now = monotonicMs();
-    const lateAtMs = Math.min(...[...this.waiting].map(dueAtMs)) + CHECK_MS;
-    if (lateAtMs <= now && now - this.probedAtMs >= PROBE_MS) {
-      this.probedAtMs = now;
+    const lateAtMs = Math.min(...[...this.pending].map(dueAtMs)) + CHECK_INTERVAL_MS;
+    if (lateAtMs <= now && now - this.lastProbeAtMs >= PROBE_INTERVAL_MS) {
+      this.lastProbeAtMs = now;
       this.probe();
     }
-    this.checkAt(Math.max(lateAtMs, now + CHECK_MS));
+    this.scheduleCheck(Math.max(lateAtMs, now + CHECK_INTERVAL_MS));
   }
 
   private abortOverdue(): void {
     const now = monotonicMs();
-    const longestWaitMs = Math.max(SHORTEST_WAIT_MS, this.averageMs * OVERDUE_ANSWERS);
-    for (const call of this.waiting) {
-      const isOvertaken = dueAtMs(call) < this.answeredCallStartedAtMs;
-      if (isOvertaken && now - dueAtMs(call) > longestWaitMs) call.controller.abort();
+    const overdueAfterMs = Math.max(MIN_OVERDUE_MS, this.averageMs * OVERDUE_LATENCY_FACTOR);
+    for (const call of this.pending) {
+      const isOvertaken = dueAtMs(call) < this.lastAnsweredStartMs;
+      if (isOvertaken && now - dueAtMs(call) > overdueAfterMs) call.controller.abort();
     }
   }
 }
 
 /** Time from which an answer is missing. */
-function dueAtMs({ startedAtMs, heldMs }: WaitingCall): number {
-  return startedAtMs + heldMs;
+function dueAtMs({ startedAtMs, longPollMs }: PendingCall): number {
+  return startedAtMs + longPollMs;
 }
--- a/src/state/service/store/settled-transaction.ts
+++ b/src/state/service/store/settled-transaction.ts
@@ -14,11 +14,11 @@
 import { StateError } from '../../state-error.js';
 
 /** Back-off between repeats, doubled each time and spread by half. Chosen, not measured. */
-const FIRST_PAUSE_MS = 20;
-const LONGEST_PAUSE_MS = 300;
+const MIN_BACKOFF_MS = 20;
+const MAX_BACKOFF_MS = 300;
 
 /** How long and under what condition a transaction is repeated. */
-export interface SettlementOptions {
+export interface RetryOptions {
   /** Time on the monotonic clock at which the effort ends, milliseconds. */
   readonly deadlineMs: number;
   /**
@@ -41,38 +41,38 @@
  * Resolves once the outcome is certain, or at the deadline, then with `unavailable` and whether the
  * transaction may have been executed. The version is 0 when the records alone prove the execution.
  */
-export async function settle(
+export async function transactWithRetry(
   store: RecordStore,
   transaction: RecordTransaction,
-  options: SettlementOptions,
+  options: RetryOptions,
 ): Promise<Result<number, StateError>> {
-  let mayBeDone = false;
-  let pauseMs = FIRST_PAUSE_MS;
+  let mayBeExecuted = false;
+  let backoffMs = MIN_BACKOFF_MS;
   for (;;) {
     const outcome = await store.transact(transaction);
     if (outcome.isOk()) return ok(outcome.value);
     const { error } = outcome;
-    const settled = settledBy(error, mayBeDone, options);
-    if (settled) return settled;
-    mayBeDone ||= error.effect === 'unknown';
-    if (monotonicMs() + pauseMs > options.deadlineMs || options.signal?.aborted)
-      return err(new StateError('unavailable', effectOf(mayBeDone), error.message));
-    await sleep(pauseMs * (0.5 + Math.random()), options.signal);
-    pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+    const finalOutcome = finalOutcomeOf(error, mayBeExecuted, options);
+    if (finalOutcome) return finalOutcome;
+    mayBeExecuted ||= error.effect === 'unknown';
+    if (monotonicMs() + backoffMs > options.deadlineMs || options.signal?.aborted)
+      return err(new StateError('unavailable', effectOf(mayBeExecuted), error.message));
+    await sleep(backoffMs * (0.5 + Math.random()), options.signal);
+    backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
   }
 }
 
 /** The outcome that a failed repeat makes certain; `undefined` when it must be repeated. */
-function settledBy(
+function finalOutcomeOf(
   { failure, current, message }: RecordStoreError,
-  mayBeDone: boolean,
-  { isApplied }: SettlementOptions,
+  mayBeExecuted: boolean,
+  { isApplied }: RetryOptions,
 ): Result<number, StateError> | undefined {
-  if (failure === 'refused') return err(new StateError('invalid', effectOf(mayBeDone), message));
+  if (failure === 'refused') return err(new StateError('invalid', effectOf(mayBeExecuted), message));
   if (failure !== 'conflict') return undefined;
-  return mayBeDone && isApplied(current) ? ok(0) : err(new ConflictError(current));
+  return mayBeExecuted && isApplied(current) ? ok(0) : err(new ConflictError(current));
 }
 
-function effectOf(mayBeDone: boolean): 'unknown' | 'none' {
-  return mayBeDone ? 'unknown' : 'none';
+function effectOf(mayBeExecuted: boolean): 'unknown' | 'none' {
+  return mayBeExecuted ? 'unknown' : 'none';
 }
--- a/src/state/service/usage/usage-record.ts
+++ b/src/state/service/usage/usage-record.ts
@@ -1,5 +1,5 @@
 /** Stored records of usage: counts of each process, and decided reports. Names of fields stay. */
-import { spread } from '../../../common/spread.js';
+import { fnv1aHash } from '../../../common/spread.js';
 import type { RecordAddress } from '../../../protocol/record-store.js';
 import type { TenantCounts } from '../../../protocol/service/usage.js';
 
@@ -52,7 +52,7 @@
 }
 
 export function countAddress(window: number, { node, life }: UsageSource): RecordAddress {
-  const partition = COUNT_PARTITIONS[spread(node) % COUNT_PARTITIONS.length] as string;
+  const partition = COUNT_PARTITIONS[fnv1aHash(node) % COUNT_PARTITIONS.length] as string;
   return { table: COUNT_TABLE, partition, key: `${windowKey(window)}/${node}/${life}` };
 }
 
--- a/src/state/service/usage/usage-repository.ts
+++ b/src/state/service/usage/usage-repository.ts
@@ -8,7 +8,7 @@
 import type { RecordAddress, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { TenantCounts } from '../../../protocol/service/usage.js';
 import type { StateError } from '../../state-error.js';
-import { ConflictError, readRange, settle } from '../store/index.js';
+import { ConflictError, readRange, transactWithRetry } from '../store/index.js';
 import {
   COUNT_PARTITIONS,
   COUNT_TABLE,
@@ -27,9 +27,9 @@
 } from './usage-record.js';
 
 /** Most records removed in one transaction, below the store's limit of 100 entries. */
-const REMOVED_TOGETHER = 90;
+const REMOVAL_BATCH_SIZE = 90;
 /** Longest time for settling one change of a report, milliseconds. Chosen, not measured. */
-const REPORT_EFFORT_MS = 2_000;
+const REPORT_TIMEOUT_MS = 2_000;
 
 /** Access to stored usage. */
 export class UsageRepository {
@@ -72,7 +72,7 @@
     decidedBy: string,
   ): Promise<Result<StoredReport, StateError>> {
     const record: ReportRecord = { counts, isReported: false, decidedBy };
-    const deadlineMs = monotonicMs() + REPORT_EFFORT_MS;
+    const deadlineMs = monotonicMs() + REPORT_TIMEOUT_MS;
     const written = await this.replace(reportAddress(window), record, 0, deadlineMs);
     if (written.isOk()) return ok({ ...record, window, version: written.value });
     const { error } = written;
@@ -82,7 +82,7 @@
 
   /** Notes that a report was accepted. */
   async markReported({ window, version, ...record }: StoredReport): Promise<Result<number, StateError>> {
-    const deadlineMs = monotonicMs() + REPORT_EFFORT_MS;
+    const deadlineMs = monotonicMs() + REPORT_TIMEOUT_MS;
     return this.replace(reportAddress(window), { ...record, isReported: true }, version, deadlineMs);
   }
 
@@ -102,7 +102,7 @@
   ): Promise<Result<number, StateError>> {
     const value = Buffer.from(JSON.stringify(record), 'utf8');
     let appliedVersion = 0;
-    const settled = await settle(
+    const outcome = await transactWithRetry(
       this.store,
       { conditions: [{ ...address, version }], writes: [{ ...address, value }], removals: [] },
       {
@@ -115,16 +115,16 @@
         },
       },
     );
-    return settled.map((written) => written || appliedVersion);
+    return outcome.map((written) => written || appliedVersion);
   }
 
   private async removeRange(table: string, partition: string, until: string): Promise<void> {
-    for (let isMore = true; isMore; ) {
-      const page = await this.store.scan({ table, partition, until, limit: REMOVED_TOGETHER });
+    for (let hasMore = true; hasMore; ) {
+      const page = await this.store.scan({ table, partition, until, limit: REMOVAL_BATCH_SIZE });
       if (page.isErr() || page.value.records.length === 0) return;
       const removals = page.value.records.map(({ key }) => ({ table, partition, key }));
       const removed = await this.store.transact({ conditions: [], writes: [], removals });
-      isMore = page.value.hasMore && removed.isOk();
+      hasMore = page.value.hasMore && removed.isOk();
     }
   }
 }
--- a/src/state/store/current-records.ts
+++ b/src/state/store/current-records.ts
@@ -26,7 +26,7 @@
   const records: StoredRecord[] = [];
   let version = Number.POSITIVE_INFINITY;
   for (let from = 0; from < addresses.length; from += MAX_CONDITIONS) {
-    const read = await readTogether(store, addresses.slice(from, from + MAX_CONDITIONS));
+    const read = await readBatch(store, addresses.slice(from, from + MAX_CONDITIONS));
     if (read.isErr()) return err(read.error);
     records.push(...read.value.records);
     version = Math.min(version, read.value.version);
@@ -34,7 +34,7 @@
   return ok({ records, version });
 }
 
-async function readTogether(
+async function readBatch(
   store: RecordStore,
   addresses: readonly RecordAddress[],
 ): Promise<Result<CurrentRecords, StateError>> {
--- a/src/state/store/read-range.ts
+++ b/src/state/store/read-range.ts
@@ -9,7 +9,7 @@
   /** Lowest version of the pages: later changes may be missing. */
   readonly version: number;
   /** Whether a page is older than an answer that the process had before. */
-  readonly isOld: boolean;
+  readonly isStale: boolean;
 }
 
 /** Reads a range over all its pages; parameters as in `RecordRange`. Safe to repeat. */
@@ -19,20 +19,20 @@
   partition: string,
   from?: string,
   until?: string,
-  allowsOld = false,
+  allowStale = false,
 ): Promise<Result<RangeContent, StateError>> {
   const records: StoredRecord[] = [];
   let version = Number.POSITIVE_INFINITY;
-  let isOld = false;
+  let isStale = false;
   let next = from;
   for (;;) {
-    const page = await store.scan({ table, partition, from: next, until, allowsOld });
+    const page = await store.scan({ table, partition, from: next, until, allowStale: allowStale });
     if (page.isErr()) return err(new StateError('unavailable', 'none', page.error.message));
     records.push(...page.value.records);
     version = Math.min(version, page.value.version);
-    isOld ||= page.value.isOld === true;
+    isStale ||= page.value.isStale === true;
     const last = records.at(-1);
-    if (!page.value.hasMore || !last) return ok({ records, version, isOld });
+    if (!page.value.hasMore || !last) return ok({ records, version, isStale: isStale });
     next = `${last.key}\0`;
   }
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -136,7 +136,7 @@
 
 /** Code of a reset connection, and the code that replaces it. */
 const RESET_CODE = 'ECONNRESET';
-const RESET_IS_FAILURE_CODE = 'CONNECTION_RESET';
+const RESET_REPLACEMENT_CODE = 'CONNECTION_RESET';
 
 /**
  * Makes every reset of a connection a failure. undici treats `ECONNRESET` as the end of an answer that has no
@@ -145,18 +145,18 @@
  */
 function failOnReset(socket: Socket): void {
   socket.prependListener('error', (error: NodeJS.ErrnoException) => {
-    if (error.code === RESET_CODE) error.code = RESET_IS_FAILURE_CODE;
+    if (error.code === RESET_CODE) error.code = RESET_REPLACEMENT_CODE;
   });
   const emit = socket.emit.bind(socket);
   socket.emit = (event: string | symbol, ...args: unknown[]): boolean => {
     if (event !== 'end' || socket.remoteAddress !== undefined) return emit(event as string, ...args);
-    socket.destroy(Object.assign(new Error('connection reset'), { code: RESET_IS_FAILURE_CODE }));
+    socket.destroy(Object.assign(new Error('connection reset'), { code: RESET_REPLACEMENT_CODE }));
     return true;
   };
 }
 
 /** Code of errors that undici raises itself, and the code that replaces it when an exchange is aborted. */
-const INTERNAL_CODE = 'UND_ERR_INFO';
+const UNDICI_INTERNAL_CODE = 'UND_ERR_INFO';
 const ABORTED_CODE = 'EXCHANGE_ABORTED';
 
 /**
@@ -167,7 +167,7 @@
 function avoidReconnectAfterAbort(socket: Socket): void {
   const destroy = socket.destroy.bind(socket);
   socket.destroy = (error?: NodeJS.ErrnoException) => {
-    const isAbort = error?.code === INTERNAL_CODE && error.message === 'aborted';
+    const isAbort = error?.code === UNDICI_INTERNAL_CODE && error.message === 'aborted';
     return destroy(isAbort ? Object.assign(new Error('aborted'), { code: ABORTED_CODE }) : error);
   };
 }
@@ -192,7 +192,10 @@
 }
 
 /** A signal that aborts after `timeoutMs` or with `signal`; `release` must be called at the end. */
-function limitTime(timeoutMs: number, signal?: AbortSignal): { signal: AbortSignal; release: () => void } {
+function timeoutSignal(
+  timeoutMs: number,
+  signal?: AbortSignal,
+): { signal: AbortSignal; release: () => void } {
   const controller = new AbortController();
   const abort = () => controller.abort();
   const timer = setTimeout(abort, timeoutMs);
@@ -209,7 +212,7 @@
 export class HttpClient {
   private readonly pooledAgent: Agent;
   private readonly pooled: Dispatcher;
-  private readonly fresh: Agent;
+  private readonly freshAgent: Agent;
 
   constructor(options: HttpClientOptions = {}) {
     const { connectionsPerOrigin = DEFAULT_CONNECTIONS_PER_ORIGIN, localAddress } = options;
@@ -218,13 +221,13 @@
     const shared = { connections: connectionsPerOrigin, connect };
     this.pooledAgent = new Agent({ ...shared, pipelining: 1, keepAliveTimeout: keepAliveMs });
     this.pooled = this.pooledAgent.compose(checkEcho);
-    this.fresh = new Agent({ ...shared, pipelining: 0 });
+    this.freshAgent = new Agent({ ...shared, pipelining: 0 });
   }
 
   /** Sends a request; resolves at the head of the response. The caller reads or destroys the body. */
   async send(outgoing: OutgoingRequest): Promise<Result<IncomingResponse, TransportError>> {
     try {
-      const dispatcher = outgoing.freshConnection ? this.fresh : this.pooled;
+      const dispatcher = outgoing.freshConnection ? this.freshAgent : this.pooled;
       const options: Dispatcher.RequestOptions & { echoedHeader?: EchoedHeader } = {
         ...splitUrl(outgoing.url),
         echoedHeader: outgoing.echoedHeader,
@@ -248,11 +251,11 @@
     limitBytes = DEFAULT_BODY_LIMIT_BYTES,
   ): Promise<Result<BufferedResponse, TransportError>> {
     if (outgoing.totalTimeoutMs === undefined) return this.exchangeBuffered(outgoing, limitBytes);
-    const limited = limitTime(outgoing.totalTimeoutMs, outgoing.signal);
+    const timeout = timeoutSignal(outgoing.totalTimeoutMs, outgoing.signal);
     try {
-      return await this.exchangeBuffered({ ...outgoing, signal: limited.signal }, limitBytes);
+      return await this.exchangeBuffered({ ...outgoing, signal: timeout.signal }, limitBytes);
     } finally {
-      limited.release();
+      timeout.release();
     }
   }
 
@@ -263,12 +266,12 @@
     const response = await this.send(outgoing);
     if (response.isErr()) return err(response.error);
     const { status, headers, body } = response.value;
-    const whole = await readFully(body, limitBytes);
-    return whole.map((bytes) => ({ status, headers, body: bytes }));
+    const buffered = await readFully(body, limitBytes);
+    return buffered.map((bytes) => ({ status, headers, body: bytes }));
   }
 
   /** Closes all connections at once. */
   async close(): Promise<void> {
-    await Promise.all([this.pooledAgent.destroy(), this.fresh.destroy()]);
+    await Promise.all([this.pooledAgent.destroy(), this.freshAgent.destroy()]);
   }
 }
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -116,7 +116,7 @@
 }
 
 /** Aborts when the caller's connection closes before the answer was sent. */
-export function callerGone(response: ServerResponse): AbortSignal {
+export function disconnectSignal(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   response.once('close', () => {
     if (!response.writableFinished) controller.abort();
--- a/test/common/logging.test.ts
+++ b/test/common/logging.test.ts
@@ -8,20 +8,20 @@
 import { until } from '../support/wait.js';
 
 /** A stream whose reader takes nothing until it is told to. */
-class StuckStream extends Writable {
-  readonly taken: string[] = [];
+class BlockedStream extends Writable {
+  readonly written: string[] = [];
   private release: (() => void) | undefined;
-  private isStuck = true;
+  private isBlocked = true;
 
   override _write(chunk: Buffer, _encoding: string, done: () => void): void {
-    this.taken.push(chunk.toString());
-    if (this.isStuck) this.release = done;
+    this.written.push(chunk.toString());
+    if (this.isBlocked) this.release = done;
     else done();
   }
 
   /** Takes everything from now on. */
-  go(): void {
-    this.isStuck = false;
+  unblock(): void {
+    this.isBlocked = false;
     this.release?.();
   }
 }
@@ -40,27 +40,27 @@
 
 describe('logs', () => {
   it('of a reader that takes nothing are dropped and counted, and the rest comes when it reads again', async () => {
-    const stream = new StuckStream();
+    const stream = new BlockedStream();
     const writer = new LineWriter(stream, 10_000);
     for (let index = 0; index < 1_000; index += 1) writer.write(`${'x'.repeat(95)}${index}`);
     expect(writer.dropped).to.be.greaterThan(800);
     const before = writer.dropped;
-    stream.go();
+    stream.unblock();
     await until('the reader has taken all', () => stream.writableLength === 0);
     expect(writer.write('later')).to.equal(true);
     await writer.flush(1_000);
-    expect(stream.taken.join('')).to.contain('later');
-    expect(stream.taken.join('').trim().split('\n').length).to.equal(1_000 - before + 1);
+    expect(stream.written.join('')).to.contain('later');
+    expect(stream.written.join('').trim().split('\n').length).to.equal(1_000 - before + 1);
   });
 
   it('over the budget of their kind are left out and counted, other kinds go on', async () => {
-    const stream = new StuckStream();
-    stream.go();
+    const stream = new BlockedStream();
+    stream.unblock();
     const logger = new StandardOutputLogger('node', new LineWriter(stream, 100_000_000));
     for (let index = 0; index < 5_000; index += 1) logger.record(record(`request-${index}`));
     logger.record({ event: 'process-changed', change: 'noticed' });
     await logger.close();
-    const lines = stream.taken.join('').trim().split('\n');
+    const lines = stream.written.join('').trim().split('\n');
     expect(lines.filter((line) => line.includes('"item-changed"')).length).to.be.lessThan(1_000);
     expect(lines.some((line) => line.includes('noticed'))).to.equal(true);
     const summary = lines.map(parseLogLine).find((line) => line?.event === 'lines-left-out');
--- a/test/coordination/feeds/record-feed.test.ts
+++ b/test/coordination/feeds/record-feed.test.ts
@@ -13,10 +13,10 @@
 
 /** A table with one more change at each question. */
 class BusyStore {
-  questions = 0;
+  requests = 0;
 
   async changes(table: string, after: number) {
-    this.questions += 1;
+    this.requests += 1;
     await setImmediate();
     const version = after + 1;
     const change: ChangedRecord = { table, partition: '', key: 'key', value: Buffer.from(''), version };
@@ -28,12 +28,12 @@
 
 describe('long polls for changes', () => {
   let store: BusyStore;
-  let taken: number;
+  let applied: number;
   let controller: AbortController;
 
   beforeEach(() => {
     store = new BusyStore();
-    taken = 0;
+    applied = 0;
     controller = new AbortController();
   });
 
@@ -44,7 +44,7 @@
     readAll: async () => ok({ content: undefined, version: 0 }),
     replaceAll: () => {},
     apply: () => {
-      taken += 1;
+      applied += 1;
     },
   };
 
@@ -53,9 +53,9 @@
     const pause = (signal: AbortSignal) => pauseIsOver.wait(signal);
     const feed = new RecordFeed(store as unknown as RecordStore, handler, OBSERVER, pause);
     void feed.run(controller.signal);
-    for (let asked = 1; asked <= 3; asked += 1) {
-      await until('a change is taken', () => taken === asked);
-      expect(store.questions).to.equal(asked);
+    for (let expected = 1; expected <= 3; expected += 1) {
+      await until('a change is taken', () => applied === expected);
+      expect(store.requests).to.equal(expected);
       pauseIsOver.notifyAll();
     }
   });
--- a/test/coordination/service/dispatch/crash-check.test.ts
+++ b/test/coordination/service/dispatch/crash-check.test.ts
@@ -38,7 +38,7 @@
   it('takes a restart at the same address for a crash', async () => {
     const check = new CrashCheck(new ServiceMetrics(), async () => 'listening');
     const replica = replicaAt('127.0.0.1:1');
-    replica.noteEnd('restarted');
+    replica.recordEnd('restarted');
     expect(await check.hasCrashed(replica)).to.equal(true);
   });
 
--- a/test/coordination/service/dispatch/remote-dispatch.test.ts
+++ b/test/coordination/service/dispatch/remote-dispatch.test.ts
@@ -46,8 +46,8 @@
 
 type Answer = (framed: Framed<DispatchMessage>, options: PeerDispatchOptions) => Promise<PeerDispatch>;
 
-const answered: Answer = async (framed, { onTaken }) => {
-  onTaken();
+const answered: Answer = async (framed, { onAcknowledged }) => {
+  onAcknowledged();
   const { message, body } = toOutcomeMessage({
     ...HERE,
     outcome: {
@@ -190,8 +190,8 @@
   });
 
   it('may have run when the connection to the dispatcher broke: they are not sent again from here', async () => {
-    answers.set(FIRST.name, async (_, { onTaken }) => {
-      onTaken();
+    answers.set(FIRST.name, async (_, { onAcknowledged }) => {
+      onAcknowledged();
       return { kind: 'lost', reason: 'reset' };
     });
     expect((await remote.dispatch(call(), false)).outcome.kind).to.equal('unknown');
@@ -201,7 +201,7 @@
 
   it('are sent elsewhere when the dispatcher knows no replicas', async () => {
     answers.set(FIRST.name, async (framed, options) => {
-      options.onTaken();
+      options.onAcknowledged();
       const refused: DispatchResult = {
         outcome: { kind: 'declined', reason: 'no replica', isFull: true },
         hasCrashedReplica: false,
@@ -216,12 +216,12 @@
 
   it('are sent to another node when the dispatcher rejects its queue because it leaves', async () => {
     answers.set(FIRST.name, async (_, options) => {
-      options.onTaken();
+      options.onAcknowledged();
       const refused: DispatchResult = {
         outcome: { kind: 'declined', reason: 'this node is leaving', isFull: true },
         hasCrashedReplica: false,
         capacity: { free: 0, slots: 6, waiting: 0 },
-        isClosed: true,
+        isLeaving: true,
       };
       const { message, body } = toOutcomeMessage(refused);
       return { kind: 'outcome', outcome: { message, body } };
--- a/test/coordination/service/dispatch/service-queue.test.ts
+++ b/test/coordination/service/dispatch/service-queue.test.ts
@@ -48,15 +48,15 @@
     const exchange = {
       attempt: (state: ReplicaState, request: { id: string; remainingMs: number }) =>
         new Promise<AttemptOutcome>((resolve) => {
-          state.noteAssigned();
+          state.recordAttemptStart();
           open.push({
             id: request.id,
             replica: state.id,
             remainingMs: request.remainingMs,
             end: (outcome = ANSWER) => {
-              state.noteReturned(true);
+              state.recordAttemptEnd(true);
               if (outcome.kind === 'declined') state.backOff(30);
-              if (outcome.kind === 'answered') state.noteSuccess(20);
+              if (outcome.kind === 'answered') state.recordSuccess(20);
               resolve(outcome);
             },
           });
@@ -68,8 +68,8 @@
       slotsOf: ({ replica }) => replica.slots,
       slowStartPerSecond: () => 2,
       zonePenalty: () => 0,
-      isAllowed: () => isAllowed,
-      bounds: { count: 4, bytes: 1_000_000 },
+      isRouted: () => isAllowed,
+      queueLimits: { count: 4, bytes: 1_000_000 },
       metrics: new ServiceMetrics(),
       logger: { record: (record) => lines.push({ ...record }) },
     });
@@ -188,7 +188,7 @@
     const gone = queue.dispatch(call({ id: 'gone', signal: leaving.signal }));
     leaving.abort();
     expect((await gone).outcome.kind).to.equal('cancelled');
-    expect(queue.waitingCount).to.equal(0);
+    expect(queue.queuedCount).to.equal(0);
     open[0]?.end();
     await turn();
     expect(open.some(({ id }) => id === 'gone')).to.equal(false);
@@ -208,7 +208,7 @@
     const waiting = [4, 3, 2, 2, 0].map((priority) => queue.dispatch(call({ priority })));
     const refused = await (waiting[0] as Promise<DispatchResult>);
     expect(refused.outcome.kind).to.equal('declined');
-    expect(queue.waitingCount).to.equal(4);
+    expect(queue.queuedCount).to.equal(4);
   });
 
   it('queues a declined request again and sends it to another replica', async () => {
@@ -269,7 +269,7 @@
     for (let count = 0; count < 4; count += 1) void queue.dispatch(call());
     await turn();
     expect(open).to.have.length(2);
-    expect(queue.waitingCount).to.equal(2);
+    expect(queue.queuedCount).to.equal(2);
     await until('the next second has begun', () => open.length === 4);
   });
 
--- a/test/coordination/service/generation/placement.test.ts
+++ b/test/coordination/service/generation/placement.test.ts
@@ -78,9 +78,9 @@
     await until('one is sent', () => placed.length === 1);
     await reschedule();
     expect(placed).to.have.length(1);
-    placement.noteTaken(state);
+    placement.markAccepted(state);
     await until('more are sent', () => placed.length > 1);
-    for (let sent = 2; sent <= 5; sent += 1) placement.noteTaken(state);
+    for (let sent = 2; sent <= 5; sent += 1) placement.markAccepted(state);
     await until('all are sent', () => placed.length === 5);
     expect(state.inFlight).to.equal(5);
   });
@@ -90,7 +90,7 @@
     wait(SLOTS);
     await reschedule();
     expect(placed).to.have.length(3);
-    placement.noteTaken(state);
+    placement.markAccepted(state);
     await reschedule();
     expect(placed).to.have.length(4);
     placement.release(state, false);
@@ -140,12 +140,12 @@
     const EVENT_MS = 40;
     const SLOW_EVENT_MS = 60;
 
-    const take = (state: ReplicaState) => placement.noteTaken(state);
+    const take = (state: ReplicaState) => placement.markAccepted(state);
 
     function add(id: string, eventMs: number): ReplicaState {
       directory.set({ ...REPLICA, id });
       const state = directory.get(id) as ReplicaState;
-      state.noteEvent(eventMs);
+      state.recordEventInterval(eventMs);
       return state;
     }
 
@@ -181,11 +181,11 @@
       add('slow', SLOW_EVENT_MS);
       const fast = add('fast', EVENT_MS);
       const query = { service: 's', slots: () => SLOTS, accepts: () => true };
-      expect(placement.fastest(query)).to.deep.equal({ eventMs: EVENT_MS, hasFreeSlot: true });
+      expect(placement.findMoveTarget(query)).to.deep.equal({ eventMs: EVENT_MS, hasFreeSlot: true });
       fast.inFlight = SLOTS;
-      expect(placement.fastest(query)).to.deep.equal({ eventMs: SLOW_EVENT_MS, hasFreeSlot: true });
+      expect(placement.findMoveTarget(query)).to.deep.equal({ eventMs: SLOW_EVENT_MS, hasFreeSlot: true });
       wait(1);
-      expect(placement.fastest(query)).to.deep.equal({ eventMs: EVENT_MS, hasFreeSlot: false });
+      expect(placement.findMoveTarget(query)).to.deep.equal({ eventMs: EVENT_MS, hasFreeSlot: false });
     });
   });
 });
--- a/test/coordination/service/generation/sample-lengths.test.ts
+++ b/test/coordination/service/generation/sample-lengths.test.ts
@@ -1,6 +1,6 @@
 /** Expected lengths of samples: the order in which items start, and what is left of a running sample. */
 import { expect } from 'chai';
-import { SampleLengths } from '../../../../src/coordination/service/generation/sample-lengths.js';
+import { LengthEstimator } from '../../../../src/coordination/service/generation/sample-lengths.js';
 import type { JobItem } from '../../../../src/protocol/service/batch-job.js';
 
 const TOKENS_PER_EVENT = 52;
@@ -24,37 +24,37 @@
 describe('expected lengths of samples', () => {
   it('put the longest sample first, whatever its group', () => {
     const items = [item('a1', 'a', 10), item('a2', 'a', 30), item('b1', 'b', 50), item('b2', 'b', 5)];
-    expect(idsOf(new SampleLengths().longestFirst(items))).to.deep.equal(['b1', 'a2', 'a1', 'b2']);
+    expect(idsOf(new LengthEstimator().sortLongestFirst(items))).to.deep.equal(['b1', 'a2', 'a1', 'b2']);
   });
 
   it('keep the order of the submission without estimates', () => {
     const unknown = [item('a1', 'a'), item('b1', 'b'), item('a2', 'a')];
-    expect(idsOf(new SampleLengths().longestFirst(unknown))).to.deep.equal(['a1', 'b1', 'a2']);
+    expect(idsOf(new LengthEstimator().sortLongestFirst(unknown))).to.deep.equal(['a1', 'b1', 'a2']);
   });
 
   it('expect a cancelled sample to be at least as long as it was', () => {
-    const lengths = new SampleLengths();
+    const lengths = new LengthEstimator();
     const items = [item('a1', 'a', 9 * TOKENS_PER_EVENT), item('b1', 'b', 5 * TOKENS_PER_EVENT)];
-    lengths.note(item('c1', 'c', 10 * TOKENS_PER_EVENT), 10);
-    expect(idsOf(lengths.longestFirst(items))).to.deep.equal(['a1', 'b1']);
-    lengths.noteUnfinished(items[1] as JobItem, 100);
-    expect(idsOf(lengths.longestFirst(items))).to.deep.equal(['b1', 'a1']);
-    expect(lengths.remaining(items[1] as JobItem, 0)).to.equal(150);
+    lengths.recordFinished(item('c1', 'c', 10 * TOKENS_PER_EVENT), 10);
+    expect(idsOf(lengths.sortLongestFirst(items))).to.deep.equal(['a1', 'b1']);
+    lengths.recordUnfinished(items[1] as JobItem, 100);
+    expect(idsOf(lengths.sortLongestFirst(items))).to.deep.equal(['b1', 'a1']);
+    expect(lengths.remainingEvents(items[1] as JobItem, 0)).to.equal(150);
   });
 
   it('learn how many tokens an event carries, also from estimates that are off by five times', () => {
     for (const factor of [1, 5]) {
-      const lengths = new SampleLengths();
+      const lengths = new LengthEstimator();
       for (let events = 10; events < 100; events += 1)
-        lengths.note(sample(events * factor * (events % 2 === 0 ? 1.5 : 1 / 1.5)), events);
-      expect(lengths.remaining(sample(100 * factor), 20)).to.be.closeTo(80, 5);
+        lengths.recordFinished(sample(events * factor * (events % 2 === 0 ? 1.5 : 1 / 1.5)), events);
+      expect(lengths.remainingEvents(sample(100 * factor), 20)).to.be.closeTo(80, 5);
     }
   });
 
   it('expect a sample beyond its estimate, or without one, to grow by a part of what it has', () => {
-    const lengths = new SampleLengths();
-    expect(lengths.remaining(item('a1', 'a'), 60)).to.equal(30);
-    lengths.note(sample(10), 10);
-    expect(lengths.remaining(sample(10), 60)).to.equal(30);
+    const lengths = new LengthEstimator();
+    expect(lengths.remainingEvents(item('a1', 'a'), 60)).to.equal(30);
+    lengths.recordFinished(sample(10), 10);
+    expect(lengths.remainingEvents(sample(10), 60)).to.equal(30);
   });
 });
--- a/test/coordination/service/jobs/item-run.test.ts
+++ b/test/coordination/service/jobs/item-run.test.ts
@@ -1,7 +1,7 @@
 /** One item of a job: its priority of placement. */
 import { expect } from 'chai';
 import type { PlacementRequest } from '../../../../src/coordination/service/generation/placement.js';
-import { SampleLengths } from '../../../../src/coordination/service/generation/sample-lengths.js';
+import { LengthEstimator } from '../../../../src/coordination/service/generation/sample-lengths.js';
 import { ItemRun } from '../../../../src/coordination/service/jobs/item-run.js';
 import type { ItemJob, ItemServices } from '../../../../src/coordination/service/jobs/item-services.js';
 import type { JobItem, PartialText } from '../../../../src/protocol/service/batch-job.js';
@@ -54,7 +54,7 @@
     routing,
     placement,
     splitter: new TargetSplitter(),
-    lengths: new SampleLengths(),
+    lengths: new LengthEstimator(),
     quarantine: { judge: () => ({ kind: 'clear' }) },
   };
   const job: ItemJob = {
--- a/test/coordination/service/jobs/job-policies.test.ts
+++ b/test/coordination/service/jobs/job-policies.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import {
   attemptTimeoutMs,
-  judgeItem,
+  decideRetry,
   replicaFeedback,
   stallTimeoutMs,
 } from '../../../../src/coordination/service/jobs/item-policy.js';
@@ -13,16 +13,16 @@
 
 describe('rules of an item', () => {
   it('make it dead when it can never run, or after the failures that its route allows', () => {
-    expect(judgeItem({ kind: 'impossible', reason: 'status 422' }, 0, ROUTE).kind).to.equal('dead');
-    expect(judgeItem({ kind: 'failed', reason: 'status 500' }, 1, ROUTE).kind).to.equal('retry');
-    expect(judgeItem({ kind: 'failed', reason: 'status 500' }, 2, ROUTE).kind).to.equal('dead');
-    expect(judgeItem({ kind: 'broken', reason: 'reset' }, 2, ROUTE).kind).to.equal('retry');
+    expect(decideRetry({ kind: 'impossible', reason: 'status 422' }, 0, ROUTE).kind).to.equal('dead');
+    expect(decideRetry({ kind: 'failed', reason: 'status 500' }, 1, ROUTE).kind).to.equal('retry');
+    expect(decideRetry({ kind: 'failed', reason: 'status 500' }, 2, ROUTE).kind).to.equal('dead');
+    expect(decideRetry({ kind: 'broken', reason: 'reset' }, 2, ROUTE).kind).to.equal('retry');
   });
 
   it('discard its text after a wrong version only where one version is required', () => {
     const outcome = { kind: 'wrong-version', reason: 'old' } as const;
-    expect(judgeItem(outcome, 0, ROUTE)).to.deep.equal({ kind: 'retry', restarts: false });
-    expect(judgeItem(outcome, 0, { ...ROUTE, isSingleVersion: true })).to.include({ restarts: true });
+    expect(decideRetry(outcome, 0, ROUTE)).to.deep.equal({ kind: 'retry', restarts: false });
+    expect(decideRetry(outcome, 0, { ...ROUTE, isSingleVersion: true })).to.include({ restarts: true });
   });
 
   it('tell busy replicas from faulty ones, and both from failures of the item', () => {
--- a/test/coordination/service/jobs/result-lister.test.ts
+++ b/test/coordination/service/jobs/result-lister.test.ts
@@ -5,7 +5,7 @@
   type ListerServices,
   ResultLister,
 } from '../../../../src/coordination/service/jobs/result-lister.js';
-import { WantedGroups } from '../../../../src/coordination/service/jobs/wanted-groups.js';
+import { DesiredGroups } from '../../../../src/coordination/service/jobs/wanted-groups.js';
 import type { JobItem } from '../../../../src/protocol/service/batch-job.js';
 import type { JobHead } from '../../../../src/state/service/jobs/job-record.js';
 import { ManualClock } from '../../../support/manual-clock.js';
@@ -104,25 +104,25 @@
 describe('groups that a submitter waits for', () => {
   const items = ['a', 'a', 'b', 'b', 'c', 'c'].map((group, index) => ({ id: `${index}`, group }) as JobItem);
 
-  function whole(groups: WantedGroups, ids: readonly number[]): boolean {
-    for (const id of ids) groups.note(items[id] as JobItem);
+  function whole(groups: DesiredGroups, ids: readonly number[]): boolean {
+    for (const id of ids) groups.recordResult(items[id] as JobItem);
     return groups.areComplete;
   }
 
   it('are as many as it desires, any of them', () => {
-    const groups = new WantedGroups(items, 2, () => false);
+    const groups = new DesiredGroups(items, 2, () => false);
     expect(whole(groups, [0, 2, 4, 1])).to.equal(false);
     expect(whole(groups, [5])).to.equal(true);
   });
 
   it('have those among them that an earlier job left unfinished', () => {
-    const groups = new WantedGroups(items, 2, ({ id }) => id === '4');
+    const groups = new DesiredGroups(items, 2, ({ id }) => id === '4');
     expect(whole(groups, [0, 1, 2, 3])).to.equal(false);
     expect(whole(groups, [4, 5])).to.equal(true);
   });
 
   it('are all groups at most', () => {
-    const groups = new WantedGroups(items, 9, () => false);
+    const groups = new DesiredGroups(items, 9, () => false);
     expect(whole(groups, [0, 1, 2, 3, 4])).to.equal(false);
     expect(whole(groups, [5])).to.equal(true);
   });
--- a/test/coordination/service/leadership/leader-lease.test.ts
+++ b/test/coordination/service/leadership/leader-lease.test.ts
@@ -11,11 +11,11 @@
   type StoredRecord,
 } from '../../../../src/protocol/record-store.js';
 
-const DUTY = 'orders';
+const TASK = 'orders';
 /** Handover guard between actions of two machines on one target, milliseconds. */
 const HANDOVER_GUARD_MS = 3_000;
 /** Time after which no action of an earlier holder is guarded any more, milliseconds. */
-const LONG_MS = 10_000;
+const AFTER_GUARD_MS = 10_000;
 
 /** A store with one record and a clock that stands still until a test moves it. */
 class LeaseStore {
@@ -25,14 +25,14 @@
   private version = 0;
 
   /** What a node takes the clock to be. A suspended one is behind by its suspension until the store answers again. */
-  behindMs = 0;
+  clockLagMs = 0;
 
-  usualAnswerMs = () => 0;
-  nowMs = () => this.clockMs - this.behindMs;
+  averageLatencyMs = () => 0;
+  nowMs = () => this.clockMs - this.clockLagMs;
 
   async transact({ conditions, writes }: RecordTransaction) {
     this.transactions += 1;
-    this.behindMs = 0;
+    this.clockLagMs = 0;
     const expected = conditions[0]?.version ?? 0;
     if (expected !== (this.record?.version ?? 0)) {
       const current = this.record ? [this.record] : [];
@@ -60,10 +60,10 @@
   const time = { monotonicMs: () => performance.now(), timeOfDayMs: () => performance.now() + suspendedMs };
 
   function leaseAt(node: string, life: string): LeaderLease {
-    const sessions = { isLost: () => isLost, noteHolding: () => {}, observedTimeMs: 0 };
+    const sessions = { isLost: () => isLost, notifyHolding: () => {}, observedTimeMs: 0 };
     return new LeaderLease(
       store as unknown as RecordStore,
-      DUTY,
+      TASK,
       { node, life },
       sessions as unknown as SessionMonitor,
       () => HANDOVER_GUARD_MS,
@@ -72,123 +72,123 @@
     );
   }
 
-  async function taken(lease: LeaderLease): Promise<LeaderLease> {
+  async function acquire(lease: LeaderLease): Promise<LeaderLease> {
     lease.observe(store.record ? [store.record] : [], true);
-    await lease.untilHeld(AbortSignal.timeout(LONG_MS));
+    await lease.waitUntilHeld(AbortSignal.timeout(AFTER_GUARD_MS));
     return lease;
   }
 
   /** A successor on another machine, which takes the lease when its holder is lost. */
   async function successor(node: string): Promise<LeaderLease> {
     isLost = true;
-    return taken(leaseAt(node, `${node}-life`));
+    return acquire(leaseAt(node, `${node}-life`));
   }
 
   it('lets a successor act at once on targets without a recent action of its predecessor, on others after the handover guard', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
+    const first = await acquire(leaseAt('node-1', 'life-1'));
     expect(await first.confirm('replica-1')).to.not.equal(undefined);
     const second = await successor('node-2');
-    expect(second.mayActOn('replica-2')).to.equal(true);
-    expect(second.mayActOn('replica-1')).to.equal(false);
+    expect(second.allowsAction('replica-2')).to.equal(true);
+    expect(second.allowsAction('replica-1')).to.equal(false);
     store.clockMs += HANDOVER_GUARD_MS;
-    expect(second.mayActOn('replica-1')).to.equal(false);
+    expect(second.allowsAction('replica-1')).to.equal(false);
     store.clockMs += HANDOVER_GUARD_MS;
-    expect(second.mayActOn('replica-1')).to.equal(true);
+    expect(second.allowsAction('replica-1')).to.equal(true);
   });
 
   it('guards recent actions of all machines that held it, not only of the last one', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
+    const first = await acquire(leaseAt('node-1', 'life-1'));
     await first.confirm('replica-1');
     const second = await successor('node-2');
     await second.confirm('replica-2');
     const third = await successor('node-3');
-    expect(third.mayActOn('replica-1')).to.equal(false);
-    expect(third.mayActOn('replica-2')).to.equal(false);
-    expect(third.mayActOn('replica-3')).to.equal(true);
+    expect(third.allowsAction('replica-1')).to.equal(false);
+    expect(third.allowsAction('replica-2')).to.equal(false);
+    expect(third.allowsAction('replica-3')).to.equal(true);
   });
 
   it('does not guard actions of an earlier process on the same machine', async () => {
-    const before = await taken(leaseAt('node-1', 'life-1'));
+    const before = await acquire(leaseAt('node-1', 'life-1'));
     await before.confirm('replica-1');
-    const after = await taken(leaseAt('node-1', 'life-2'));
-    expect(after.mayActOn('replica-1')).to.equal(true);
+    const after = await acquire(leaseAt('node-1', 'life-2'));
+    expect(after.allowsAction('replica-1')).to.equal(true);
   });
 
   it('guards actions after it was released', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
+    const first = await acquire(leaseAt('node-1', 'life-1'));
     await first.confirm('replica-1');
-    await first.resign();
-    const second = await taken(leaseAt('node-2', 'life-2'));
-    expect(second.mayActOn('replica-1')).to.equal(false);
+    await first.release();
+    const second = await acquire(leaseAt('node-2', 'life-2'));
+    expect(second.allowsAction('replica-1')).to.equal(false);
   });
 
   it('confirms actions that begin together with one write that names them all', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
+    const first = await acquire(leaseAt('node-1', 'life-1'));
     const before = store.transactions;
     const together = ['replica-1', 'replica-2', 'replica-3'].map((target) => first.confirm(target));
     for (const confirmation of await Promise.all(together)) expect(confirmation).to.not.equal(undefined);
     expect(store.transactions).to.equal(before + 1);
     const second = await successor('node-2');
     for (const target of ['replica-1', 'replica-2', 'replica-3'])
-      expect(second.mayActOn(target)).to.equal(false);
+      expect(second.allowsAction(target)).to.equal(false);
   });
 
   it('confirms an action that begins while another confirmation is open with a write of its own', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
+    const first = await acquire(leaseAt('node-1', 'life-1'));
     const early = first.confirm('replica-1');
     await Promise.resolve();
     await Promise.resolve();
     const late = first.confirm('replica-2');
     await Promise.all([early, late]);
     const second = await successor('node-2');
-    expect(second.mayActOn('replica-2')).to.equal(false);
+    expect(second.allowsAction('replica-2')).to.equal(false);
   });
 
   it('guards all targets after a holder of an earlier build, which names no actions', async () => {
     const value = { holder: { node: 'node-1', life: 'life-1' }, epoch: 1, acts: 7, validMs: 250 };
-    const write = { table: 'sessions', partition: '', key: `duty/${DUTY}` };
+    const write = { table: 'sessions', partition: '', key: `duty/${TASK}` };
     await store.transact({
       conditions: [{ ...write, version: 0 }],
       writes: [{ ...write, value: Buffer.from(JSON.stringify(value)) }],
       removals: [],
     });
     const second = await successor('node-2');
-    expect(second.mayActOn('replica-1')).to.equal(false);
-    store.clockMs += LONG_MS;
-    expect(second.mayActOn('replica-1')).to.equal(true);
+    expect(second.allowsAction('replica-1')).to.equal(false);
+    store.clockMs += AFTER_GUARD_MS;
+    expect(second.allowsAction('replica-1')).to.equal(true);
   });
 
   it('confirms no action that begins after the machine was suspended', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
+    const first = await acquire(leaseAt('node-1', 'life-1'));
     const confirmation = await first.confirm('replica-1');
     expect(confirmation?.isFresh()).to.equal(true);
-    suspendedMs = LONG_MS;
+    suspendedMs = AFTER_GUARD_MS;
     expect(confirmation?.isFresh()).to.equal(false);
   });
 
   it('confirms no action that would begin later than recorded, by the clock of a machine that was suspended', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
-    store.clockMs += LONG_MS;
-    store.behindMs = LONG_MS;
+    const first = await acquire(leaseAt('node-1', 'life-1'));
+    store.clockMs += AFTER_GUARD_MS;
+    store.clockLagMs = AFTER_GUARD_MS;
     expect((await first.confirm('replica-1'))?.isFresh()).to.equal(false);
     expect((await first.confirm('replica-1'))?.isFresh()).to.equal(true);
-    expect((await successor('node-2')).mayActOn('replica-1')).to.equal(false);
+    expect((await successor('node-2')).allowsAction('replica-1')).to.equal(false);
   });
 
   it('confirms nothing once another machine has taken it', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
+    const first = await acquire(leaseAt('node-1', 'life-1'));
     await successor('node-2');
     expect(await first.confirm('replica-1')).to.equal(undefined);
     expect(first.isHeld).to.equal(false);
   });
 
   it('guards all targets after more actions than are stored one by one', async () => {
-    const first = await taken(leaseAt('node-1', 'life-1'));
+    const first = await acquire(leaseAt('node-1', 'life-1'));
     await Promise.all(Array.from({ length: 2_000 }, (_, index) => first.confirm(`replica-${index}`)));
     expect(store.record?.value.length).to.be.lessThan(60_000);
     const second = await successor('node-2');
-    expect(second.mayActOn('replica-9999')).to.equal(false);
-    store.clockMs += LONG_MS;
-    expect(second.mayActOn('replica-9999')).to.equal(true);
+    expect(second.allowsAction('replica-9999')).to.equal(false);
+    store.clockMs += AFTER_GUARD_MS;
+    expect(second.allowsAction('replica-9999')).to.equal(true);
   });
 });
--- a/test/coordination/service/membership/configuration-while-reads-are-old.test.ts
+++ b/test/coordination/service/membership/configuration-while-reads-are-old.test.ts
@@ -31,16 +31,16 @@
 /** The operator's bound for a change to be in force, milliseconds. */
 const BOUND_MS = 2_000;
 /** Reads show the rows as they were this much earlier, milliseconds: far beyond the bound. */
-const BEHIND_MS = 20_000;
+const STALENESS_MS = 20_000;
 /** How far reads are behind while a node starts, milliseconds: they show the replicas, and not the change. */
-const STARTED_BEHIND_MS = 4_000;
+const STARTUP_STALENESS_MS = 4_000;
 const STATUS_OK = 200;
 const STATUS_NOT_FOUND = 404;
 const STATUS_UNAVAILABLE = 503;
 
 describe('configuration while reads of the store are old', () => {
   let system: ServiceSystem;
-  let asked = 0;
+  let requestCount = 0;
 
   beforeEach(async () => {
     system = await ServiceSystem.start();
@@ -55,15 +55,15 @@
   /** Writes a configuration with one route that only it has. */
   function addRoute(version: number): string {
     const path = `/added-${version}/`;
-    const usual = usualConfiguration(version);
-    const added = { ...usual.routes[0], name: 'added', host: HOST, pathPrefix: path, kind: 'safe' };
-    system.configure({ ...usual, routes: [...usual.routes, { ...added, service: APPLICATION_SERVICE }] });
+    const base = usualConfiguration(version);
+    const added = { ...base.routes[0], name: 'added', host: HOST, pathPrefix: path, kind: 'safe' };
+    system.configure({ ...base, routes: [...base.routes, { ...added, service: APPLICATION_SERVICE }] });
     return path;
   }
 
   async function statusOf(node: ServiceNodeProcess, path: string): Promise<number | undefined> {
-    asked += 1;
-    return (await system.lookup(node, `asked-${asked}`, {}, path))?.status;
+    requestCount += 1;
+    return (await system.lookup(node, `asked-${requestCount}`, {}, path))?.status;
   }
 
   async function untilServedEverywhere(path: string): Promise<void> {
@@ -72,7 +72,7 @@
   }
 
   it('is in force within its bound on every node, whether it changed as the history was lost or later', async () => {
-    system.store.readsBehindMs = BEHIND_MS;
+    system.store.readsBehindMs = STALENESS_MS;
     for (const version of [2, 3]) {
       const path = addRoute(version);
       if (version === 2) system.store.rows.forgetHistory();
@@ -84,9 +84,10 @@
 
   it('is not denied by a node that starts meanwhile', async () => {
     const versionBefore = system.store.rows.version;
-    const readsShow = () => system.store.rows.scanPast(TABLE.operator, '', '', undefined, STARTED_BEHIND_MS);
+    const readsShow = () =>
+      system.store.rows.scanPast(TABLE.operator, '', '', undefined, STARTUP_STALENESS_MS);
     await until('old reads show the replicas', () => readsShow().version >= versionBefore);
-    system.store.readsBehindMs = STARTED_BEHIND_MS;
+    system.store.readsBehindMs = STARTUP_STALENESS_MS;
     const path = addRoute(2);
     system.store.rows.forgetHistory();
     const newcomer = await system.addNode('newcomer');
--- a/test/coordination/service/membership/fleet-time.test.ts
+++ b/test/coordination/service/membership/fleet-time.test.ts
@@ -22,7 +22,7 @@
 
   it('is that of the median node, however far a few clocks are off', () => {
     const offset = DAY_MS - storeMs;
-    time.agree([offset + 3, offset - 8_000, offset, offset + 90_000, offset - 2]);
+    time.setNodeOffsets([offset + 3, offset - 8_000, offset, offset + 90_000, offset - 2]);
     ownMs -= 8_000;
     expect(time.now()).to.equal(DAY_MS);
     storeMs += 250;
@@ -30,8 +30,8 @@
   });
 
   it('stays as it is when no node says anything', () => {
-    time.agree([DAY_MS - storeMs + 7]);
-    time.agree([]);
+    time.setNodeOffsets([DAY_MS - storeMs + 7]);
+    time.setNodeOffsets([]);
     expect(time.now()).to.equal(DAY_MS + 7);
   });
 });
--- a/test/coordination/service/membership/peer-addresses.test.ts
+++ b/test/coordination/service/membership/peer-addresses.test.ts
@@ -13,7 +13,7 @@
 
 const NODES = 20;
 /** Addresses that one node remembers at most. */
-const REMEMBERED = 8;
+const MAX_PEERS = 8;
 const LONG_MS = 600_000;
 /** By how much the store's clock is ahead of those of the nodes, milliseconds. */
 const STORE_AHEAD_MS = 3_600_000;
@@ -41,10 +41,10 @@
   async transact({ writes, removals }: RecordTransaction) {
     this.hasAnswered = true;
     this.table.version += 1;
-    const gone = new Set([...writes, ...removals].map(({ key }) => key));
-    const left = this.table.records.filter(({ key }) => !gone.has(key));
+    const replacedKeys = new Set([...writes, ...removals].map(({ key }) => key));
+    const kept = this.table.records.filter(({ key }) => !replacedKeys.has(key));
     const added = writes.map((write) => ({ ...write, version: this.table.version }));
-    this.table.records = [...left, ...added].sort((one, other) => (one.key < other.key ? -1 : 1));
+    this.table.records = [...kept, ...added].sort((one, other) => (one.key < other.key ? -1 : 1));
     return ok(this.table.version);
   }
 
@@ -85,10 +85,10 @@
   });
 
   it('are those of a few nodes that follow in the order of names, and begin again at its end', () => {
-    const known = (index: number) => peers[index]?.likeliest(NODES);
-    expect(known(0)).to.deep.equal([1, 2, 3, 4, 5, 6, 7, 8].map(address));
-    expect(known(17)).to.deep.equal([18, 19, 0, 1, 2, 3, 4, 5].map(address));
-    expect(known(NODES - 1)).to.have.length(REMEMBERED);
+    const rankedBy = (index: number) => peers[index]?.rankedAddresses(NODES);
+    expect(rankedBy(0)).to.deep.equal([1, 2, 3, 4, 5, 6, 7, 8].map(address));
+    expect(rankedBy(17)).to.deep.equal([18, 19, 0, 1, 2, 3, 4, 5].map(address));
+    expect(rankedBy(NODES - 1)).to.have.length(MAX_PEERS);
   });
 
   it('are counted, so that each node knows how many there are', async () => {
@@ -99,15 +99,15 @@
   });
 
   it('are ranked: peers that served first, those that failed last', () => {
-    peers[0]?.note(address(1), false);
-    peers[0]?.note(address(3), true);
-    expect(peers[0]?.likeliest(3)).to.deep.equal([3, 2, 4].map(address));
+    peers[0]?.recordOutcome(address(1), false);
+    peers[0]?.recordOutcome(address(3), true);
+    expect(peers[0]?.rankedAddresses(3)).to.deep.equal([3, 2, 4].map(address));
   });
 
   it('are forgotten when their nodes are gone, and removed', async () => {
     controllers[1]?.abort();
     await clock.advance(LONG_MS);
-    expect(peers[0]?.likeliest(NODES)).to.deep.equal([2, 3, 4, 5, 6, 7, 8, 9].map(address));
+    expect(peers[0]?.rankedAddresses(NODES)).to.deep.equal([2, 3, 4, 5, 6, 7, 8, 9].map(address));
     const keys = table.records.map(({ key }) => key);
     expect(keys).to.not.include(name(1));
     expect(keys).to.have.length(NODES - 1);
--- a/test/coordination/service/membership/peer-configuration.test.ts
+++ b/test/coordination/service/membership/peer-configuration.test.ts
@@ -9,36 +9,36 @@
 describe('a node that does not reach the store', () => {
   let clock: ManualClock;
   let controller: AbortController;
-  let isInReach: boolean;
-  let isFollowed: boolean;
+  let isStoreAnswering: boolean;
+  let isFeedCurrent: boolean;
   let answers: Record<string, PeerConfigurationAnswer>;
-  let asked: string[];
-  let taken: string[];
-  let turnedAway: number;
+  let requested: string[];
+  let applied: string[];
+  let rejections: number;
   let peer: PeerConfiguration;
 
   beforeEach(() => {
     clock = new ManualClock(() => 0.5);
     controller = new AbortController();
-    isInReach = false;
-    isFollowed = true;
+    isStoreAnswering = false;
+    isFeedCurrent = true;
     answers = { a: { kind: 'unavailable' }, b: { kind: 'same' } };
-    asked = [];
-    taken = [];
-    turnedAway = 0;
+    requested = [];
+    applied = [];
+    rejections = 0;
     peer = new PeerConfiguration(
       {
-        isStoreAnswering: () => isInReach,
-        isFollowed: () => isFollowed,
+        isStoreAnswering: () => isStoreAnswering,
+        isFeedCurrent: () => isFeedCurrent,
         peers: () => Object.keys(answers),
         version: () => 7,
-        ask: async (address) => {
-          asked.push(address);
+        fetch: async (address) => {
+          requested.push(address);
           return answers[address] as PeerConfigurationAnswer;
         },
-        take: (value) => taken.push(value.toString()),
+        apply: (value) => applied.push(value.toString()),
         onRejectedByStore: () => {
-          turnedAway += 1;
+          rejections += 1;
         },
         logger: { record: () => {} } as never,
       },
@@ -55,7 +55,7 @@
 
   it('asks one peer after the other until one reaches the store, and is confirmed by it for a while', async () => {
     await run(0);
-    expect(asked).to.deep.equal(['a', 'b']);
+    expect(requested).to.deep.equal(['a', 'b']);
     expect(peer.isConfirmed).to.equal(true);
     answers = { a: { kind: 'unavailable' } };
     await clock.advance(LONG_MS);
@@ -65,46 +65,46 @@
   it('takes over a newer configuration', async () => {
     answers = { a: { kind: 'newer', value: Buffer.from('record') }, b: { kind: 'same' } };
     await run(0);
-    expect(taken).to.deep.equal(['record']);
-    expect(asked).to.deep.equal(['a']);
+    expect(applied).to.deep.equal(['record']);
+    expect(requested).to.deep.equal(['a']);
   });
 
   it('asks no peer while the store reports changes to it', async () => {
-    isInReach = true;
+    isStoreAnswering = true;
     await run(LONG_MS);
-    expect(asked).to.deep.equal([]);
+    expect(requested).to.deep.equal([]);
     expect(peer.isConfirmed).to.equal(false);
   });
 
   it('asks peers when the store answers and reports no changes, and does not count as rejected', async () => {
-    isInReach = true;
-    isFollowed = false;
+    isStoreAnswering = true;
+    isFeedCurrent = false;
     answers = { a: { kind: 'newer', value: Buffer.from('record') } };
     await run(LONG_MS);
-    expect(taken.at(0)).to.equal('record');
+    expect(applied.at(0)).to.equal('record');
     expect(peer.isConfirmed).to.equal(true);
-    expect(turnedAway).to.equal(0);
-    isFollowed = true;
-    const before = asked.length;
+    expect(rejections).to.equal(0);
+    isFeedCurrent = true;
+    const requestsBefore = requested.length;
     await clock.advance(LONG_MS);
-    expect(asked.length).to.equal(before);
+    expect(requested.length).to.equal(requestsBefore);
   });
 
   it('counts as rejected in the second round, not after a process pause that ends before', async () => {
     await run(0);
-    expect(turnedAway).to.equal(0);
-    isInReach = true;
+    expect(rejections).to.equal(0);
+    isStoreAnswering = true;
     await clock.advance(LONG_MS);
-    isInReach = false;
+    isStoreAnswering = false;
     await clock.advance(400);
-    expect(turnedAway).to.equal(0);
+    expect(rejections).to.equal(0);
     await clock.advance(400);
-    expect(turnedAway).to.equal(1);
+    expect(rejections).to.equal(1);
   });
 
   it('never counts as rejected while no peer reaches the store', async () => {
     answers = { a: { kind: 'unavailable' }, b: { kind: 'unavailable' } };
     await run(LONG_MS);
-    expect(turnedAway).to.equal(0);
+    expect(rejections).to.equal(0);
   });
 });
--- a/test/coordination/service/requests/execution-count.test.ts
+++ b/test/coordination/service/requests/execution-count.test.ts
@@ -1,38 +1,38 @@
 /** How often a request is counted for its tenant, whatever its attempts report and when. */
 import { expect } from 'chai';
-import { ExecutionCount } from '../../../../src/coordination/service/requests/execution-count.js';
+import { ExecutionTracker } from '../../../../src/coordination/service/requests/execution-count.js';
 
 describe('the count of executions of a request', () => {
-  let counted: number;
-  let executions: ExecutionCount;
+  let countedExecutions: number;
+  let tracker: ExecutionTracker;
 
   beforeEach(() => {
-    counted = 0;
-    executions = new ExecutionCount('tenant', () => {
-      counted += 1;
+    countedExecutions = 0;
+    tracker = new ExecutionTracker('tenant', () => {
+      countedExecutions += 1;
       return () => {
-        counted -= 1;
+        countedExecutions -= 1;
       };
     });
   });
 
   it('is one while any attempt may run, and none after all were declined', () => {
-    const [first, second] = [executions.start(), executions.start()];
-    executions.noteHandOver(first, true);
-    expect(counted).to.equal(1);
-    executions.noteEnded(first, true);
-    expect(counted).to.equal(1);
-    executions.noteEnded(second, true);
-    expect(counted).to.equal(0);
+    const [first, second] = [tracker.start(), tracker.start()];
+    tracker.recordHandOver(first, true);
+    expect(countedExecutions).to.equal(1);
+    tracker.recordOutcome(first, true);
+    expect(countedExecutions).to.equal(1);
+    tracker.recordOutcome(second, true);
+    expect(countedExecutions).to.equal(0);
   });
 
   it('stays one when a withdrawn attempt reports afterwards that it was declined, and another may have run', () => {
-    const [handedOver, queued] = [executions.start(), executions.start()];
-    executions.noteHandOver(handedOver, true);
-    executions.withdrawQueued();
-    expect(executions.attemptCount).to.equal(1);
-    executions.noteEnded(queued, true);
-    expect(executions.attemptCount).to.equal(1);
-    expect(counted).to.equal(1);
+    const [handedOver, queued] = [tracker.start(), tracker.start()];
+    tracker.recordHandOver(handedOver, true);
+    tracker.cancelQueued();
+    expect(tracker.attemptCount).to.equal(1);
+    tracker.recordOutcome(queued, true);
+    expect(tracker.attemptCount).to.equal(1);
+    expect(countedExecutions).to.equal(1);
   });
 });
--- a/test/coordination/service/requests/relay-policy.test.ts
+++ b/test/coordination/service/requests/relay-policy.test.ts
@@ -2,10 +2,10 @@
 import { expect } from 'chai';
 import {
   type AttemptInput,
+  classifyOutcome,
   exhaustedOutcome,
   hedgeDelayMs,
   isTooLateToStart,
-  judgeAttempt,
   mayStartAttempt,
 } from '../../../../src/coordination/service/requests/relay-policy.js';
 
@@ -34,11 +34,11 @@
   });
 
   it('start a hedge only for hedged requests under which no replica crashed', () => {
-    const beside = { ...FIRST, pendingAttempts: 1 };
-    expect(mayStartAttempt(beside)).to.equal(true);
-    expect(mayStartAttempt({ ...beside, isHedged: false })).to.equal(false);
+    const withPending = { ...FIRST, pendingAttempts: 1 };
+    expect(mayStartAttempt(withPending)).to.equal(true);
+    expect(mayStartAttempt({ ...withPending, isHedged: false })).to.equal(false);
     const verdict = { kind: 'suspected', ends: 1 } as const;
-    expect(mayStartAttempt({ ...beside, verdict })).to.equal(false);
+    expect(mayStartAttempt({ ...withPending, verdict })).to.equal(false);
     expect(mayStartAttempt({ ...FIRST, verdict })).to.equal(true);
   });
 
@@ -54,20 +54,20 @@
 
   it('retry an attempt that may have run only where the request may run twice', () => {
     const unknown = { kind: 'unknown', reason: 'reset' } as const;
-    expect(judgeAttempt(unknown, false, true)).to.include({ kind: 'failed', isFinal: false });
-    expect(judgeAttempt(unknown, false, false)).to.include({ kind: 'failed', isFinal: true });
+    expect(classifyOutcome(unknown, false, true)).to.include({ kind: 'failed', isFinal: false });
+    expect(classifyOutcome(unknown, false, false)).to.include({ kind: 'failed', isFinal: true });
     const error = { kind: 'answered', answer: answerOf(500) } as const;
-    expect(judgeAttempt(error, false, true)).to.include({ kind: 'failed', isFinal: false });
-    expect(judgeAttempt(error, false, false)).to.include({ kind: 'answer', isServed: false });
+    expect(classifyOutcome(error, false, true)).to.include({ kind: 'failed', isFinal: false });
+    expect(classifyOutcome(error, false, false)).to.include({ kind: 'answer', isServed: false });
     const served = { kind: 'answered', answer: answerOf(404) } as const;
-    expect(judgeAttempt(served, false, true)).to.include({ kind: 'answer', isServed: true });
+    expect(classifyOutcome(served, false, true)).to.include({ kind: 'answer', isServed: true });
   });
 
   it('ignore a hedge without a slot, and attempts that were aborted', () => {
     const declined = { kind: 'declined', reason: 'full', isFull: true } as const;
-    expect(judgeAttempt(declined, true, true)).to.deep.equal({ kind: 'ignored' });
-    expect(judgeAttempt(declined, false, true)).to.deep.equal({ kind: 'declined', reason: 'full' });
-    expect(judgeAttempt({ kind: 'cancelled' }, false, true)).to.deep.equal({ kind: 'ignored' });
+    expect(classifyOutcome(declined, true, true)).to.deep.equal({ kind: 'ignored' });
+    expect(classifyOutcome(declined, false, true)).to.deep.equal({ kind: 'declined', reason: 'full' });
+    expect(classifyOutcome({ kind: 'cancelled' }, false, true)).to.deep.equal({ kind: 'ignored' });
   });
 
   it('promise that a request has not run only where no attempt may have run', () => {
--- a/test/coordination/service/requests/replica-restart.test.ts
+++ b/test/coordination/service/requests/replica-restart.test.ts
@@ -18,7 +18,7 @@
 import { until } from '../../../support/wait.js';
 
 /** Less than a replica that says nothing is waited for: the route's time-out is 2 s. */
-const SOON_MS = 1_200;
+const MAX_RESPONSE_MS = 1_200;
 const EVENTS = 40;
 const EVENT_MS = 25;
 const SEED = 43;
@@ -45,7 +45,7 @@
   };
 
   const lookup = () => system.lookup(node, nextId());
-  const heard = (change: string) =>
+  const hasLogged = (change: string) =>
     node.log.some(
       ({ message, context }) => message === 'belief-changed' && String(context.change).startsWith(change),
     );
@@ -56,11 +56,11 @@
     await startNode();
     replica.isSilent = true;
     const startedAt = monotonicMs();
-    const asked = lookup();
+    const pendingAnswer = lookup();
     await until('it is asked', () => replica.connectionCount() > 0);
     await replica.startAgain({ isDark: true });
-    expect((await asked)?.status).to.equal(502);
-    expect(monotonicMs() - startedAt).to.be.lessThan(SOON_MS);
+    expect((await pendingAnswer)?.status).to.equal(502);
+    expect(monotonicMs() - startedAt).to.be.lessThan(MAX_RESPONSE_MS);
     expect(replica.received, 'it may have run, so it is not sent again').to.have.length(0);
     expect((await lookup())?.status).to.equal(200);
   });
@@ -69,10 +69,10 @@
     const replica = await system.addApplication();
     await startNode();
     replica.isSilent = true;
-    const asked = lookup();
+    const pendingAnswer = lookup();
     await until('it is asked', () => replica.connectionCount() > 0);
     await replica.startAgain({ isDark: true });
-    expect((await asked)?.status).to.equal(200);
+    expect((await pendingAnswer)?.status).to.equal(200);
   });
 
   it('does not inherit the latency and the failures of its former incarnation', async () => {
@@ -82,7 +82,7 @@
     for (let count = 0; count < 6; count += 1) await lookup();
     slow.workMs = 5;
     await slow.startAgain();
-    await until('the next life is known', () => heard('restarted, started at'));
+    await until('the next life is known', () => hasLogged('restarted, started at'));
     const before = slow.received.length;
     await until('it is used like the other', async () => {
       await lookup();
@@ -150,10 +150,10 @@
     const before = leaving.row();
     await leaving.startAgain({ clockStepMs: 5 });
     leaving.announce('draining');
-    await until('it drains', () => heard('draining'));
+    await until('it drains', () => hasLogged('draining'));
     const received = leaving.received.length;
     system.store.rows.put(TABLE.replicas, leaving.id, { ...before, born: leaving.bornMs - 5 });
-    await until('the late record is heard of', () => heard('possibly a delayed announcement'));
+    await until('the late record is heard of', () => hasLogged('possibly a delayed announcement'));
     for (let count = 0; count < 20; count += 1) expect((await lookup())?.status).to.equal(200);
     expect(leaving.received.length).to.equal(received);
     expect(staying.received.length).to.be.greaterThan(0);
@@ -161,11 +161,11 @@
 
   it('and records of other writers: nothing is sent to an address that no valid record named', async () => {
     const replica = await system.addApplication();
-    const strange = await system.addApplication();
-    strange.withdraw();
+    const withdrawn = await system.addApplication();
+    withdrawn.withdraw();
     await startNode();
     const { rows } = system.store;
-    const good = strange.row();
+    const good = withdrawn.row();
     const damaged: readonly Record<string, unknown>[] = [
       { ...good, state: 'broken' },
       { ...good, slots: -1 },
@@ -179,12 +179,12 @@
       { ...good, coldLeftMs: null },
     ];
     for (const [at, row] of damaged.entries()) rows.put(TABLE.replicas, `strange-${at}`, row);
-    const deep = fc.sample(fc.json({ maxDepth: 8 }), { numRuns: 40, seed: SEED });
-    for (const [at, text] of deep.entries())
+    const randomRows = fc.sample(fc.json({ maxDepth: 8 }), { numRuns: 40, seed: SEED });
+    for (const [at, text] of randomRows.entries())
       rows.put(TABLE.replicas, `drawn-${at}`, JSON.parse(text) as object);
-    await until('they are heard of', () => heard('invalid announcement'));
+    await until('they are heard of', () => hasLogged('invalid announcement'));
     for (let count = 0; count < 30; count += 1) expect((await lookup())?.status).to.equal(200);
-    expect(strange.received).to.have.length(0);
+    expect(withdrawn.received).to.have.length(0);
     expect(replica.received.length).to.be.at.least(30);
     expect(node.child.exitCode).to.equal(null);
   });
@@ -196,7 +196,7 @@
     ];
     await startNode();
     system.store.rows.put(TABLE.replicas, one.id, { service: APPLICATION_SERVICE, addr: one.address });
-    await until('it is gone', () => heard('gone with its record'));
+    await until('it is gone', () => hasLogged('gone with its record'));
     const received = one.received.length;
     for (let count = 0; count < 10; count += 1) expect((await lookup())?.status).to.equal(200);
     expect(one.received.length).to.equal(received);
@@ -209,21 +209,21 @@
   });
 
   it('in a zone that is out of use gets nothing until the zone is back in use', async () => {
-    const [away, here] = (await Promise.all([
+    const [otherZone, evacuatedZone] = (await Promise.all([
       system.addApplication({ zone: 'zone-b' }),
       system.addApplication({ zone: 'zone-a' }),
     ])) as [ReplicaServer, ReplicaServer];
     await startNode();
     system.store.rows.put(TABLE.operator, 'evacuate/zone-a', {});
-    await until('the zone is out of use', () => heard('out of use'));
+    await until('the zone is out of use', () => hasLogged('out of use'));
     for (let count = 0; count < 10; count += 1) expect((await lookup())?.status).to.equal(200);
-    expect(here.received).to.have.length(0);
-    expect(away.received).to.have.length(10);
-    await away.startAgain();
+    expect(evacuatedZone.received).to.have.length(0);
+    expect(otherZone.received).to.have.length(10);
+    await otherZone.startAgain();
     system.store.rows.remove(TABLE.operator, 'evacuate/zone-a');
     await until('it is used again', async () => {
       await lookup();
-      return here.received.length > 0;
+      return evacuatedZone.received.length > 0;
     });
   });
 });
--- a/test/coordination/service/requests/request-quarantine.test.ts
+++ b/test/coordination/service/requests/request-quarantine.test.ts
@@ -26,9 +26,9 @@
 const REPLICAS = 4;
 const ROUNDS = 6;
 /** Replicas that one request may end, whatever becomes of it. */
-const MAX_ENDED = 3;
+const MAX_CRASHES = 3;
 /** It may be tried once more after this time when it has ended two, seconds. */
-const SHORT_HOLD_S = 4;
+const SHORT_QUARANTINE_S = 4;
 const FATAL_PATH = `${LOOKUP_PATH}fatal`;
 const FATAL_BODY = 'ends whoever runs it';
 /** Longer than a request needs to end a replica, and long enough that it is doubled meanwhile, milliseconds. */
@@ -37,13 +37,15 @@
 describe('a request that crashes the replicas which run it', () => {
   let system: ServiceSystem;
   let nodes: ServiceNodeProcess[];
-  let ended: ReplicaServer[];
-  let identifiers = 0;
+  let crashed: ReplicaServer[];
+  let requestCount = 0;
 
   /** Starts the next life of each replica that was ended. */
-  async function restartEnded(): Promise<void> {
-    const down = system.replicas.filter((replica) => ended.includes(replica) && !restarted.has(replica));
-    for (const replica of down) {
+  async function restartCrashed(): Promise<void> {
+    const toRestart = system.replicas.filter(
+      (replica) => crashed.includes(replica) && !restarted.has(replica),
+    );
+    for (const replica of toRestart) {
       restarted.add(replica);
       watch(await system.restartReplica(replica));
     }
@@ -53,21 +55,21 @@
 
   function watch(replica: ReplicaServer): void {
     replica.fatalPrefix = FATAL_BODY;
-    replica.onFatal = () => ended.push(replica);
+    replica.onFatal = () => crashed.push(replica);
   }
 
   const nextId = () => {
-    identifiers += 1;
-    return `request-${identifiers}`;
+    requestCount += 1;
+    return `request-${requestCount}`;
   };
 
   const sendFatal = (node: ServiceNodeProcess) => system.lookup(node, nextId(), {}, FATAL_PATH, FATAL_BODY);
 
   /** Sends it to each node in turn, at each one once its replicas are back. */
-  async function repeat(rounds: number): Promise<(number | undefined)[]> {
+  async function sendRepeatedly(rounds: number): Promise<(number | undefined)[]> {
     const statuses: (number | undefined)[] = [];
     for (let round = 0; round < rounds; round += 1) {
-      await restartEnded();
+      await restartCrashed();
       const node = nodes[round % nodes.length] as ServiceNodeProcess;
       await until(
         'another request is served',
@@ -79,7 +81,7 @@
   }
 
   beforeEach(async () => {
-    ended = [];
+    crashed = [];
     restarted = new Set();
     system = await ServiceSystem.start();
     for (let count = 0; count < REPLICAS; count += 1)
@@ -91,13 +93,13 @@
   afterEach(() => system.stop());
 
   it('crashes three at most, however often and at whichever node it is sent', async () => {
-    const statuses = await repeat(ROUNDS);
-    expect(ended.length, statuses.join()).to.be.within(1, MAX_ENDED);
+    const statuses = await sendRepeatedly(ROUNDS);
+    expect(crashed.length, statuses.join()).to.be.within(1, MAX_CRASHES);
     expect(statuses.at(-1)).to.equal(503);
   });
 
   it('is refused with Retry-After, and has not run then', async () => {
-    await repeat(ROUNDS);
+    await sendRepeatedly(ROUNDS);
     const before = system.replicas.flatMap((replica) => replica.received).length;
     const answer = await sendFatal(nodes[0] as ServiceNodeProcess);
     expect(answer?.status).to.equal(503);
@@ -107,35 +109,35 @@
 
   it('stays quarantined after all nodes were killed', async () => {
     await until('every node holds it for long', async () => {
-      await repeat(nodes.length);
+      await sendRepeatedly(nodes.length);
       const waits: number[] = [];
       for (const node of nodes) waits.push(Number((await sendFatal(node))?.headers['retry-after']));
-      return waits.every((wait) => wait > SHORT_HOLD_S);
+      return waits.every((wait) => wait > SHORT_QUARANTINE_S);
     });
-    const before = ended.length;
-    expect(before).to.equal(MAX_ENDED);
+    const before = crashed.length;
+    expect(before).to.equal(MAX_CRASHES);
     await Promise.all(nodes.map((node) => kill(node)));
     nodes = await Promise.all(nodes.map(({ name }) => system.addNode(name)));
     for (const node of nodes) await system.untilReady(node);
-    await repeat(ROUNDS);
-    expect(ended.length).to.equal(before);
+    await sendRepeatedly(ROUNDS);
+    expect(crashed.length).to.equal(before);
   });
 
   it('is distinguished from one that many callers repeat and that runs at each crash', async () => {
     const popular = () =>
       system.lookup(nodes[0] as ServiceNodeProcess, nextId(), {}, `${LOOKUP_PATH}popular`);
     for (let round = 0; round < ROUNDS; round += 1) {
-      await restartEnded();
+      await restartCrashed();
       const node = nodes[round % nodes.length] as ServiceNodeProcess;
       await until(
         'another request is served',
         async () => (await system.lookup(node, nextId()))?.status === 200,
       );
       await Promise.all([sendFatal(node), popular(), popular(), popular()]);
-      await restartEnded();
+      await restartCrashed();
       await until('it is served', async () => (await popular())?.status === 200);
     }
-    expect(ended.length).to.be.within(1, MAX_ENDED);
+    expect(crashed.length).to.be.within(1, MAX_CRASHES);
     expect((await sendFatal(nodes[0] as ServiceNodeProcess))?.status).to.equal(503);
   });
 
@@ -147,20 +149,20 @@
     cut.proxy.set('cut');
     await until('the store is out of reach', async () => (await system.status(cut.readyUrl)) === 503);
     await until('it is held at a node that is cut off', async () => {
-      await restartEnded();
-      return (await sendFatal(cut))?.status === 503 && ended.length > 1;
+      await restartCrashed();
+      return (await sendFatal(cut))?.status === 503 && crashed.length > 1;
     });
     await until('all others hold it', async () => {
       const statuses: (number | undefined)[] = [];
       for (const node of served) statuses.push((await sendFatal(node))?.status);
       return statuses.every((status) => status === 503);
     });
-    expect(ended.length).to.be.at.most(MAX_ENDED);
+    expect(crashed.length).to.be.at.most(MAX_CRASHES);
   });
 
   it('does not keep others of its route and caller from being served', async () => {
-    await repeat(ROUNDS);
-    await restartEnded();
+    await sendRepeatedly(ROUNDS);
+    await restartCrashed();
     for (const node of nodes) {
       expect((await system.lookup(node, nextId(), {}, FATAL_PATH, 'another body'))?.status).to.equal(200);
       expect(
@@ -173,10 +175,10 @@
 describe('an item that crashes the replicas which run it', () => {
   it('crashes three at most, is not dead for it, and does not keep the other items from being listed', async () => {
     const system = await ServiceSystem.start();
-    const ended: ReplicaServer[] = [];
+    const crashed: ReplicaServer[] = [];
     const watch = (replica: ReplicaServer) => {
       replica.fatalPrefix = FATAL_BODY;
-      replica.onFatal = () => ended.push(replica);
+      replica.onFatal = () => crashed.push(replica);
     };
     try {
       await system.addApplication();
@@ -190,10 +192,10 @@
       expect(results.map(({ id }) => id)).not.to.include(itemIds(submitted)[0]);
       await until('the item is held for long', () =>
         node.log.some(
-          ({ message, context }) => message === 'request-suspected' && context.ends === MAX_ENDED,
+          ({ message, context }) => message === 'request-suspected' && context.ends === MAX_CRASHES,
         ),
       );
-      expect(ended.length).to.equal(MAX_ENDED);
+      expect(crashed.length).to.equal(MAX_CRASHES);
       const { page } = await system.trainer.read(node.url, submitted.id, results.length);
       expect(page?.results).to.deep.equal([]);
       expect(await system.trainer.end(node.url, submitted.id)).to.equal(200);
--- a/test/coordination/service/requests/service-relay.test.ts
+++ b/test/coordination/service/requests/service-relay.test.ts
@@ -23,11 +23,11 @@
 
 describe('a relayed request at its deadline', () => {
   let calls: DispatchCall[];
-  let counted: number;
+  let countedExecutions: number;
 
   beforeEach(() => {
     calls = [];
-    counted = 0;
+    countedExecutions = 0;
   });
 
   /** Relays a request whose attempts end only when they are aborted; `onCall` plays the queue or the other node. */
@@ -44,14 +44,14 @@
         call.signal.addEventListener('abort', cancel);
         onCall(call);
       });
-    const countRun = () => {
-      counted += 1;
+    const countExecution = () => {
+      countedExecutions += 1;
       return () => {
-        counted -= 1;
+        countedExecutions -= 1;
       };
     };
     const splitter = { next: () => ({ service: 's', weight: 1 }) };
-    return new ServiceRelay(splitter as never, send, quarantine, countRun).relay({
+    return new ServiceRelay(splitter as never, send, quarantine, countExecution).relay({
       id: 'request-1',
       method: 'POST',
       path: '/x',
@@ -76,13 +76,13 @@
     expect(outcome.kind).to.equal('refused');
     if (outcome.kind === 'refused') expect(outcome.retryAfterMs).to.be.greaterThan(0);
     expect(calls[0]?.signal.aborted).to.equal(true);
-    expect(counted).to.equal(0);
+    expect(countedExecutions).to.equal(0);
   });
 
   it('may have run once it was handed over: it fails, and counts', async () => {
     const outcome = await relay((call) => call.onHandOver?.(true));
     expect(outcome).to.include({ kind: 'failed', isTimeout: true });
-    expect(counted).to.equal(1);
+    expect(countedExecutions).to.equal(1);
   });
 
   it('has not run when it was handed over, not taken, and is queued here again', async () => {
@@ -91,6 +91,6 @@
       call.onHandOver?.(false);
     });
     expect(outcome.kind).to.equal('refused');
-    expect(counted).to.equal(0);
+    expect(countedExecutions).to.equal(0);
   });
 });
--- a/test/coordination/service/requests/service-requests.test.ts
+++ b/test/coordination/service/requests/service-requests.test.ts
@@ -148,7 +148,7 @@
   it('rejects at once, with Retry-After, when every replica is full', async () => {
     await system.addApplication({ slots: 1, workMs: 3_000 });
     await startNode();
-    const holding = system.lookup(node, 'request-1');
+    const running = system.lookup(node, 'request-1');
     await until('the replica works', () => system.replicas[0]?.running === 1);
     const sentAtMs = performance.now();
     const refused = await system.lookup(node, 'request-2');
@@ -160,7 +160,7 @@
     await until('the rejections are logged', () => rejectionOf(node, 'request-3') !== undefined);
     expect(Number(rejectionOf(node, 'request-2')?.leftMs)).to.be.greaterThan(500);
     expect(Number(rejectionOf(node, 'request-3')?.waitedMs), 'on arrival').to.be.lessThan(20);
-    await holding;
+    await running;
     expect(system.replicas[0]?.received.map(({ id }) => id)).to.deep.equal(['request-1']);
   });
 
--- a/test/coordination/service/requests/tenants.test.ts
+++ b/test/coordination/service/requests/tenants.test.ts
@@ -16,7 +16,7 @@
 
 const UNAUTHORIZED = 401;
 /** Time within which a change of keys must be in force at every node that other nodes reach, milliseconds. */
-const BOUND_MS = 3_000;
+const KEY_CHANGE_BOUND_MS = 3_000;
 const JOB = { host: HOST, path: JOB_PATH, model: MODEL, minVersion: 1, groups: 1, groupSize: 2 };
 
 describe('tenants', () => {
@@ -57,8 +57,10 @@
       UNAUTHORIZED,
     );
     expect(application.received).to.have.length(0);
-    const open = { authorization: 'Bearer nobody-has-this', [HEADER.tenant]: 'large' };
-    expect((await system.lookup(node, 'request-4', open, `${SCORING_PATH}x`))?.status).to.equal(200);
+    const spoofedHeaders = { authorization: 'Bearer nobody-has-this', [HEADER.tenant]: 'large' };
+    expect((await system.lookup(node, 'request-4', spoofedHeaders, `${SCORING_PATH}x`))?.status).to.equal(
+      200,
+    );
     expect(application.received[0]?.tenant).to.equal(undefined);
     expect(application.received[0]?.authorization).to.equal(undefined);
     expect(JSON.stringify(node.log)).to.not.contain('nobody-has-this');
@@ -95,24 +97,26 @@
   });
 
   it('lose a key also at a node rejected by the store, as another node reports, and never get it back', async () => {
-    const served = await startNode('node-1');
-    const turnedAway = await startNode('node-2');
+    const connectedNode = await startNode('node-1');
+    const rejectedNode = await startNode('node-2');
     await until('the nodes know each other', () =>
-      turnedAway.log.some(({ context }) => context.subject === 'peers' && context.change === '1 known'),
+      rejectedNode.log.some(({ context }) => context.subject === 'peers' && context.change === '1 known'),
     );
-    turnedAway.proxy.set('cut');
+    rejectedNode.proxy.set('cut');
     system.configure(tenantConfiguration(3, [{ ...LARGE, apiKeys: ['large-key-2'] }, SMALL]));
     const changedAt = performance.now();
     await until('the key is no longer taken', async () => {
-      const answer = await system.lookup(turnedAway, 'request-1', bearing('large-key-1'));
+      const answer = await system.lookup(rejectedNode, 'request-1', bearing('large-key-1'));
       return answer?.status === UNAUTHORIZED;
     });
-    expect(performance.now() - changedAt).to.be.lessThan(BOUND_MS);
-    expect((await system.lookup(turnedAway, 'request-2', bearing('large-key-2')))?.status).to.equal(200);
-    expect((await system.lookup(served, 'request-3', bearing('large-key-1')))?.status).to.equal(UNAUTHORIZED);
-    turnedAway.proxy.set('pass');
-    await system.untilReady(turnedAway);
-    expect((await system.lookup(turnedAway, 'request-4', bearing('large-key-1')))?.status).to.equal(
+    expect(performance.now() - changedAt).to.be.lessThan(KEY_CHANGE_BOUND_MS);
+    expect((await system.lookup(rejectedNode, 'request-2', bearing('large-key-2')))?.status).to.equal(200);
+    expect((await system.lookup(connectedNode, 'request-3', bearing('large-key-1')))?.status).to.equal(
+      UNAUTHORIZED,
+    );
+    rejectedNode.proxy.set('pass');
+    await system.untilReady(rejectedNode);
+    expect((await system.lookup(rejectedNode, 'request-4', bearing('large-key-1')))?.status).to.equal(
       UNAUTHORIZED,
     );
   });
--- a/test/coordination/service/usage/usage.test.ts
+++ b/test/coordination/service/usage/usage.test.ts
@@ -15,7 +15,7 @@
   let system: ServiceSystem;
   let application: ReplicaServer;
   let nodes: ServiceNodeProcess[];
-  let sent = 0;
+  let requestCount = 0;
 
   beforeEach(async () => {
     system = await ServiceSystem.start();
@@ -30,9 +30,13 @@
 
   async function send(to: readonly ServiceNodeProcess[], count: number): Promise<void> {
     for (let index = 0; index < count; index += 1) {
-      sent += 1;
+      requestCount += 1;
       const node = to[index % to.length] as ServiceNodeProcess;
-      await system.lookup(node, `request-${sent}`, bearing(KEYS[sent % KEYS.length] as string));
+      await system.lookup(
+        node,
+        `request-${requestCount}`,
+        bearing(KEYS[requestCount % KEYS.length] as string),
+      );
     }
   }
 
@@ -43,7 +47,7 @@
   }
 
   /** Requests by window and tenant that a report leaves out or adds, in all. */
-  function errors(): number {
+  function miscountedRequests(): number {
     const reported = new Map(system.usage.reports.map(({ window, counts }) => [window, counts]));
     const begun = begunByWindow([application], WINDOW_MS);
     let wrong = 0;
@@ -60,13 +64,13 @@
     expect(windows).to.deep.equal(windows.map((_, at) => first + at));
   }
 
-  function holder(): ServiceNodeProcess {
+  function currentLeader(): ServiceNodeProcess {
     const name = system.usage.reports.at(-1)?.holder;
     return nodes.find((node) => node.name === name) as ServiceNodeProcess;
   }
 
   /** A request at the edge of a window may be counted on either side of it, a moment before it begins to run. */
-  const AT_EDGES = 4;
+  const EDGE_TOLERANCE = 4;
 
   it('is reported for each window by one node, as the replicas began the requests', async () => {
     await untilReported();
@@ -74,7 +78,7 @@
     await untilReported();
     expectNoGaps();
     expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
-    expect(errors()).to.be.at.most(AT_EDGES);
+    expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
     const total = system.usage.reports.reduce(
       (sum, { counts }) => sum + (counts.large ?? 0) + (counts.small ?? 0),
       0,
@@ -94,10 +98,10 @@
 
   it('leaves out what a replica did not run, and calls that need no key', async () => {
     await untilReported();
-    const busy = await system.addApplication({ slots: 0 });
+    const full = await system.addApplication({ slots: 0 });
     await send(nodes, 30);
     await untilReported();
-    busy.crash();
+    full.crash();
     const total = system.usage.reports.reduce(
       (sum, { counts }) => sum + (counts.large ?? 0) + (counts.small ?? 0),
       0,
@@ -108,7 +112,7 @@
   it('goes on when the leader is killed, with the handover guard between the two', async () => {
     await untilReported();
     await send(nodes, 20);
-    const killed = holder();
+    const killed = currentLeader();
     await kill(killed);
     await send(
       nodes.filter((node) => node !== killed),
@@ -117,7 +121,7 @@
     await untilReported();
     expectNoGaps();
     expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
-    expect(errors()).to.be.at.most(AT_EDGES);
+    expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
   it('is reported as decided when all nodes are killed in the middle of a window', async () => {
@@ -130,7 +134,7 @@
     await untilReported();
     expectNoGaps();
     expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
-    expect(errors()).to.be.at.most(AT_EDGES);
+    expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
   it('is the same report again when its answer was lost', async () => {
@@ -146,37 +150,37 @@
 
   it('waits for the counts of a node that the store rejected for a while', async () => {
     await untilReported();
-    const away = nodes.find((node) => node !== holder()) as ServiceNodeProcess;
-    away.proxy.set('cut');
-    await send([away], 10);
+    const disconnected = nodes.find((node) => node !== currentLeader()) as ServiceNodeProcess;
+    disconnected.proxy.set('cut');
+    await send([disconnected], 10);
     await until('a window is over', () => Date.now() % WINDOW_MS > WINDOW_MS / 2);
-    away.proxy.set('pass');
-    await system.untilReady(away);
+    disconnected.proxy.set('pass');
+    await system.untilReady(disconnected);
     await untilReported();
     expectNoGaps();
-    expect(errors()).to.be.at.most(AT_EDGES);
+    expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
   it('is not reported by a leader that was paused between its decision and its report', async () => {
     await untilReported();
-    const frozen = holder();
+    const pausedLeader = currentLeader();
     system.usage.delayMs = 0;
-    frozen.child.kill('SIGSTOP');
+    pausedLeader.child.kill('SIGSTOP');
     const before = system.usage.reports.length;
     await until('another node reports', () =>
-      system.usage.reports.slice(before).some((report) => report.holder !== frozen.name),
+      system.usage.reports.slice(before).some((report) => report.holder !== pausedLeader.name),
     );
-    frozen.child.kill('SIGCONT');
+    pausedLeader.child.kill('SIGCONT');
     await send(nodes, 10);
     await untilReported();
     expectNoGaps();
     expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
-    expect(errors()).to.be.at.most(AT_EDGES);
+    expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
   it('is handed to another node by one that the collector does not answer', async () => {
     await untilReported();
-    const first = holder();
+    const first = currentLeader();
     system.usage.mode = 'busy';
     await until('the duty was given back', () =>
       first.log.some(({ context }) => context.duty === 'usage' && context.change === 'resigned'),
--- a/test/coordination/service/usage/window-counts.test.ts
+++ b/test/coordination/service/usage/window-counts.test.ts
@@ -1,6 +1,6 @@
 /** When a window of usage is complete, and what it sums up to. */
 import { expect } from 'chai';
-import { missingNodes, sumOf } from '../../../../src/coordination/service/usage/window-counts.js';
+import { missingNodes, sumByTenant } from '../../../../src/coordination/service/usage/window-counts.js';
 import type { StoredCount } from '../../../../src/state/service/usage/index.js';
 
 const closed = (window: number, node: string, counts: Record<string, number> = {}): StoredCount => ({
@@ -31,6 +31,6 @@
       closed(6, 'c', { z: 4 }),
       closed(5, 'a', { x: 9 }),
     ];
-    expect(JSON.stringify(sumOf(counts, 6))).to.equal('{"x":5,"y":1,"z":4}');
+    expect(JSON.stringify(sumByTenant(counts, 6))).to.equal('{"x":5,"y":1,"z":4}');
   });
 });
--- a/test/coordination/service/weights/load-commander.test.ts
+++ b/test/coordination/service/weights/load-commander.test.ts
@@ -3,13 +3,13 @@
 import { ok } from 'neverthrow';
 import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
 import {
-  LoadCommander,
-  type LoadCommanderServices,
+  LoadScheduler,
+  type LoadSchedulerServices,
 } from '../../../../src/coordination/service/weights/load-commander.js';
 import {
+  maxUsefulReplicas,
   planReplicas,
   shareReplicas,
-  usefulReplicas,
 } from '../../../../src/coordination/service/weights/weight-plan.js';
 import type { Replica } from '../../../../src/protocol/service/replica.js';
 import { RoutingTable } from '../../../../src/state/service/configuration/routing-table.js';
@@ -32,16 +32,16 @@
 
   afterEach(() => system.stop());
 
-  const holder = () =>
+  const leaseHolder = () =>
     system.store.rows.read<{ holder: { node: string } }>('sessions', 'duty/weight-orders')?.holder.node;
 
-  const allAt = (version: number) =>
+  const untilAllHaveVersion = (version: number) =>
     until(`all replicas have version ${version}`, () =>
       engines.every((engine) => engine.versions.get(MODEL) === version),
     );
 
   /** At no replica do two holders order within the lease time of each other, and fencing tokens never fall. */
-  function expectApart(): void {
+  function expectHandoverGuard(): void {
     for (const { orders } of engines)
       for (const [index, order] of orders.entries()) {
         const before = orders[index - 1];
@@ -62,9 +62,9 @@
   it('bring every replica to the newest version, few at a time', async () => {
     await startNodes(3);
     system.nameVersion(2);
-    await allAt(2);
+    await untilAllHaveVersion(2);
     system.nameVersion(3);
-    await allAt(3);
+    await untilAllHaveVersion(3);
     expect(new Set(engines.flatMap((engine) => engine.orders.map((order) => order.holder)))).to.have.length(
       1,
     );
@@ -75,7 +75,7 @@
     const [slow, ...others] = engines as [ReplicaServer, ...ReplicaServer[]];
     await startNodes(1);
     system.nameVersion(2);
-    await allAt(2);
+    await untilAllHaveVersion(2);
     slow.loadMs = 4_000;
     system.nameVersion(3);
     await until('the others have version 3', () =>
@@ -89,30 +89,30 @@
     const nodes = await startNodes(3);
     system.nameVersion(2);
     await until('orders are given', () => engines.some((engine) => engine.orders.length > 0));
-    const giver = nodes.find((node) => node.name === holder()) as ServiceNodeProcess;
-    await kill(giver);
+    const leader = nodes.find((node) => node.name === leaseHolder()) as ServiceNodeProcess;
+    await kill(leader);
     system.nameVersion(3);
-    await allAt(3);
-    expect(holder()).to.not.equal(giver.name);
-    expectApart();
+    await untilAllHaveVersion(3);
+    expect(leaseHolder()).to.not.equal(leader.name);
+    expectHandoverGuard();
   });
 
   it('are not sent by a paused leader before the store has confirmed its lease', async () => {
     const nodes = await startNodes(2);
     system.nameVersion(2);
-    await allAt(2);
-    const giver = nodes.find((node) => node.name === holder()) as ServiceNodeProcess;
-    giver.child.kill('SIGSTOP');
+    await untilAllHaveVersion(2);
+    const leader = nodes.find((node) => node.name === leaseHolder()) as ServiceNodeProcess;
+    leader.child.kill('SIGSTOP');
     system.nameVersion(3);
     await until(
       'another node gives orders',
-      () => holder() !== giver.name && engines.some((engine) => engine.orders.length > 1),
+      () => leaseHolder() !== leader.name && engines.some((engine) => engine.orders.length > 1),
     );
-    giver.child.kill('SIGCONT');
-    await allAt(3);
+    leader.child.kill('SIGCONT');
+    await untilAllHaveVersion(3);
     system.nameVersion(4);
-    await allAt(4);
-    expectApart();
+    await untilAllHaveVersion(4);
+    expectHandoverGuard();
   });
 
   it('are void when they arrive late', async () => {
@@ -123,9 +123,9 @@
     }
     await startNodes(1);
     system.nameVersion(2);
-    await allAt(2);
+    await untilAllHaveVersion(2);
     system.nameVersion(3);
-    await allAt(3);
+    await untilAllHaveVersion(3);
     await until('the late order has come', () => (engine?.orders[0]?.atMs ?? 0) + 6_500 < performance.now());
     expect(engine?.versions.get(MODEL)).to.equal(3);
   });
@@ -133,7 +133,7 @@
   it('are not sent while the store is silent, and go on afterwards', async () => {
     await startNodes(2);
     system.nameVersion(2);
-    await allAt(2);
+    await untilAllHaveVersion(2);
     system.store.mode = 'silent';
     system.nameVersion(3);
     const before = engines.flatMap((engine) => engine.orders).length;
@@ -142,24 +142,24 @@
     );
     expect(engines.flatMap((engine) => engine.orders).length).to.equal(before);
     system.store.mode = 'answering';
-    await allAt(3);
+    await untilAllHaveVersion(3);
   });
 });
 
 describe('load commands without a store', () => {
   const IDS = ['r1', 'r2', 'r3', 'r4'];
-  const REFUSALS = 20;
+  const UNCONFIRMED_ATTEMPTS = 20;
   let directory: ReplicaDirectory;
   let versions: WeightVersions;
   let routing: RoutingTable;
-  let ordered: string[];
+  let commandedIds: string[];
   let controller: AbortController;
 
   beforeEach(() => {
     directory = new ReplicaDirectory();
     versions = new WeightVersions();
     routing = new RoutingTable();
-    ordered = [];
+    commandedIds = [];
     controller = new AbortController();
     const service = {
       name: 's',
@@ -178,18 +178,18 @@
           modelVersions: new Map([[MODEL, id === 'r1' ? 2 : 1]]),
         }),
       );
-    versions.note(MODEL, 2);
+    versions.record(MODEL, 2);
   });
 
   const addressAt = (index: number) => `127.0.0.1:${index + 1}`;
 
   /** Gives orders under a lease until `enough` replicas were ordered. */
-  async function order(enough: number, lease: object): Promise<void> {
+  async function runScheduler(minCommands: number, lease: object): Promise<void> {
     const report = { modelVersions: new Map(), isBusy: false, commandCount: 0, waiting: 0, running: 0 };
     const client = {
       report: async () => ok(report),
       load: async ({ id }: Replica) => {
-        ordered.push(id);
+        commandedIds.push(id);
         return ok('rejected');
       },
     };
@@ -198,29 +198,29 @@
       directory,
       versions,
       client,
-      lease: { isHeld: true, untilHeld: async () => {}, ...lease },
+      lease: { isHeld: true, waitUntilHeld: async () => {}, ...lease },
       demandOf: () => 1,
       requestsOf: () => 0,
       nodeName: 'node-1',
       metrics: { loadCommands: { inc: () => {} } },
       logger: { record: () => {} },
     };
-    const orders = new LoadCommander(services as unknown as LoadCommanderServices).run(controller.signal);
-    await until('orders are given', () => ordered.length >= enough);
+    const running = new LoadScheduler(services as unknown as LoadSchedulerServices).run(controller.signal);
+    await until('orders are given', () => commandedIds.length >= minCommands);
     controller.abort();
-    await orders;
+    await running;
   }
 
   it('pause no replica: after an outage those furthest behind come first', async () => {
-    let refusals = 0;
+    let attempts = 0;
     const confirm = async () => {
-      refusals += 1;
-      if (refusals < REFUSALS) return undefined;
-      versions.note(MODEL, 3);
+      attempts += 1;
+      if (attempts < UNCONFIRMED_ATTEMPTS) return undefined;
+      versions.record(MODEL, 3);
       return { epoch: 1, isFresh: () => true };
     };
-    await order(IDS.length - 1, { confirm, mayActOn: () => true });
-    expect(ordered.slice(0, IDS.length - 1).sort()).to.deep.equal(['r2', 'r3', 'r4']);
+    await runScheduler(IDS.length - 1, { confirm, allowsAction: () => true });
+    expect(commandedIds.slice(0, IDS.length - 1).sort()).to.deep.equal(['r2', 'r3', 'r4']);
   });
 
   it('skip a replica at an address within the handover guard of another machine', async () => {
@@ -229,8 +229,8 @@
       confirmed.push(target);
       return { epoch: 1, isFresh: () => true };
     };
-    await order(2, { confirm, mayActOn: (target: string) => target !== addressAt(1) });
-    expect(ordered).to.not.include('r2');
+    await runScheduler(2, { confirm, allowsAction: (target: string) => target !== addressAt(1) });
+    expect(commandedIds).to.not.include('r2');
     expect(confirmed).to.include(addressAt(2)).and.to.not.include(addressAt(1));
   });
 });
@@ -275,21 +275,21 @@
 
   it('leaves out replicas that no work can use, and keeps those that a model has', () => {
     const ids = Array.from({ length: 300 }, (_, index) => `r${String(index).padStart(3, '0')}`);
-    const most = usefulReplicas(72, 8);
-    expect(most).to.be.within(10, 20);
-    const models = [{ model: 'a', version: 3, demand: 5, most }];
+    const maxUseful = maxUsefulReplicas(72, 8);
+    expect(maxUseful).to.be.within(10, 20);
+    const models = [{ model: 'a', version: 3, demand: 5, maxReplicas: maxUseful }];
     const first = planReplicas(
       ids.map((id) => replica(id, { a: 1 })),
       models,
     ).get('a');
-    expect(first).to.have.length(most);
-    const kept = new Set(ids.slice(100, 100 + most));
+    expect(first).to.have.length(maxUseful);
+    const kept = new Set(ids.slice(100, 100 + maxUseful));
     const second = planReplicas(
       ids.map((id) => replica(id, { a: kept.has(id) ? 2 : 1 })),
       models,
     ).get('a');
     expect(new Set(second?.map(({ id }) => id))).to.deep.equal(kept);
-    expect(usefulReplicas(0, 8)).to.equal(Number.POSITIVE_INFINITY);
+    expect(maxUsefulReplicas(0, 8)).to.equal(Number.POSITIVE_INFINITY);
   });
 
   it('gives one model all replicas, and more models than replicas at least one each', () => {
--- a/test/platform/replica-rows.test.ts
+++ b/test/platform/replica-rows.test.ts
@@ -5,7 +5,7 @@
 
 const SEED = 20_261_203;
 const RUNS = 2_000;
-const GOOD = {
+const VALID_ROW = {
   service: 'application',
   addr: '10.0.0.1:8080',
   zone: 'zone-a',
@@ -17,12 +17,12 @@
   born: 1_790_000_000_000,
   models: [{ name: 'model-a', version: 3, adapters: [] }],
 };
-const FIELDS = Object.keys(GOOD) as (keyof typeof GOOD)[];
+const FIELDS = Object.keys(VALID_ROW) as (keyof typeof VALID_ROW)[];
 const REQUIRED = FIELDS.filter((field) => field !== 'born' && field !== 'models');
 
 const parse = (row: unknown) => parseReplica('r1', Buffer.from(JSON.stringify(row), 'utf8'));
 
-const anything = fc.letrec((tie) => ({
+const arbitraryValue = fc.letrec((tie) => ({
   value: fc.oneof(
     { maxDepth: 6 },
     fc.constantFrom(null, true, false, 0, -1, 1.5, 1e308, -1e308, 2 ** 53, '', 'x', '127.0.0.1:0', 'a:1'),
@@ -35,30 +35,30 @@
 
 describe('rows of replicas', () => {
   it('are read as described, with and without the moment of the start', () => {
-    const replica = parse(GOOD)._unsafeUnwrap();
+    const replica = parse(VALID_ROW)._unsafeUnwrap();
     expect(replica).to.deep.equal({
       id: 'r1',
-      startedAtMs: GOOD.born,
-      service: GOOD.service,
-      address: GOOD.addr,
-      zone: GOOD.zone,
-      slots: GOOD.slots,
+      startedAtMs: VALID_ROW.born,
+      service: VALID_ROW.service,
+      address: VALID_ROW.addr,
+      zone: VALID_ROW.zone,
+      slots: VALID_ROW.slots,
       isDraining: false,
       slowStartMs: 0,
       modelVersions: new Map([['model-a', 3]]),
     });
-    const { born, ...before } = GOOD;
+    const { born, ...before } = VALID_ROW;
     expect(parse(before)._unsafeUnwrap().startedAtMs, `not ${born}`).to.equal(undefined);
-    expect(parse({ ...GOOD, state: 'draining', later: 1 })._unsafeUnwrap().isDraining).to.equal(true);
+    expect(parse({ ...VALID_ROW, state: 'draining', later: 1 })._unsafeUnwrap().isDraining).to.equal(true);
   });
 
   for (const field of REQUIRED)
     it(`name no replica without ${field}`, () => {
-      const { [field]: _, ...rest } = GOOD;
+      const { [field]: _, ...rest } = VALID_ROW;
       expect(parse(rest)._unsafeUnwrapErr()).to.contain(field);
     });
 
-  const wrong: readonly [field: keyof typeof GOOD, value: unknown][] = [
+  const wrong: readonly [field: keyof typeof VALID_ROW, value: unknown][] = [
     ['service', 7],
     ['addr', 'host.example:80'],
     ['addr', '10.0.0.1'],
@@ -80,24 +80,24 @@
   ];
   for (const [field, value] of wrong)
     it(`name no replica with ${field} ${JSON.stringify(value)}`, () => {
-      expect(parse({ ...GOOD, [field]: value })._unsafeUnwrapErr()).to.contain(field);
+      expect(parse({ ...VALID_ROW, [field]: value })._unsafeUnwrapErr()).to.contain(field);
     });
 
   it('name no replica when their bytes cannot be read', () => {
-    const broken = Buffer.from(JSON.stringify({ ...GOOD, zone: 'zone-?' }), 'utf8');
+    const broken = Buffer.from(JSON.stringify({ ...VALID_ROW, zone: 'zone-?' }), 'utf8');
     broken[broken.indexOf(0x3f)] = 0xff;
     for (const bytes of [broken, Buffer.from([]), Buffer.from('['.repeat(50_000)), Buffer.from('null')])
       expect(parseReplica('r1', bytes).isErr()).to.equal(true);
   });
 
   it('are read or refused, whatever stands in them, and never read with a field of another kind', () => {
-    const damaged = fc.tuple(fc.constantFrom(...FIELDS), anything).map(([field, value]) => ({
-      ...GOOD,
+    const damaged = fc.tuple(fc.constantFrom(...FIELDS), arbitraryValue).map(([field, value]) => ({
+      ...VALID_ROW,
       [field]: value,
     }));
     const bytes = fc.oneof(
       fc.uint8Array({ maxLength: 200 }).map((array) => Buffer.from(array)),
-      fc.oneof(anything, damaged).map((row) => Buffer.from(JSON.stringify(row) ?? '', 'utf8')),
+      fc.oneof(arbitraryValue, damaged).map((row) => Buffer.from(JSON.stringify(row) ?? '', 'utf8')),
     );
     fc.assert(
       fc.property(bytes, (value) => {
--- a/test/state/service/admission/admission.test.ts
+++ b/test/state/service/admission/admission.test.ts
@@ -89,18 +89,18 @@
 describe('the retry budget', () => {
   it('is a share of the first attempts', () => {
     const budget = new RetryBudget();
-    while (budget.take());
+    while (budget.tryTake());
     let taken = 0;
     for (let count = 0; count < 1_000; count += 1) {
-      budget.noteFirst();
-      if (budget.take()) taken += 1;
+      budget.recordFirstAttempt();
+      if (budget.tryTake()) taken += 1;
     }
     expect(taken).to.be.within(190, 200);
   });
 
   it('saves up no more than its maximum', () => {
     const budget = new RetryBudget();
-    for (let count = 0; count < 1_000; count += 1) budget.noteFirst();
-    expect(budget.left).to.equal(20);
+    for (let count = 0; count < 1_000; count += 1) budget.recordFirstAttempt();
+    expect(budget.available).to.equal(20);
   });
 });
--- a/test/state/service/admission/waiting-list.test.ts
+++ b/test/state/service/admission/waiting-list.test.ts
@@ -2,14 +2,14 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { FlowUsage } from '../../../../src/state/service/admission/flow-usage.js';
-import { type Waiting, WaitingList } from '../../../../src/state/service/admission/waiting-list.js';
+import { FairQueue, type QueuedRequest } from '../../../../src/state/service/admission/waiting-list.js';
 
 const SEED = 20_261_204;
 const RUNS = 300;
 const WORK_MS = 40;
 const BOUNDS = { count: 10_000, bytes: 1e9 };
 
-interface Named extends Waiting {
+interface Named extends QueuedRequest {
   readonly name: string;
 }
 
@@ -30,7 +30,7 @@
 
 describe('the queue order', () => {
   const listOf = (entries: readonly Named[], use = new FlowUsage()) => {
-    const list = new WaitingList<Named>(use, BOUNDS);
+    const list = new FairQueue<Named>(use, BOUNDS);
     for (const entry of entries) list.add(entry, at(0));
     return list;
   };
@@ -62,7 +62,7 @@
 
   it('gives a share of the slots to background work, and to other priorities', () => {
     const served = new Map<string, number>();
-    const list = new WaitingList<Named>(new FlowUsage(), BOUNDS);
+    const list = new FairQueue<Named>(new FlowUsage(), BOUNDS);
     const fill = (name: string, fields: Partial<Named>) => {
       for (let count = 0; count < 400; count += 1) list.add(waiting({ name, ...fields }), at(0));
     };
@@ -72,7 +72,7 @@
     for (let turn = 0; turn < 200; turn += 1) {
       const next = list.next(at(0)) as Named;
       list.remove(next);
-      list.noteServed();
+      list.recordSlotAssigned();
       served.set(next.name, (served.get(next.name) ?? 0) + 1);
     }
     expect(served.get('low')).to.equal(8);
@@ -81,7 +81,7 @@
   });
 
   it('drops the last in order beyond the count limit, also when that is the newest', () => {
-    const list = new WaitingList<Named>(new FlowUsage(), { count: 2, bytes: 1e9 });
+    const list = new FairQueue<Named>(new FlowUsage(), { count: 2, bytes: 1e9 });
     const low = waiting({ priority: 3 });
     expect(list.add(low, at(0))).to.equal(undefined);
     expect(list.add(waiting(), at(0))).to.equal(undefined);
@@ -92,7 +92,7 @@
   });
 
   it('bounds the queued bytes', () => {
-    const list = new WaitingList<Named>(new FlowUsage(), { count: 100, bytes: 1_000 });
+    const list = new FairQueue<Named>(new FlowUsage(), { count: 100, bytes: 1_000 });
     for (let count = 0; count < 9; count += 1) list.add(waiting({ bytes: 300 }), at(0));
     expect(list.size).to.equal(3);
   });
@@ -117,7 +117,7 @@
           const next = list.next(at(nowMs)) as Named;
           expect(list.queuedAheadMs(next, at(nowMs))).to.be.at.most((left - 1) * WORK_MS);
           expect(list.remove(next)).to.equal(true);
-          list.noteServed();
+          list.recordSlotAssigned();
           left -= 1;
         }
         expect(list.next(at(nowMs))).to.equal(undefined);
@@ -137,7 +137,7 @@
 /** Serves demands on `slots` slots of `WORK_MS` each; counts requests, those in target, and those served. */
 function serve(demands: readonly Demand[], slots: number, seconds: number) {
   const use = new FlowUsage();
-  const list = new WaitingList<Named>(use, BOUNDS);
+  const list = new FairQueue<Named>(use, BOUNDS);
   const got = demands.map(() => ({ asked: 0, inTarget: 0, served: 0 }));
   const freeAtMs = Array.from({ length: slots }, () => 0);
   for (let nowMs = 0; nowMs < seconds * 1_000; nowMs += 1) {
@@ -155,7 +155,7 @@
       const next = list.next(at(nowMs));
       if (!next) break;
       list.remove(next);
-      list.noteServed();
+      list.recordSlotAssigned();
       use.add(next.flow, WORK_MS, nowMs);
       freeAtMs[slot] = nowMs + WORK_MS;
       const tally = got[Number(next.name)] as { inTarget: number; served: number };
--- a/test/state/service/jobs/job-contents.test.ts
+++ b/test/state/service/jobs/job-contents.test.ts
@@ -20,7 +20,7 @@
 import { toRows, toStoredRecord } from '../../../support/faulty-platform.js';
 
 const JOB = 'job-1';
-const EFFORT_MS = 5_000;
+const TIMEOUT_MS = 5_000;
 
 /** Rows behind the interface of the store; `beforeNext` stands between a transaction that is lost and its repeat. */
 class LossyStore {
@@ -76,7 +76,7 @@
       head,
       position,
       results,
-      performance.now() + EFFORT_MS,
+      performance.now() + TIMEOUT_MS,
       new AbortController().signal,
     );
 
@@ -109,6 +109,6 @@
 
   it('fit one transaction with a condition for each record', () => {
     const results = Array.from({ length: 100 }, (_, index) => `result ${index}`);
-    expect(contents.fittingResults(results) * 2 + 1).to.be.within(3, 100);
+    expect(contents.countFittingResults(results) * 2 + 1).to.be.within(3, 100);
   });
 });
--- a/test/state/service/jobs/job-repository.test.ts
+++ b/test/state/service/jobs/job-repository.test.ts
@@ -20,8 +20,8 @@
 
 const JOB = 'job-1';
 const OWNER = { node: 'node-1', life: 'life-1' };
-const EFFORT_MS = 5_000;
-const ACCEPTED = {
+const TIMEOUT_MS = 5_000;
+const SUBMITTED_JOB = {
   jobId: JOB,
   host: 'service.example',
   path: '/jobs/',
@@ -33,25 +33,26 @@
 };
 
 /** Its reads of ranges show nothing, or fail as too old. */
-class OldReads extends FaultyStore {
-  readonly isNoticed: boolean;
+class StaleScanStore extends FaultyStore {
+  readonly isStalenessReported: boolean;
 
-  constructor(isNoticed: boolean) {
+  constructor(isStalenessReported: boolean) {
     super(new Random(1));
-    this.isNoticed = isNoticed;
+    this.isStalenessReported = isStalenessReported;
   }
 
   override async scan(_range: RecordRange) {
-    if (this.isNoticed) return err(new RecordStoreError('stale', 'none', 'older than an answer before'));
+    if (this.isStalenessReported)
+      return err(new RecordStoreError('stale', 'none', 'older than an answer before'));
     return ok<RecordPage, RecordStoreError>({ records: [], hasMore: false, version: 0 });
   }
 }
 
 describe('the head of a job while reads are old', () => {
-  for (const isNoticed of [false, true])
-    it(`is found although it is not among the records read${isNoticed ? ', which are known to be old' : ''}`, async () => {
-      const repository = new JobRepository(new OldReads(isNoticed));
-      (await repository.accept(ACCEPTED, OWNER, EFFORT_MS))._unsafeUnwrap();
+  for (const isStalenessReported of [false, true])
+    it(`is found although it is not among the records read${isStalenessReported ? ', which are known to be old' : ''}`, async () => {
+      const repository = new JobRepository(new StaleScanStore(isStalenessReported));
+      (await repository.accept(SUBMITTED_JOB, OWNER, TIMEOUT_MS))._unsafeUnwrap();
       const head = (await repository.read(JOB))._unsafeUnwrap();
       expect(head?.record.total).to.equal(1);
       expect((await repository.read('job-of-nobody'))._unsafeUnwrap()).to.equal(undefined);
--- a/test/state/service/replicas/crash-history.test.ts
+++ b/test/state/service/replicas/crash-history.test.ts
@@ -7,8 +7,8 @@
 } from '../../../../src/state/service/replicas/crash-history.js';
 import {
   parseCrashReport,
+  toAnswerRecord,
   toCrashRecord,
-  toServedRecord,
 } from '../../../../src/state/service/replicas/crash-record.js';
 
 const SHORT_QUARANTINE_MS = 4_000;
@@ -21,65 +21,65 @@
   });
 
   const crash = (address: string, endedAtMs: number, ...digests: string[]) => {
-    for (const digest of digests) history.note({ digest, address, endedAtMs });
+    for (const digest of digests) history.recordCrash({ digest, address, endedAtMs });
   };
 
   it('may run at one replica at a time after the first crash', () => {
     crash('a', 0, 'fatal', 'other');
-    expect(history.judge('fatal', 1)).to.deep.equal({ kind: 'suspected', ends: 1 });
-    expect(history.judge('unknown', 1)).to.deep.equal({ kind: 'clear' });
+    expect(history.verdictOf('fatal', 1)).to.deep.equal({ kind: 'suspected', ends: 1 });
+    expect(history.verdictOf('unknown', 1)).to.deep.equal({ kind: 'clear' });
   });
 
   it('are quarantined for a short time after two crashes that they alone have in common', () => {
     crash('a', 0, 'fatal', 'other');
     crash('b', 100, 'fatal', 'another');
-    expect(history.judge('fatal', 200)).to.deep.equal({
+    expect(history.verdictOf('fatal', 200)).to.deep.equal({
       kind: 'held',
       ends: 2,
       retryAfterMs: SHORT_QUARANTINE_MS - 100,
     });
-    expect(history.judge('other', 200).kind).to.equal('suspected');
-    expect(history.judge('fatal', SHORT_QUARANTINE_MS + 100).kind).to.equal('suspected');
+    expect(history.verdictOf('other', 200).kind).to.equal('suspected');
+    expect(history.verdictOf('fatal', SHORT_QUARANTINE_MS + 100).kind).to.equal('suspected');
   });
 
   it('may still run where another one ran at the same two crashes', () => {
     crash('a', 0, 'fatal', 'other');
     crash('b', 100, 'fatal', 'other');
     for (const digest of ['fatal', 'other'])
-      expect(history.judge(digest, 200).kind, digest).to.equal('suspected');
+      expect(history.verdictOf(digest, 200).kind, digest).to.equal('suspected');
     crash('c', 300, 'fatal');
-    expect(history.judge('fatal', 300)).to.deep.equal({
+    expect(history.verdictOf('fatal', 300)).to.deep.equal({
       kind: 'held',
       ends: 3,
       retryAfterMs: CRASH_EXPIRY_MS,
     });
-    expect(history.judge('other', 300).kind).to.equal('suspected');
+    expect(history.verdictOf('other', 300).kind).to.equal('suspected');
   });
 
   it('count a crash once, however often it is reported', () => {
     crash('a', 0, 'fatal');
     crash('a', 900, 'fatal');
-    expect(history.judge('fatal', 1_000)).to.deep.equal({ kind: 'suspected', ends: 1 });
+    expect(history.verdictOf('fatal', 1_000)).to.deep.equal({ kind: 'suspected', ends: 1 });
     crash('a', 2_500, 'fatal');
-    expect(history.judge('fatal', 2_600).kind).to.equal('held');
+    expect(history.verdictOf('fatal', 2_600).kind).to.equal('held');
   });
 
   it('are cleared by an answer, also when it is reported first', () => {
     for (const [at, address] of ['a', 'b', 'c'].entries()) crash(address, at, 'popular', 'fatal');
-    expect(history.noteServed({ digest: 'popular', servedAtMs: 10 })).to.equal(true);
-    expect(history.judge('popular', 11)).to.deep.equal({ kind: 'clear' });
-    expect(history.judge('fatal', 11).kind).to.equal('held');
+    expect(history.recordAnswer({ digest: 'popular', servedAtMs: 10 })).to.equal(true);
+    expect(history.verdictOf('popular', 11)).to.deep.equal({ kind: 'clear' });
+    expect(history.verdictOf('fatal', 11).kind).to.equal('held');
     crash('d', 9, 'popular');
-    expect(history.judge('popular', 11)).to.deep.equal({ kind: 'clear' });
+    expect(history.verdictOf('popular', 11)).to.deep.equal({ kind: 'clear' });
     crash('e', 12, 'popular');
-    expect(history.judge('popular', 13)).to.deep.equal({ kind: 'suspected', ends: 1 });
-    expect(history.noteServed({ digest: 'unknown', servedAtMs: 10 })).to.equal(false);
+    expect(history.verdictOf('popular', 13)).to.deep.equal({ kind: 'suspected', ends: 1 });
+    expect(history.recordAnswer({ digest: 'unknown', servedAtMs: 10 })).to.equal(false);
   });
 
   it('are removed when they expire', () => {
     for (const address of ['a', 'b', 'c']) crash(address, 0, 'fatal');
-    history.forgetBefore(1);
-    expect(history.judge('fatal', 1)).to.deep.equal({ kind: 'clear' });
+    history.expireBefore(1);
+    expect(history.verdictOf('fatal', 1)).to.deep.equal({ kind: 'clear' });
     expect(history.size).to.equal(0);
   });
 
@@ -87,7 +87,7 @@
     const count = 10_000;
     for (let index = 0; index < count; index += 1) crash(`address-${index}`, index, `request-${index}`);
     expect(history.size).to.be.at.most(5_000);
-    expect(history.judge(`request-${count - 1}`, count).kind).to.equal('suspected');
+    expect(history.verdictOf(`request-${count - 1}`, count).kind).to.equal('suspected');
   });
 
   it('are parsed from their records as they were written', () => {
@@ -96,7 +96,7 @@
     expect(parseCrashReport({ key, value })).to.deep.equal({ kind: 'ended', run: report });
     expect(() => JSON.parse(value.toString('utf8'))).to.throw();
     const served = { digest: '0a1b', servedAtMs: 1_235 };
-    expect(parseCrashReport(toServedRecord(served))).to.deep.equal({ kind: 'served', run: served });
+    expect(parseCrashReport(toAnswerRecord(served))).to.deep.equal({ kind: 'served', run: served });
     for (const other of ['', 'x', 'x\n', 'x\ny', '{"state":"open"}'])
       expect(parseCrashReport({ key, value: Buffer.from(other) }), other).to.equal(undefined);
     expect(parseCrashReport({ key, value: undefined })).to.equal(undefined);
--- a/test/state/service/replicas/replica-choice.test.ts
+++ b/test/state/service/replicas/replica-choice.test.ts
@@ -3,10 +3,10 @@
 import { sleep } from '../../../../src/common/clock.js';
 import { Random } from '../../../../src/common/random.js';
 import {
-  type ChoiceInput,
   capacityOf,
   chooseReplica,
   drainRate,
+  type ReplicaChoiceInput,
 } from '../../../../src/state/service/replicas/replica-choice.js';
 import { ReplicaState } from '../../../../src/state/service/replicas/replica-state.js';
 import { replicaWith } from '../../../support/replicas.js';
@@ -15,7 +15,7 @@
 const USUAL_MS = 40;
 const SEEDS = 200;
 
-const input: ChoiceInput = {
+const input: ReplicaChoiceInput = {
   slotsOf: ({ replica }) => replica.slots,
   zonePenalty: () => 0,
   serviceTimeMs: USUAL_MS,
@@ -25,7 +25,7 @@
 function replicas(times: readonly number[]): ReplicaState[] {
   return times.map((timeMs, index) => {
     const state = new ReplicaState(replicaWith({ id: `r${index}`, slots: SLOTS }));
-    for (let count = 0; count < 60; count += 1) state.noteLatencyRatio(timeMs / USUAL_MS);
+    for (let count = 0; count < 60; count += 1) state.recordLatencyRatio(timeMs / USUAL_MS);
     return state;
   });
 }
@@ -37,7 +37,7 @@
     const states = replicas([USUAL_MS, USUAL_MS, USUAL_MS, USUAL_MS]);
     for (let count = 0; count < 12; count += 1) {
       const choice = chooseReplica(states, input);
-      if (choice.kind === 'send') choice.state.noteAssigned();
+      if (choice.kind === 'send') choice.state.recordAttemptStart();
     }
     expect(counts(states)).to.deep.equal([3, 3, 3, 3]);
   });
@@ -48,8 +48,8 @@
     for (let count = 0; count < 300; count += 1) {
       const choice = chooseReplica(states, input);
       if (choice.kind !== 'send') throw new Error('a slot is free');
-      choice.state.noteAssigned();
-      choice.state.noteReturned(true);
+      choice.state.recordAttemptStart();
+      choice.state.recordAttemptEnd(true);
       given.set(choice.state.id, (given.get(choice.state.id) ?? 0) + 1);
     }
     expect(Math.max(...given.values())).to.be.at.most(120);
@@ -64,7 +64,7 @@
       );
       const states = replicas(times);
       for (const state of states)
-        for (let count = random.integer(SLOTS + 1); count > 0; count -= 1) state.noteAssigned();
+        for (let count = random.integer(SLOTS + 1); count > 0; count -= 1) state.recordAttemptStart();
       const { free } = capacityOf(states, input);
       const choice = chooseReplica(states, input);
       expect(choice.kind, `seed ${seed}`).to.equal(free > 0 ? 'send' : 'wait');
@@ -75,7 +75,7 @@
   it('waits for a fast one rather than use one at which the request ends later', () => {
     const states = replicas([USUAL_MS, USUAL_MS * 8]);
     const [fast] = states as [ReplicaState];
-    for (let count = 0; count < SLOTS; count += 1) fast.noteAssigned();
+    for (let count = 0; count < SLOTS; count += 1) fast.recordAttemptStart();
     expect(chooseReplica(states, input).kind).to.equal('wait');
     expect(
       chooseReplica(states, { ...input, queuedAheadMs: 60 * USUAL_MS }).kind,
@@ -93,12 +93,12 @@
   it('takes silence for slowness, but not where the request is expected to take long', async () => {
     const states = replicas([USUAL_MS, USUAL_MS]);
     const [silent, patient] = states as [ReplicaState, ReplicaState];
-    silent.noteAssigned(5);
-    patient.noteAssigned(500);
+    silent.recordAttemptStart(5);
+    patient.recordAttemptStart(500);
     await sleep(60);
     expect(silent.latencyRatio).to.be.greaterThan(8);
     expect(patient.latencyRatio).to.be.lessThan(1.5);
-    silent.noteReturned(true);
+    silent.recordAttemptEnd(true);
     expect(silent.latencyRatio).to.be.lessThan(1.5);
   });
 
@@ -106,7 +106,7 @@
     const states = replicas([USUAL_MS, USUAL_MS]);
     const [full, failing] = states as [ReplicaState, ReplicaState];
     full.backOff(10_000);
-    failing.noteFailure();
+    failing.recordFailure();
     expect(chooseReplica(states, input).kind, 'one that backs off is waited for').to.equal('wait');
     expect(chooseReplica([failing], input).kind).to.equal('send');
     expect(chooseReplica([], input).kind).to.equal('none');
@@ -115,11 +115,11 @@
   it('counts the load and the pace that a replica reports', () => {
     const states = replicas([USUAL_MS, USUAL_MS]);
     const [loaded, paced] = states as [ReplicaState, ReplicaState];
-    loaded.noteLoad({ running: SLOTS, waiting: 2, slots: SLOTS, pacePercent: undefined });
+    loaded.recordLoad({ running: SLOTS, waiting: 2, slots: SLOTS, serviceTimePercent: undefined });
     expect(loaded.occupied).to.equal(SLOTS + 2);
     const choice = chooseReplica(states, input);
     expect(choice.kind === 'send' && choice.state).to.equal(paced);
-    paced.noteLoad({ running: 0, waiting: 0, slots: SLOTS, pacePercent: 300 });
+    paced.recordLoad({ running: 0, waiting: 0, slots: SLOTS, serviceTimePercent: 300 });
     expect(paced.latencyRatio).to.be.closeTo(3, 0.3);
   });
 });
--- a/test/state/service/replicas/service-times.test.ts
+++ b/test/state/service/replicas/service-times.test.ts
@@ -9,12 +9,12 @@
   it('are kept by kind, so that a replica with long requests is not taken for slow', () => {
     const times = new ServiceTimes();
     for (let count = 0; count < 100; count += 1) {
-      times.note('short', 20);
-      times.note('long', 200);
+      times.record('short', 20);
+      times.record('long', 200);
     }
     expect(times.expectedMs('short')).to.be.closeTo(20, 0.1);
-    expect(times.note('long', 200)).to.be.closeTo(1, 0.01);
-    expect(times.note('short', 200)).to.be.closeTo(10, 0.1);
+    expect(times.record('long', 200)).to.be.closeTo(1, 0.01);
+    expect(times.record('short', 200)).to.be.closeTo(10, 0.1);
   });
 
   it('stay between the fastest and the slowest replica, however they differ', () => {
@@ -26,7 +26,7 @@
     }));
     for (let count = 0; count < 20_000; count += 1) {
       const { slow, state } = random.pick(speeds);
-      state.noteLatencyRatio(times.note('short', 20 * slow * (0.5 + random.integer(100) / 100)));
+      state.recordLatencyRatio(times.record('short', 20 * slow * (0.5 + random.integer(100) / 100)));
     }
     expect(times.expectedMs('short')).to.be.within(10, 100);
     const [fast, , slowest] = speeds.map(({ state }) => state.latencyRatio);
@@ -35,14 +35,14 @@
 
   it('are not dominated by a long first request', () => {
     const times = new ServiceTimes();
-    times.note('short', 3_000);
-    for (let count = 0; count < 8; count += 1) times.note('short', 20);
+    times.record('short', 3_000);
+    for (let count = 0; count < 8; count += 1) times.record('short', 20);
     expect(times.expectedMs('short')).to.be.lessThan(60);
   });
 
   it('are kept for a bounded number of kinds', () => {
     const times = new ServiceTimes();
-    for (let index = 0; index < 5_000; index += 1) times.note(`kind-${index}`, 20);
+    for (let index = 0; index < 5_000; index += 1) times.record(`kind-${index}`, 20);
     expect(times.expectedMs('kind-4999')).to.be.lessThan(50);
     expect(times.expectedMs('kind-1')).to.equal(50);
   });
--- a/test/state/service/store/instrumented-store.test.ts
+++ b/test/state/service/store/instrumented-store.test.ts
@@ -12,18 +12,18 @@
 import { InstrumentedStore } from '../../../../src/state/service/store/instrumented-store.js';
 import { until } from '../../../support/wait.js';
 
-const PAUSE_MS = 10;
-const ASKED = 60;
+const CALL_INTERVAL_MS = 10;
+const CALL_COUNT = 60;
 const UP: RecordRange = { table: 't', partition: 'up' };
 const DOWN: RecordRange = { table: 't', partition: 'down' };
 
 describe('the belief about the store', () => {
-  let lines: string[];
+  let healthChanges: string[];
   let store: InstrumentedStore;
 
   beforeEach(() => {
-    lines = [];
-    const logger = { record: ({ change }: { change: string }) => lines.push(change) };
+    healthChanges = [];
+    const logger = { record: ({ change }: { change: string }) => healthChanges.push(change) };
     const inner = {
       scan: async ({ partition }: RecordRange) =>
         partition === 'down'
@@ -38,12 +38,12 @@
   });
 
   it('does not change while a part of the store is down', async () => {
-    for (let asked = 0; asked < ASKED; asked += 1) {
-      await store.scan(asked % 2 === 0 ? DOWN : UP);
-      await sleep(PAUSE_MS);
+    for (let call = 0; call < CALL_COUNT; call += 1) {
+      await store.scan(call % 2 === 0 ? DOWN : UP);
+      await sleep(CALL_INTERVAL_MS);
     }
     expect(store.isAnswering()).to.equal(true);
-    expect(lines).to.deep.equal([]);
+    expect(healthChanges).to.deep.equal([]);
   });
 
   it('changes once when nothing is answered any more, and once when it is again', async () => {
@@ -56,6 +56,6 @@
     await store.scan(UP);
     await store.scan(UP);
     expect(store.isAnswering()).to.equal(true);
-    expect(lines).to.deep.equal(['store silent', 'store answering']);
+    expect(healthChanges).to.deep.equal(['store silent', 'store answering']);
   });
 });
--- a/test/support/faulty-platform.ts
+++ b/test/support/faulty-platform.ts
@@ -98,7 +98,7 @@
     return err(down());
   }
 
-  usualAnswerMs(): number {
+  averageLatencyMs(): number {
     return 0;
   }
 
--- a/test/transport/http-client.test.ts
+++ b/test/transport/http-client.test.ts
@@ -9,7 +9,7 @@
 const BODY = 'answer';
 const BODY_LIMIT = 1_000;
 /** Many at once, so that the last bytes and the reset often arrive together. */
-const AT_ONCE = 20;
+const CONCURRENT_REQUESTS = 20;
 const ROUNDS = 20;
 
 describe('answers that end with their connection', () => {
@@ -34,7 +34,7 @@
     server.close();
   });
 
-  async function ask(): Promise<string | undefined> {
+  async function requestOnce(): Promise<string | undefined> {
     const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}/`;
     const response = await client.send({ method: 'GET', url, headers: {} });
     if (response.isErr()) return undefined;
@@ -42,20 +42,21 @@
     return body.isOk() ? body.value.toString() : undefined;
   }
 
-  async function askOften(): Promise<Set<string | undefined>> {
+  async function requestRepeatedly(): Promise<Set<string | undefined>> {
     const answers = new Set<string | undefined>();
     for (let round = 0; round < ROUNDS; round += 1)
-      for (const answer of await Promise.all(Array.from({ length: AT_ONCE }, ask))) answers.add(answer);
+      for (const answer of await Promise.all(Array.from({ length: CONCURRENT_REQUESTS }, requestOnce)))
+        answers.add(answer);
     return answers;
   }
 
   it('are whole after an orderly end', async () => {
     finish = (socket) => socket.end();
-    expect([...(await askOften())]).to.deep.equal([BODY]);
+    expect([...(await requestRepeatedly())]).to.deep.equal([BODY]);
   });
 
   it('are never whole after a reset, also one that arrives together with the last bytes', async () => {
     finish = (socket) => socket.resetAndDestroy();
-    expect([...(await askOften())]).to.deep.equal([undefined]);
+    expect([...(await requestRepeatedly())]).to.deep.equal([undefined]);
   });
 });
--- a/test/transport/whole-answers.test.ts
+++ b/test/transport/whole-answers.test.ts
@@ -8,7 +8,7 @@
 import { type SystemBackend, type SystemNode, TestSystem } from '../support/system.js';
 import { until } from '../support/wait.js';
 
-const LONG = 400;
+const TOKEN_COUNT = 400;
 
 describe('answers', () => {
   const system = new TestSystem({ nodes: 1, engines: 2, applications: 1, stepMs: 8, medianTokens: 100_000 });
@@ -30,7 +30,7 @@
       body: JSON.stringify({
         model: EMULATOR_MODEL,
         prompt: uniqueId(),
-        max_tokens: LONG,
+        max_tokens: TOKEN_COUNT,
         stream: true,
         seed: 5,
       }),
@@ -75,7 +75,7 @@
       .trim()
       .split(/\s+/)
       .map((token) => Number(token.split(':')[1]));
-    expect(places).to.deep.equal(Array.from({ length: LONG }, (_, index) => index));
+    expect(places).to.deep.equal(Array.from({ length: TOKEN_COUNT }, (_, index) => index));
   });
 
   it('of an application that are cut in the middle break the connection instead of ending it', async () => {
