--- a/src/state/service/admission/flow-usage.ts
+++ b/src/state/service/admission/flow-usage.ts
@@ -1,17 +1,15 @@
 /**
- * Recent use of replica time by flow (a tenant, or a caller where there are no tenants), for fair queueing:
- * the flow with the least use is served first, and what the others leave idle goes to any flow at once.
- *
- * Owns the usage at one node, in memory; lost with the process, after which all flows start equal.
+ * Exponentially decayed use of replica time per flow, for fair queueing. A flow is a tenant, or a caller if
+ * there are no tenants. Usage is kept in memory per node.
  */
 
-/** Half-life of a use, milliseconds. Chosen, not measured: about as long as callers wait in a queue. */
+/** Half-life of recorded usage, milliseconds. */
 const USAGE_HALF_LIFE_MS = 1_000;
-/** Flows that are kept. Chosen, not measured: more than the tenants of a large configuration. */
+/** Flows kept; beyond this the least recently used are evicted. */
 const MAX_FLOWS = 100_000;
-/** Use below which a flow is removed, milliseconds of replica time. Chosen: far below one request. */
+/** Usage below which a flow is evicted, milliseconds of replica time. */
 const MIN_KEPT_USAGE_MS = 1;
-/** Flows removed at each addition, at most. Above 1, so that the number of flows can fall. */
+/** Evictions per added usage. Above 1, so that the number of flows can shrink. */
 const MAX_EVICTIONS_PER_ADD = 2;
 
 interface Usage {
@@ -19,22 +17,22 @@
   atMs: number;
 }
 
-/** Times are on the monotonic clock, milliseconds. */
+/** Times are monotonic, in milliseconds. */
 export class FlowUsage {
   private readonly usages = new Map<string, Usage>();
 
-  /** Flows that are kept. */
+  /** Number of flows kept. */
   get size(): number {
     return this.usages.size;
   }
 
-  /** Decayed use of a flow, milliseconds of replica time. */
+  /** Decayed usage of a flow, milliseconds of replica time. */
   of(flow: string, nowMs: number): number {
     const usage = this.usages.get(flow);
     return usage ? decayed(usage, nowMs) : 0;
   }
 
-  /** Adds a use; a negative one corrects an estimate that was too long. */
+  /** Adds usage, milliseconds of replica time. A negative value corrects an overestimate. */
   add(flow: string, usedMs: number, nowMs: number): void {
     const usage = this.usages.get(flow);
     const total = Math.max(0, (usage ? decayed(usage, nowMs) : 0) + usedMs);
@@ -43,7 +41,9 @@
     this.evictFlows(nowMs);
   }
 
-  /** Removes idle flows, and beyond the maximum any; least recently used ones come first in the map. */
+  /**
+   * Evicts idle flows, and any flow beyond `MAX_FLOWS`. The map iterates from the least recently used flow.
+   */
   private evictFlows(nowMs: number): void {
     let removed = 0;
     for (const [flow, usage] of this.usages) {
--- a/src/state/service/admission/index.ts
+++ b/src/state/service/admission/index.ts
@@ -9,7 +9,7 @@
   rejectionText,
   retryAfterMs,
 } from './admission.js';
+export { FairQueue, type QueuedRequest, type QueueLimits } from './fair-queue.js';
 export { FlowUsage } from './flow-usage.js';
 export { RetryBudget } from './retry-budget.js';
 export { type RunningRequest, slotWaitMs } from './slot-wait.js';
-export { FairQueue, type QueuedRequest, type QueueLimits } from './waiting-list.js';
--- a/src/state/service/admission/retry-budget.ts
+++ b/src/state/service/admission/retry-budget.ts
@@ -1,27 +1,26 @@
 /**
- * Retry budget of one service at one node: retries and hedges are limited to a share of first attempts, so
- * that slow replicas do not double their own load. Lost with the process; a new one starts half full.
+ * Token bucket that limits retries and hedges to a fraction of the first attempts, so that retries cannot
+ * multiply the load of a slow service. Kept in memory per service and node; starts half full.
  */
 
-/** Retries and hedges for each first attempt. Chosen, not measured: not enough for a slow service. */
+/** Tokens added per first attempt; each retry or hedge takes one. */
 const TOKENS_PER_FIRST_ATTEMPT = 0.2;
-/** Largest budget, requests. Chosen, not measured: what a few replicas that fail together have in flight. */
+/** Capacity of the bucket. */
 const MAX_TOKENS = 20;
 
 export class RetryBudget {
   private tokens = MAX_TOKENS / 2;
 
-  /** Whole retries or hedges that may be sent now. */
+  /** Number of retries or hedges that may be sent now. */
   get available(): number {
     return Math.floor(this.tokens);
   }
 
-  /** Notes a first attempt. */
   recordFirstAttempt(): void {
     this.tokens = Math.min(MAX_TOKENS, this.tokens + TOKENS_PER_FIRST_ATTEMPT);
   }
 
-  /** Takes one from the budget; false when it is exhausted. */
+  /** Takes a token; returns false if none is left. */
   tryTake(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
--- a/src/state/service/admission/slot-wait.ts
+++ b/src/state/service/admission/slot-wait.ts
@@ -1,18 +1,16 @@
 /**
- * Estimates how long no slot of a service becomes free, from the requests that this node has running. Covers
- * work that takes much longer than its kind usually does, which a drain rate made of usual times misses.
- *
- * Pure: the time is an argument.
+ * Estimates the wait for a slot of a service from the requests that this node has running. Detects requests
+ * that run far longer than expected, which a drain rate of average service times does not show.
  */
 
-/** A request that runs at a replica. Times are on the monotonic clock, milliseconds. */
+/** A request running at a replica. Times are monotonic, in milliseconds. */
 export interface RunningRequest {
   readonly sentAtMs: number;
   /** Expected service time, milliseconds. */
   readonly serviceTimeMs: number;
 }
 
-/** The slots of one replica, and the requests of this node that run there. */
+/** Slots of a replica and the requests of this node running there. */
 export interface ReplicaOccupancy {
   readonly slots: number;
   readonly running: Iterable<RunningRequest>;
@@ -20,8 +18,8 @@
 }
 
 /**
- * Least expected time until a slot becomes free, milliseconds; 0 where one is free, may be held by requests
- * of other nodes, or runs a request that has not yet exceeded its expected time.
+ * Lower bound of the time until a slot becomes free, milliseconds. 0 if a slot is free, may be held by
+ * requests of other nodes, or runs a request that is within its expected service time.
  */
 export function slotWaitMs(replicas: Iterable<ReplicaOccupancy>, nowMs: number): number {
   let leastMs = Number.POSITIVE_INFINITY;
@@ -33,8 +31,8 @@
 }
 
 /**
- * Remaining time of a request, milliseconds. One that exceeded its expected time is assumed to run as long
- * again, even beyond its deadline: that frees the slot of a replica which is too slow for such a request.
+ * Estimated remaining time of a request, milliseconds. One that exceeded its expected service time is assumed
+ * to run for as long again, even beyond its deadline.
  */
 function remainingMs({ sentAtMs, serviceTimeMs }: RunningRequest, nowMs: number): number {
   const elapsedMs = nowMs - sentAtMs;
--- a/test/state/service/admission/admission.test.ts
+++ b/test/state/service/admission/admission.test.ts
@@ -1,4 +1,4 @@
-/** Admission of requests, Retry-After of rejected ones, and the retry budget. */
+/** Tests of admission control, Retry-After and the retry budget. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
@@ -24,22 +24,22 @@
 });
 
 describe('admission', () => {
-  it('admits what can meet its deadline, and nothing else', () => {
+  it('admits only requests that can meet their deadline or find a free slot', () => {
     expect(admit(input({ queuedAheadMs: 4_000, queuedMs: 4_000 }), 0).kind).to.equal('admit');
     expect(admit(input({ queuedAheadMs: 6_400, queuedMs: 6_400 }), 0).kind).to.equal('reject');
     expect(
       admit(input({ queuedAheadMs: 6_400, serviceTimeMs: 9_000, hasFreeSlot: true }), 0).kind,
-      'a slot is free',
+      'a free slot is available',
     ).to.equal('admit');
     expect(admit(input({ remainingMs: 30 }), 0).kind).to.equal('reject');
-    expect(admit(input({ slotWaitMs: 770 }), 0).kind, 'no slot in time').to.equal('reject');
+    expect(admit(input({ slotWaitMs: 770 }), 0).kind, 'no slot becomes free in time').to.equal('reject');
     expect(admit(input({ slotWaitMs: 750 }), 0).kind).to.equal('admit');
     const unserved = admit(input({ hasReplica: false, hasFreeSlot: true }), 0);
     expect(unserved.kind === 'reject' && unserved.reason).to.equal('no-replica');
   });
 
-  it('gives a Retry-After that is jittered and within a third of the remaining time', () => {
-    const drawn = fc.record({
+  it('returns a Retry-After of at least 50 ms and at most a third of the remaining time', () => {
+    const randomInputs = fc.record({
       hasReplica: fc.boolean(),
       queuedAheadMs: fc.nat(200_000),
       queuedMs: fc.nat(200_000),
@@ -50,11 +50,11 @@
       remainingMs: fc.double({ min: 0, max: 10_000, noNaN: true }),
     });
     fc.assert(
-      fc.property(drawn, fc.double({ min: 0, max: 1, noNaN: true }), (drawnInput, random) => {
-        const decision = admit(drawnInput, random);
+      fc.property(randomInputs, fc.double({ min: 0, max: 1, noNaN: true }), (randomInput, random) => {
+        const decision = admit(randomInput, random);
         if (decision.kind === 'admit') return;
         expect(decision.retryAfterMs).to.be.at.least(50);
-        expect(decision.retryAfterMs).to.be.at.most(Math.max(100, drawnInput.remainingMs / 3));
+        expect(decision.retryAfterMs).to.be.at.most(Math.max(100, randomInput.remainingMs / 3));
       }),
       options,
     );
@@ -64,30 +64,30 @@
   });
 });
 
-describe('requests after their admission', () => {
-  it('are rejected once less than the margin or half of the service time is left behind the wait for a slot', () => {
+describe('rules for queued requests', () => {
+  it('rejects a queued request when less than the margin or half of its service time remains after the slot wait', () => {
     const queued = { remainingMs: 100, slotWaitMs: 60, serviceTimeMs: 80 };
     expect(isDeadlineUnreachable(queued, 40)).to.equal(false);
     expect(isDeadlineUnreachable(queued, 41)).to.equal(true);
     expect(isDeadlineUnreachable({ ...queued, serviceTimeMs: 82 }, 0)).to.equal(true);
   });
 
-  it('are queued again after fewer than 16 declines, unless cancelled or hedges', () => {
+  it('requeues a declined request up to 15 times, but never a hedge or a cancelled request', () => {
     expect(mayRequeue(15, false, false)).to.equal(true);
     expect(mayRequeue(16, false, false)).to.equal(false);
     expect(mayRequeue(1, true, false)).to.equal(false);
     expect(mayRequeue(1, false, true)).to.equal(false);
   });
 
-  it('are hedged only with an empty queue and a tenth of the slots free', () => {
+  it('allows a hedge only with an empty queue and a tenth of the slots free', () => {
     expect(mayHedge({ free: 1, slots: 10, waiting: 0 })).to.equal(true);
     expect(mayHedge({ free: 1, slots: 11, waiting: 0 })).to.equal(false);
     expect(mayHedge({ free: 5, slots: 10, waiting: 1 })).to.equal(false);
   });
 });
 
-describe('the retry budget', () => {
-  it('is a share of the first attempts', () => {
+describe('RetryBudget', () => {
+  it('allows retries for a fifth of the first attempts', () => {
     const budget = new RetryBudget();
     while (budget.tryTake());
     let taken = 0;
@@ -98,7 +98,7 @@
     expect(taken).to.be.within(190, 200);
   });
 
-  it('saves up no more than its maximum', () => {
+  it('holds no more tokens than its capacity', () => {
     const budget = new RetryBudget();
     for (let count = 0; count < 1_000; count += 1) budget.recordFirstAttempt();
     expect(budget.available).to.equal(20);
--- a/test/state/service/admission/waiting-list.test.ts
+++ b/test/state/service/admission/fair-queue.test.ts
@@ -1,8 +1,8 @@
-/** Queue order of a service, under drawn loads. */
+/** Tests of the queue order of a service, with fixed and random loads, and of flow usage. */
 import { expect } from 'chai';
 import fc from 'fast-check';
+import { FairQueue, type QueuedRequest } from '../../../../src/state/service/admission/fair-queue.js';
 import { FlowUsage } from '../../../../src/state/service/admission/flow-usage.js';
-import { FairQueue, type QueuedRequest } from '../../../../src/state/service/admission/waiting-list.js';
 
 const SEED = 20_261_204;
 const RUNS = 300;
@@ -28,39 +28,39 @@
 
 const at = (nowMs: number) => nowMs;
 
-describe('the queue order', () => {
-  const listOf = (entries: readonly Named[], use = new FlowUsage()) => {
-    const list = new FairQueue<Named>(use, BOUNDS);
+describe('FairQueue', () => {
+  const listOf = (entries: readonly Named[], usage = new FlowUsage()) => {
+    const list = new FairQueue<Named>(usage, BOUNDS);
     for (const entry of entries) list.add(entry, at(0));
     return list;
   };
 
-  it('puts the more urgent priority first, whatever else', () => {
-    const urgent = waiting({ priority: 0, targetAtMs: -500, flow: 'greedy' });
-    const use = new FlowUsage();
-    use.add('greedy', 5_000, 0);
-    expect(listOf([waiting(), urgent, waiting()], use).next(at(0))).to.equal(urgent);
+  it('serves the most urgent priority first regardless of target and usage', () => {
+    const urgent = waiting({ priority: 0, targetAtMs: -500, flow: 'heavy' });
+    const usage = new FlowUsage();
+    usage.add('heavy', 5_000, 0);
+    expect(listOf([waiting(), urgent, waiting()], usage).next(at(0))).to.equal(urgent);
   });
 
-  it('puts those that can meet their target before those that no longer can', () => {
+  it('serves requests that can meet their latency target before requests that cannot', () => {
     const late = waiting({ targetAtMs: 100, deadlineMs: 400 });
     const inTime = waiting({ targetAtMs: 300, deadlineMs: 900 });
     expect(listOf([late, inTime]).next(at(80))).to.equal(inTime);
     expect(listOf([late, inTime]).next(at(0))).to.equal(late);
   });
 
-  it('puts the flow with the least use first, then the earliest deadline', () => {
-    const use = new FlowUsage();
-    use.add('greedy', 500, 0);
-    const soonest = waiting({ flow: 'modest', deadlineMs: 500 });
+  it('serves the flow with the least usage first, then the earliest deadline', () => {
+    const usage = new FlowUsage();
+    usage.add('heavy', 500, 0);
+    const soonest = waiting({ flow: 'light', deadlineMs: 500 });
     const list = listOf(
-      [waiting({ flow: 'greedy', deadlineMs: 300 }), waiting({ flow: 'modest' }), soonest],
-      use,
+      [waiting({ flow: 'heavy', deadlineMs: 300 }), waiting({ flow: 'light' }), soonest],
+      usage,
     );
     expect(list.next(at(0))).to.equal(soonest);
   });
 
-  it('gives a share of the slots to background work, and to other priorities', () => {
+  it('reserves every fourth slot for background requests and every 25th for other priorities', () => {
     const served = new Map<string, number>();
     const list = new FairQueue<Named>(new FlowUsage(), BOUNDS);
     const fill = (name: string, fields: Partial<Named>) => {
@@ -80,7 +80,7 @@
     expect(served.get('urgent')).to.equal(144);
   });
 
-  it('drops the last in order beyond the count limit, also when that is the newest', () => {
+  it('drops the last request in order beyond the count limit, even if it is the newest', () => {
     const list = new FairQueue<Named>(new FlowUsage(), { count: 2, bytes: 1e9 });
     const low = waiting({ priority: 3 });
     expect(list.add(low, at(0))).to.equal(undefined);
@@ -91,14 +91,14 @@
     expect(list.size).to.equal(2);
   });
 
-  it('bounds the queued bytes', () => {
+  it('limits the queued bytes', () => {
     const list = new FairQueue<Named>(new FlowUsage(), { count: 100, bytes: 1_000 });
     for (let count = 0; count < 9; count += 1) list.add(waiting({ bytes: 300 }), at(0));
     expect(list.size).to.equal(3);
   });
 
-  it('serves every queued request, and bounds the work queued ahead, under drawn loads', () => {
-    const drawn = fc.array(
+  it('serves every queued request and bounds the work queued ahead under random loads', () => {
+    const randomRequests = fc.array(
       fc.record({
         priority: fc.nat(3),
         flow: fc.constantFrom('a', 'b', 'c'),
@@ -110,7 +110,7 @@
       { minLength: 1, maxLength: 30 },
     );
     fc.assert(
-      fc.property(drawn, fc.nat(2_000), (entries, nowMs) => {
+      fc.property(randomRequests, fc.nat(2_000), (entries, nowMs) => {
         const list = listOf(entries.map((fields) => waiting(fields)));
         let left = list.size;
         while (left > 0) {
@@ -134,11 +134,14 @@
   readonly perSecond: number;
 }
 
-/** Serves demands on `slots` slots of `WORK_MS` each; counts requests, those in target, and those served. */
+/**
+ * Simulates `slots` slots with `WORK_MS` per request. Counts arrived, served and in-target requests per
+ * demand.
+ */
 function serve(demands: readonly Demand[], slots: number, seconds: number) {
-  const use = new FlowUsage();
-  const list = new FairQueue<Named>(use, BOUNDS);
-  const got = demands.map(() => ({ asked: 0, inTarget: 0, served: 0 }));
+  const usage = new FlowUsage();
+  const list = new FairQueue<Named>(usage, BOUNDS);
+  const tallies = demands.map(() => ({ arrived: 0, inTarget: 0, served: 0 }));
   const freeAtMs = Array.from({ length: slots }, () => 0);
   for (let nowMs = 0; nowMs < seconds * 1_000; nowMs += 1) {
     for (const [index, { flow, priority, perSecond }] of demands.entries()) {
@@ -146,7 +149,7 @@
       for (let count = 0; count < due; count += 1) {
         const times = { sinceMs: nowMs, targetAtMs: nowMs + 200, deadlineMs: nowMs + 800 };
         list.add(waiting({ name: String(index), flow, priority, ...times }), at(nowMs));
-        (got[index] as { asked: number }).asked += 1;
+        (tallies[index] as { arrived: number }).arrived += 1;
       }
     }
     for (const entry of [...list]) if (entry.deadlineMs < nowMs + WORK_MS) list.remove(entry);
@@ -156,22 +159,22 @@
       if (!next) break;
       list.remove(next);
       list.recordSlotAssigned();
-      use.add(next.flow, WORK_MS, nowMs);
+      usage.add(next.flow, WORK_MS, nowMs);
       freeAtMs[slot] = nowMs + WORK_MS;
-      const tally = got[Number(next.name)] as { inTarget: number; served: number };
+      const tally = tallies[Number(next.name)] as { inTarget: number; served: number };
       tally.served += 1;
       if (nowMs + WORK_MS <= next.targetAtMs) tally.inTarget += 1;
     }
   }
-  return got;
+  return tallies;
 }
 
-describe('slots under overload', () => {
+describe('FairQueue under overload', () => {
   const SLOTS = 8;
   const CAPACITY_PER_SECOND = (SLOTS * 1_000) / WORK_MS;
 
   for (const factor of [5, 20])
-    it(`${factor} times the capacity, nine tenths of low priority: the high one meets its target, the low one is still served`, () => {
+    it(`meets the target of high priority and still serves low priority at ${factor} times the capacity`, () => {
       const total = CAPACITY_PER_SECOND * factor;
       const [high, low] = serve(
         [
@@ -181,38 +184,40 @@
         SLOTS,
         10,
       );
-      const capacity = Math.min(high?.asked ?? 0, CAPACITY_PER_SECOND * 10);
+      const capacity = Math.min(high?.arrived ?? 0, CAPACITY_PER_SECOND * 10);
       expect((high?.inTarget ?? 0) / capacity).to.be.at.least(0.95);
       expect(low?.served).to.be.greaterThan(0);
     });
 
-  it('one flow with a hundred times the demand of the others costs them at most 5 in 100', () => {
+  it('keeps 95% of the throughput of 20 flows beside a flow with a hundred times their demand', () => {
     const others = Array.from({ length: 20 }, (_, index) => ({
       flow: `p${index}`,
       priority: 1,
       perSecond: 6,
     }));
-    const greedy = { flow: 'greedy', priority: 1, perSecond: 600 };
+    const heavy = { flow: 'heavy', priority: 1, perSecond: 600 };
     const alone = serve(others, SLOTS, 10).reduce((sum, { inTarget }) => sum + inTarget, 0);
-    const beside = serve([...others, greedy], SLOTS, 10);
-    const left = beside.slice(0, -1).reduce((sum, { inTarget }) => sum + inTarget, 0);
+    const contended = serve([...others, heavy], SLOTS, 10);
+    const left = contended.slice(0, -1).reduce((sum, { inTarget }) => sum + inTarget, 0);
     expect(left / alone).to.be.at.least(0.95);
-    expect(beside.at(-1)?.served, 'idle slots are lent').to.be.greaterThan(CAPACITY_PER_SECOND);
+    expect(contended.at(-1)?.served, 'unused capacity goes to any flow').to.be.greaterThan(
+      CAPACITY_PER_SECOND,
+    );
   });
 
-  it('equal flows beyond the capacity get equal shares (Jain 0.95 or more)', () => {
-    const equals = Array.from({ length: 30 }, (_, index) => ({
+  it('serves equal flows equally beyond the capacity, with a Jain index of at least 0.95', () => {
+    const demands = Array.from({ length: 30 }, (_, index) => ({
       flow: `p${index}`,
       priority: 1,
       perSecond: 20,
     }));
-    const served = serve(equals, SLOTS, 10).map((one) => one.served);
+    const served = serve(demands, SLOTS, 10).map((one) => one.served);
     const sum = served.reduce((total, one) => total + one, 0);
     const squares = served.reduce((total, one) => total + one * one, 0);
     expect(sum ** 2 / (served.length * squares)).to.be.at.least(0.95);
   });
 
-  it('does not collapse: ten times the capacity serves as many as one', () => {
+  it('meets as many latency targets at ten times the capacity as at the capacity', () => {
     const total = (factor: number) =>
       serve([{ flow: 'p', priority: 1, perSecond: CAPACITY_PER_SECOND * factor }], SLOTS, 10)[0]?.inTarget ??
       0;
@@ -220,20 +225,20 @@
   });
 });
 
-describe('the usage of flows', () => {
-  it('halves in a second, and is removed once negligible', () => {
-    const use = new FlowUsage();
-    use.add('a', 800, 0);
-    expect(use.of('a', 1_000)).to.equal(400);
-    use.add('b', 10, 20_000);
-    use.add('c', 10, 20_001);
-    expect(use.of('a', 20_000)).to.equal(0);
-    expect(use.size).to.equal(2);
+describe('FlowUsage', () => {
+  it('halves usage every second and evicts negligible flows', () => {
+    const usage = new FlowUsage();
+    usage.add('a', 800, 0);
+    expect(usage.of('a', 1_000)).to.equal(400);
+    usage.add('b', 10, 20_000);
+    usage.add('c', 10, 20_001);
+    expect(usage.of('a', 20_000)).to.equal(0);
+    expect(usage.size).to.equal(2);
   });
 
-  it('is kept for a bounded number of flows', () => {
-    const use = new FlowUsage();
-    for (let index = 0; index < 100_500; index += 1) use.add(`flow-${index}`, 1_000, 0);
-    expect(use.size).to.be.at.most(100_001);
+  it('keeps a bounded number of flows', () => {
+    const usage = new FlowUsage();
+    for (let index = 0; index < 100_500; index += 1) usage.add(`flow-${index}`, 1_000, 0);
+    expect(usage.size).to.be.at.most(100_001);
   });
 });
--- a/test/state/service/admission/slot-wait.test.ts
+++ b/test/state/service/admission/slot-wait.test.ts
@@ -1,4 +1,4 @@
-/** Expected wait for a slot, from the requests that run. */
+/** Tests of the estimated wait for a slot. */
 import { expect } from 'chai';
 import { type RunningRequest, slotWaitMs } from '../../../../src/state/service/admission/slot-wait.js';
 
@@ -13,15 +13,15 @@
   return { slots, running, runningCount: running.length };
 }
 
-describe('the wait for a slot', () => {
-  it('is as long again as the shortest overlong request has run', () => {
+describe('slotWaitMs', () => {
+  it('assumes that the shortest of the overlong requests runs for as long again', () => {
     expect(slotWaitMs([replica(1, request(900))], NOW_MS)).to.equal(900);
     expect(slotWaitMs([replica(2, request(900), request(400)), replica(1, request(700))], NOW_MS)).to.equal(
       400,
     );
   });
 
-  it('is 0 while a slot is free, may be held by other nodes, or its request is within its expected time', () => {
+  it('is 0 if a slot is free, may be held by other nodes, or runs a request within its expected time', () => {
     expect(slotWaitMs([], NOW_MS)).to.equal(0);
     expect(slotWaitMs([replica(2, request(900))], NOW_MS)).to.equal(0);
     expect(slotWaitMs([replica(1, request(900)), replica(1)], NOW_MS)).to.equal(0);
