--- a/src/state/service/replicas/crash-history.ts
+++ b/src/state/service/replicas/crash-history.ts
@@ -1,14 +1,13 @@
 /**
- * Crash history: which requests ran at replicas that crashed, and whether a request is quarantined. A replica
- * may crash for other reasons, so a crash makes every request that ran there a suspect; common suspects of
- * further crashes are quarantined. An answer clears a request, since popular ones run at many crashes.
- *
- * Owns one node's history, in memory and bounded; shared through crash reports. Store's clock.
+ * Records which requests were running at replicas that crashed, and quarantines requests that repeatedly
+ * were. Since a replica may crash for other reasons, every request that ran there is only a suspect, and an
+ * answer clears it. Kept in memory with a bounded size; nodes exchange crash reports. Times are on the clock
+ * of the store.
  */
 
-/** A replica ended while it ran a request. */
+/** A replica crashed while it ran a request. */
 export interface Crash {
-  /** Identity of the request (`request-digest.ts`). */
+  /** Digest that identifies the request across retries (`request-digest.ts`). */
   readonly digest: string;
   /** `IP:PORT` of the replica. */
   readonly address: string;
@@ -23,37 +22,39 @@
   readonly servedAtMs: number;
 }
 
-/** Whether a request may be sent. The kinds are values of the log key `verdict`; `ends` counts crashes. */
+/**
+ * Whether a request may be sent. The kinds are logged under the key `verdict`; `ends` is the number of
+ * crashes.
+ */
 export type QuarantineVerdict =
-  /** It ran at no crash. */
+  /** The request has no crash on record. */
   | { readonly kind: 'clear' }
-  /** It may run, at one replica at a time. */
+  /** The request may run at one replica at a time. */
   | { readonly kind: 'suspected'; readonly ends: number }
-  /** It is quarantined for `retryAfterMs` milliseconds. */
+  /** The request is quarantined for another `retryAfterMs`. */
   | { readonly kind: 'held'; readonly ends: number; readonly retryAfterMs: number };
 
-/** Crashes after which a request is quarantined for long: the most that one request may cause. */
+/** Crashes after which a request gets the long quarantine. */
 const LONG_QUARANTINE_CRASHES = 3;
-/** Crashes after which it is quarantined for a short time if no other request ran at all of them. */
+/** Crashes after which a request gets the short quarantine if no other request ran at all of them. */
 const SHORT_QUARANTINE_CRASHES = 2;
 /**
- * Quarantine after the last crash, milliseconds. Chosen, not measured. The short one exceeds the restart of
- * replicas, some three seconds on the recorded day (docs/design/retries-hedges-and-quarantine.md), and costs a wrong suspect
- * little; the long one bounds the damage, and lets a request run again whose cause was fixed.
+ * Quarantine periods from the last crash, milliseconds. The short one exceeds the usual restart time of a
+ * replica.
  */
 const SHORT_QUARANTINE_MS = 4_000;
 const LONG_QUARANTINE_MS = 600_000;
-/** Crashes reported at one address within this time are one, milliseconds: a restart takes longer. */
+/** Reports for one address within this period are one crash, milliseconds; a restart takes longer. */
 const CRASH_MERGE_WINDOW_MS = 1_000;
-/** Requests that are kept, the oldest dropped first; some 800 bytes each with one crash (heap of 5,000). */
+/** Requests kept; the oldest are evicted first. */
 const MAX_REQUESTS = 5_000;
 
-/** Time after which a crash no longer counts, milliseconds. */
+/** Age at which a crash expires, milliseconds. */
 export const CRASH_EXPIRY_MS = LONG_QUARANTINE_MS;
 
 const CLEAR: QuarantineVerdict = { kind: 'clear' };
 
-/** A crash, and the requests that ran at it. */
+/** A crash and the digests of the requests that were running. */
 interface ReplicaCrash {
   readonly endedAtMs: number;
   readonly digests: Set<string>;
@@ -62,15 +63,15 @@
 export class CrashHistory {
   private readonly crashesByAddress = new Map<string, ReplicaCrash[]>();
   private readonly crashesByDigest = new Map<string, ReplicaCrash[]>();
-  /** Times at which requests were answered last, by digest. */
+  /** Time of the last answer by digest, the least recently updated first. */
   private readonly servedAtMs = new Map<string, number>();
 
-  /** Requests that ran at a crash. */
+  /** Number of suspects. */
   get size(): number {
     return this.crashesByDigest.size;
   }
 
-  /** Notes a crash; false when it is known, or the request was answered since. */
+  /** Records a crash. Returns false if it was already known, or if the request was answered later. */
   recordCrash({ digest, address, endedAtMs }: Crash): boolean {
     if (endedAtMs <= (this.servedAtMs.get(digest) ?? Number.NEGATIVE_INFINITY)) return false;
     const crash = this.crashAt(address, endedAtMs);
@@ -81,7 +82,7 @@
     return true;
   }
 
-  /** Notes an answer: earlier crashes no longer count. False when there were none. */
+  /** Records an answer, which clears earlier crashes. Returns false if there were none. */
   recordAnswer({ digest, servedAtMs }: AnsweredRequest): boolean {
     const before = this.servedAtMs.get(digest) ?? Number.NEGATIVE_INFINITY;
     this.servedAtMs.delete(digest);
@@ -96,12 +97,11 @@
     return later.length < crashes.length;
   }
 
-  /** Whether the request ran at a crash and was not answered since. */
+  /** Whether the request was running at a crash and has not been answered since. */
   isSuspect(digest: string): boolean {
     return this.crashesByDigest.has(digest);
   }
 
-  /** Whether a request may be sent at `nowMs`. */
   verdictOf(digest: string, nowMs: number): QuarantineVerdict {
     const crashes = this.crashesByDigest.get(digest);
     if (!crashes) return CLEAR;
@@ -113,7 +113,7 @@
       : { kind: 'suspected', ends: count };
   }
 
-  /** Removes all crashes and answers before `ms`. */
+  /** Removes crashes and answers before `ms`. */
   expireBefore(ms: number): void {
     removeBefore(this.crashesByDigest, ms);
     removeBefore(this.crashesByAddress, ms);
@@ -126,7 +126,7 @@
     return isQuarantined ? SHORT_QUARANTINE_MS : 0;
   }
 
-  /** Whether no other request ran at all of the crashes. */
+  /** Whether no other request was running at all of the crashes. */
   private isSoleSuspect(digest: string, [first, ...others]: readonly ReplicaCrash[]): boolean {
     for (const other of first?.digests ?? [])
       if (other !== digest && others.every(({ digests }) => digests.has(other))) return false;
--- a/src/state/service/replicas/crash-record.ts
+++ b/src/state/service/replicas/crash-record.ts
@@ -1,7 +1,7 @@
 /**
- * Crash reports in the store: one record for each request and replica, and one for the answer that clears the
- * request. They lie in the table of jobs, which every node follows; nodes of older builds ignore them there,
- * since they are not JSON. The stored names `fatal-runs` and `served` (in place of an id) stay.
+ * Encodes crash reports as store records: one per request and replica that crashed, and one per request that
+ * was answered. They are kept in the followed table, in the partition `fatal-runs`. Values are not JSON, so
+ * that readers of other records in that table skip them.
  */
 import type { ChangedRecord, RecordWrite } from '../../../protocol/record-store.js';
 import { FOLLOWED_TABLE } from '../store/index.js';
@@ -12,10 +12,10 @@
 const KEY_SEPARATOR = '/';
 const FIELD_SEPARATOR = '\n';
 
-/** In place of the replica's id and address in the record of an answer. */
+/** Stored in place of the replica's id and address in the record of an answer. */
 const ANSWERED_MARKER = 'served';
 
-/** Content of a record. */
+/** Content of a record: `ended` is a crash of the replica, `served` an answered request. */
 export type CrashReport =
   | { readonly kind: 'ended'; readonly run: Crash }
   | { readonly kind: 'served'; readonly run: AnsweredRequest };
@@ -29,17 +29,17 @@
   };
 }
 
-/** The record of a crash; another report of the same request and replica replaces it. */
+/** Record of a crash. A later report of the same request and replica overwrites it. */
 export function toCrashRecord({ digest, address, endedAtMs }: Crash, replicaId: string): RecordWrite {
   return reportRecord(digest, replicaId, address, endedAtMs);
 }
 
-/** The record of an answer; that of a later answer replaces it. */
+/** Record of an answer. A later answer to the same request overwrites it. */
 export function toAnswerRecord({ digest, servedAtMs }: AnsweredRequest): RecordWrite {
   return reportRecord(digest, ANSWERED_MARKER, ANSWERED_MARKER, servedAtMs);
 }
 
-/** Content of a record; `undefined` when it is no crash report. */
+/** Decodes a record; returns `undefined` if it is not a crash report. */
 export function parseCrashReport({
   key,
   value,
@@ -52,7 +52,7 @@
   return { kind: 'ended', run: { digest, address: text, endedAtMs: timeMs } };
 }
 
-/** Time of the crash or the answer, on the store's clock, milliseconds. */
+/** Time of the crash or answer on the clock of the store, milliseconds. */
 export function reportTimeMs(report: CrashReport): number {
   return report.kind === 'served' ? report.run.servedAtMs : report.run.endedAtMs;
 }
--- a/src/state/service/replicas/replica-choice.ts
+++ b/src/state/service/replicas/replica-choice.ts
@@ -1,46 +1,43 @@
 /**
- * Replica for a request in the queue of a service: the one at which it is answered soonest, or none where
- * waiting for a faster one is sooner. Replicas differ in speed, so equal counts would leave fast ones idle.
- * No replica idles while a request waits for it, unless it is so slow that the request ends sooner elsewhere.
- *
- * Rests on the usual time per kind of request and on each replica's latency ratio. Differs from
- * `replica-selection.ts`, which places generation requests. Ejected replicas are used when there are no
- * others; replicas that back off are waited for.
+ * Load balancing of queued requests: sends a request to the replica expected to finish it first, or keeps it
+ * queued if waiting for a faster replica is quicker. Ejected replicas are used only if there are no others;
+ * replicas that back off get no requests. Generation requests are placed by `replica-selection.ts` instead.
  */
 import { SLOW_LATENCY_RATIO } from './latency-estimate.js';
 import type { ReplicaState } from './replica-state.js';
 
-/** Inputs of the choice. Times in milliseconds. */
+/** Input of `chooseReplica`. Times in milliseconds. */
 export interface ReplicaChoiceInput {
-  /** Requests that a replica runs at once. */
+  /** Number of concurrent requests of a replica. */
   readonly slotsOf: (state: ReplicaState) => number;
-  /** Added to the load of a replica, as a share of its slots: its distance. */
+  /** Penalty for a distant zone, added to the load of a replica as a fraction of its slots. */
   readonly zonePenalty: (state: ReplicaState) => number;
-  /** Requests that a replica in slow start may get from this node in a second; `undefined` for no limit. */
+  /** Rate limit of this node for a replica in slow start, requests per second; `undefined` for no limit. */
   readonly slowStartPerSecond?: (state: ReplicaState) => number | undefined;
-  /** Usual time of the request, and of all that are queued ahead of it. */
+  /** Average service time of the request, and the sum of those queued ahead of it. */
   readonly serviceTimeMs: number;
   readonly queuedAheadMs: number;
 }
 
-/** The decision. `expectedMs` is the expected service time at the replica. */
+/** Result of `chooseReplica`. `expectedMs` is the expected service time at the chosen replica. */
 export type ReplicaChoice =
   | { readonly kind: 'send'; readonly state: ReplicaState; readonly expectedMs: number }
-  /** No slot is free, or only slots of replicas so slow that waiting for another is sooner. */
+  /** No slot is free, or waiting for a faster replica is quicker than using a free one. */
   | { readonly kind: 'wait' }
-  /** There is no replica. */
+  /** No replica is available. */
   | { readonly kind: 'none' };
 
 interface Candidate {
   readonly state: ReplicaState;
   readonly slots: number;
-  /** Expected service time of the request there. */
+  /** Expected service time of the request at this replica. */
   readonly timeMs: number;
 }
 
 /**
- * Replicas up to `SLOW_RATIO` times as slow as the fastest are equal, since the estimates are no better than
- * that; the one of least load is chosen. A slower one is chosen only where the request ends there first.
+ * Chooses the least loaded of the replicas within `SLOW_LATENCY_RATIO` of the fastest; smaller differences
+ * are within the error of the estimates. A slower replica is chosen only if it would finish the request
+ * sooner than the wait for a fast one.
  */
 export function chooseReplica(states: readonly ReplicaState[], input: ReplicaChoiceInput): ReplicaChoice {
   if (states.length === 0) return { kind: 'none' };
@@ -64,7 +61,7 @@
     : { kind: 'wait' };
 }
 
-/** Work that the replicas finish in a millisecond with all slots taken, milliseconds. */
+/** Service time that the replicas complete per millisecond with all slots in use. */
 export function drainRate(
   states: readonly ReplicaState[],
   input: Pick<ReplicaChoiceInput, 'slotsOf'>,
@@ -72,7 +69,7 @@
   return states.reduce((sum, state) => sum + slotsOf(state, input) / state.latencyRatio, 0);
 }
 
-/** Free slots, and all slots. Slots of replicas that back off are not free. */
+/** Free and total slots. Slots of replicas that back off do not count as free. */
 export function capacityOf(
   states: readonly ReplicaState[],
   input: Pick<ReplicaChoiceInput, 'slotsOf'>,
@@ -91,7 +88,7 @@
   return Math.max(1, input.slotsOf(state));
 }
 
-/** A slow replica without recent measurements gets one request at a time. */
+/** Whether the replica may get the request. A slow one without recent measurements gets one at a time. */
 function hasFreeSlot({ state, slots }: Candidate, input: ReplicaChoiceInput): boolean {
   const perSecond = input.slowStartPerSecond?.(state);
   if (state.isBackingOff) return false;
@@ -103,15 +100,15 @@
   return { kind: 'send', state, expectedMs: timeMs };
 }
 
-/** The candidate of least load; of equal ones the one that was sent nothing for the longest time. */
+/** The candidate with the least load; ties go to the least recently used one. */
 function leastLoaded(candidates: readonly Candidate[], input: ReplicaChoiceInput): Candidate | undefined {
   let best: Candidate | undefined;
   let bestLoad = Number.POSITIVE_INFINITY;
   for (const candidate of candidates) {
     const { state, slots } = candidate;
     const load = state.occupied / slots + input.zonePenalty(state);
-    const isTurn = load === bestLoad && best && state.lastSentAtMs < best.state.lastSentAtMs;
-    if (load > bestLoad || (load === bestLoad && !isTurn)) continue;
+    const isLessRecent = load === bestLoad && best && state.lastSentAtMs < best.state.lastSentAtMs;
+    if (load > bestLoad || (load === bestLoad && !isLessRecent)) continue;
     best = candidate;
     bestLoad = load;
   }
@@ -124,7 +121,7 @@
   return best;
 }
 
-/** How long the request would wait for a slot of a fast replica, milliseconds. */
+/** Expected wait for a slot of a fast replica, milliseconds. */
 function fastSlotWaitMs(
   candidates: readonly Candidate[],
   fastestMs: number,
--- a/src/state/service/replicas/replica-directory.ts
+++ b/src/state/service/replicas/replica-directory.ts
@@ -1,33 +1,33 @@
 /**
- * The replicas of all services, as they are announced. Owns their states, which of them are available, and
- * the zones that are evacuated. Without new announcements it stays as last known.
+ * Directory of the announced replicas of all services, with their states, their availability and the
+ * evacuated zones. Entries do not expire; they change only with announcements.
  */
 import type { Replica } from '../../../protocol/service/replica.js';
 import { compareIncarnations, type IncarnationOrder } from './replica-incarnation.js';
 import { type SelectionCriteria, selectGenerationReplica } from './replica-selection.js';
 import { ReplicaState } from './replica-state.js';
 
-/** Replicas without an announcement that are kept, the oldest dropped first. Chosen, not measured. */
+/** Withdrawn replicas whose state is kept; the oldest are evicted first. */
 const MAX_WITHDRAWN = 256;
 
 export class ReplicaDirectory {
   private readonly states = new Map<string, ReplicaState>();
   private readonly services = new Map<string, Set<ReplicaState>>();
   private readonly listeners = new Set<() => void>();
-  /** Replicas whose announcement is gone, by id: the incarnation may be announced again. */
+  /** Replicas without an announcement, by id. Their incarnation may be announced again. */
   private readonly withdrawn = new Map<string, ReplicaState>();
-  /** Ids of replicas of which it is not known which incarnation runs. */
+  /** Ids of replicas whose running incarnation is unknown. */
   private readonly unconfirmed = new Set<string>();
   private readonly evacuated = new Set<string>();
 
-  /** Called after each change. */
+  /** Registers a listener that is called after each change. */
   onChange(listener: () => void): void {
     this.listeners.add(listener);
   }
 
   /**
-   * Adds or updates a replica. A later incarnation replaces the known one and starts with no statistics.
-   * Returns how the incarnation compares with the known one; an `earlier` or `start-missing` one changes nothing.
+   * Adds or updates a replica. A later incarnation replaces the known one and starts without statistics.
+   * Returns the order of the announced incarnation; `earlier` and `start-missing` ones are ignored.
    */
   set(replica: Replica): IncarnationOrder | 'first' {
     const existing = this.states.get(replica.id);
@@ -41,7 +41,7 @@
     return order;
   }
 
-  /** Takes `replica` as the incarnation that runs now, whatever start it names. */
+  /** Sets `replica` as the running incarnation regardless of its start time. */
   replace(replica: Replica): void {
     const existing = this.states.get(replica.id);
     this.unconfirmed.delete(replica.id);
@@ -50,19 +50,22 @@
     this.notify();
   }
 
-  /** Makes a replica unavailable until it is set or replaced. */
+  /** Makes a replica unavailable until the next `set` or `replace`. */
   markUnconfirmed(id: string): void {
     this.unconfirmed.add(id);
     this.notify();
   }
 
-  /** Notes a weight version that a replica shows before it announces it. */
+  /** Records a weight version observed in an answer before the replica announced it. */
   recordVersion(state: ReplicaState, model: string, version: number): void {
     if (state.versionOf(model) >= version || !this.isAvailable(state)) return;
     this.set({ ...state.replica, modelVersions: new Map(state.replica.modelVersions).set(model, version) });
   }
 
-  /** Evacuates a zone, whose replicas are then unavailable, or ends that; false when nothing changes. */
+  /**
+   * Starts or ends the evacuation of a zone, whose replicas are unavailable meanwhile. Returns false if
+   * unchanged.
+   */
   setEvacuated(zone: string, isEvacuated: boolean): boolean {
     if (this.evacuated.has(zone) === isEvacuated) return false;
     if (isEvacuated) this.evacuated.add(zone);
@@ -71,7 +74,6 @@
     return true;
   }
 
-  /** Evacuated zones. */
   get evacuatedZones(): string[] {
     return [...this.evacuated];
   }
@@ -81,7 +83,7 @@
     return [...new Set([...this.evacuated, ...[...this.states.values()].map(({ replica }) => replica.zone)])];
   }
 
-  /** Removes a replica whose announcement is gone. */
+  /** Removes a replica whose announcement was withdrawn. Its state is kept for a later announcement. */
   remove(id: string): void {
     const state = this.states.get(id);
     if (!state) return;
@@ -101,23 +103,23 @@
     return [...this.states.keys()];
   }
 
-  /** Replicas of a service that may be used: announced, confirmed, not draining, in no evacuated zone. */
+  /** Usable replicas of a service: announced, confirmed, not draining and not in an evacuated zone. */
   availableOf(service: string): ReplicaState[] {
     const states = this.services.get(service);
     return states ? [...states].filter((state) => this.isUsable(state)) : [];
   }
 
-  /** Whether `state` is the known incarnation and may be used. */
+  /** Whether `state` is the current incarnation and usable. */
   isAvailable(state: ReplicaState): boolean {
     return this.states.get(state.replica.id) === state && this.isUsable(state);
   }
 
-  /** The replica for a generation request, or `undefined` when none fits. */
+  /** Selects the replica for a generation request; `undefined` if none qualifies. */
   selectForGeneration(criteria: SelectionCriteria): ReplicaState | undefined {
     return selectGenerationReplica(this.availableOf(criteria.service), criteria);
   }
 
-  /** A replica whose weight versions change has finished a load: it takes requests again. */
+  /** Updates a replica. A changed weight version ends its back-off, since it has finished loading. */
   private update(state: ReplicaState, replica: Replica): void {
     const before = state.replica.modelVersions;
     if (state.replica.service !== replica.service) this.moveToService(replica.service, state);
@@ -131,7 +133,6 @@
     return !replica.isDraining && !this.unconfirmed.has(replica.id) && !this.evacuated.has(replica.zone);
   }
 
-  /** Replaces an incarnation by the next one. */
   private replaceIncarnation(state: ReplicaState, replica: Replica): void {
     this.unregister(state);
     state.recordEnd('restarted');
@@ -144,7 +145,7 @@
     this.unconfirmed.delete(state.id);
   }
 
-  /** The kept state of the announced incarnation, or a new one. */
+  /** Returns the kept state of the announced incarnation, or a new state. */
   private stateFor(replica: Replica): ReplicaState {
     const known = this.withdrawn.get(replica.id);
     this.withdrawn.delete(replica.id);
--- a/src/state/service/replicas/replica-health.ts
+++ b/src/state/service/replicas/replica-health.ts
@@ -1,22 +1,22 @@
 /**
- * Health of one replica, as this node learns it from its own attempts. The states, of which several may hold:
- * - ejected: the last attempts failed; for a while, longer with each failure, until a request is finished
- * - backing off: it declined a request as full; for a while, longer with each decline, until one is taken
- * - probed: it declined its last request; generation requests are sent one at a time until one is taken
- * - awaiting answers: of some generation requests; no more are sent until one is taken or declined
+ * Passive health check of one replica from this node's own attempts. Several states can hold at once:
+ * - ejected: an attempt failed. Lasts longer with each failure and ends when a request finishes.
+ * - backing off: it declined a request as full. Lasts longer with each decline and ends when one is accepted.
+ * - probing: after a decline, generation requests are sent one at a time until one is accepted.
+ * - awaiting answers: too many generation requests are unanswered, so no more are sent.
  *
- * "Unhealthy" is ejected or backing off. Slow is not unhealthy. Times are on the monotonic clock.
+ * Unhealthy means ejected or backing off; a slow replica is not unhealthy. Times are monotonic milliseconds.
  */
 import { exponentialBackoffMs } from '../../../common/backoff.js';
 
-/** First and longest ejection, milliseconds; doubles with each failure. Chosen, not measured. */
+/** First and longest ejection, milliseconds. Doubles with each failure. */
 const MIN_EJECTION_MS = 250;
 const MAX_EJECTION_MS = 4_000;
-/** Longest back-off, milliseconds. Chosen, not measured: slots become free soon. */
+/** Longest back-off, milliseconds. */
 const MAX_BACKOFF_MS = 250;
-/** Requests that may await an answer. Chosen, not measured: what one decline may cost in delayed requests. */
+/** Generation requests that may be unanswered at a time. */
 const MAX_UNANSWERED = 3;
-/** Time without an answer after which a replica is silent, milliseconds. Chosen, not measured. */
+/** Time without an answer after which a replica counts as stalled, milliseconds. */
 const STALL_TIMEOUT_MS = 100;
 
 export class ReplicaHealth {
@@ -25,9 +25,9 @@
   private ejectedUntilMs = 0;
   private backoffUntilMs = 0;
   private isProbeInFlight = false;
-  /** Requests that were sent and neither taken nor declined yet. */
+  /** Requests that were sent but neither accepted nor declined. */
   private unanswered = 0;
-  /** Time of the last answer, or of the first request that awaits one. */
+  /** Time of the last answer, or of the first unanswered request if that is later. */
   private lastAnswerAtMs = 0;
 
   isEjected(nowMs: number): boolean {
@@ -63,14 +63,14 @@
     this.isProbeInFlight = false;
   }
 
-  /** It takes requests: a back-off ends. */
+  /** The replica accepted a request, which ends a back-off. */
   recordAccepted(): void {
     this.consecutiveDeclines = 0;
     this.backoffUntilMs = 0;
     this.isProbeInFlight = false;
   }
 
-  /** It finished a request: an ejection ends as well. */
+  /** The replica finished a request, which also ends an ejection. */
   recordFinished(): void {
     this.consecutiveFailures = 0;
     this.ejectedUntilMs = 0;
@@ -83,7 +83,10 @@
     this.consecutiveFailures += 1;
   }
 
-  /** It declined a request since it is full; counts once while it is unhealthy. */
+  /**
+   * The replica declined a request as full. Ignored while it is unhealthy, so that concurrent declines count
+   * once.
+   */
   backOff(durationMs: number, nowMs: number): void {
     this.isProbeInFlight = false;
     if (this.isEjected(nowMs) || this.isBackingOff(nowMs)) return;
--- a/src/state/service/replicas/replica-incarnation.ts
+++ b/src/state/service/replicas/replica-incarnation.ts
@@ -1,22 +1,26 @@
 /**
- * Incarnations of a replica. A replica may restart under its id; it then holds nothing of before, so what is
- * known of one incarnation says nothing of another. The id and the time of the start identify it.
+ * Incarnations of a replica. A replica that restarts keeps its id but not its state, so statistics and
+ * requests belong to one incarnation. It is identified by the id and the start time.
  */
 
 export interface ReplicaIncarnation {
   readonly id: string;
-  /** Start by the replica's own time of day, milliseconds since 1970, where it is announced. */
+  /**
+   * Start time by the replica's own clock, milliseconds since the Unix epoch; `undefined` if not announced.
+   */
   readonly startedAtMs: number | undefined;
 }
 
-/** How an announced incarnation compares with the known one. */
+/** Order of an announced incarnation relative to the known one. */
 export type IncarnationOrder =
   | 'same'
-  /** It follows the known one, which has ended. */
+  /** It started later; the known incarnation has ended. */
   | 'next'
-  /** An earlier start: a late announcement, or a clock that was set back (`replica-announcements.ts`). */
+  /**
+   * It started earlier: a delayed announcement, or a clock that was set back (`replica-announcements.ts`).
+   */
   | 'earlier'
-  /** It names no start, though the known one did. */
+  /** It has no start time, but the known incarnation has one. */
   | 'start-missing';
 
 export function compareIncarnations(
--- a/src/state/service/replicas/replica-selection.ts
+++ b/src/state/service/replicas/replica-selection.ts
@@ -1,32 +1,29 @@
 /**
- * Replica for a generation request, as its placement selects it. Differs from `replica-choice.ts`, which
- * serves the queue of a service: generation requests are long and few, belong to jobs that each node owns,
- * and do not pass a dispatcher. So the cost is the expected time by this node's measurements of events, given
- * by the caller; unhealthy replicas are never used, since a request may wait; a group may prefer a replica.
- *
- * Pure, but for what the replica states read from the clock.
+ * Selects the replica for a generation request. Generation requests are long and do not pass a dispatcher, so
+ * they are placed by a cost function of the caller, with an optional preferred replica, and never at
+ * unhealthy replicas. Other requests are balanced by `replica-choice.ts`.
  */
 import type { ReplicaState } from './replica-state.js';
 
-/** A preferred replica is used up to this multiple of the fastest `averageMs`. Chosen, not measured. */
+/** A preferred replica is used up to this multiple of the lowest `averageMs`. */
 const MAX_PREFERRED_LATENCY_RATIO = 1.2;
 
-/** What a selection depends on. */
+/** Input of `selectGenerationReplica`. */
 export interface SelectionCriteria {
   readonly service: string;
-  /** Zone of the node, for the cost. */
+  /** Zone of this node. */
   readonly zone: string;
-  /** Whether a replica may be used. */
+  /** Whether a replica is a candidate. */
   readonly accepts: (state: ReplicaState) => boolean;
-  /** Used when it is a candidate and about as fast as the fastest. */
+  /** Used if it is a candidate and nearly as fast as the fastest. */
   readonly preferred?: ReplicaState;
   readonly cost: ReplicaCost;
 }
 
-/** Cost for a node of `zone`; `fastestMs` is the lowest `averageMs`, infinite if unknown. */
+/** Cost of a replica for a node in `zone`. `fastestMs` is the lowest `averageMs`, infinite if unknown. */
 export type ReplicaCost = (state: ReplicaState, zone: string, fastestMs: number) => number;
 
-/** The preferred one or that of lowest cost of the available `states`; `undefined` when none fits. */
+/** Returns the preferred replica or the one with the lowest cost; `undefined` if there is no candidate. */
 export function selectGenerationReplica(
   states: readonly ReplicaState[],
   { accepts, preferred, zone, cost }: SelectionCriteria,
--- a/src/state/service/replicas/replica-state.ts
+++ b/src/state/service/replicas/replica-state.ts
@@ -1,27 +1,26 @@
 /**
- * One incarnation of a replica, with what this node learnt of it from traffic. Owns the requests in flight,
- * the health and the estimates of speed, load and slow start; all of it is lost with the process or the
- * incarnation. Nothing is probed: without traffic the estimates fade.
+ * State of one incarnation of a replica, learned from this node's traffic: requests in flight, health,
+ * latency, load and slow start. There are no active probes; without traffic the estimates decay.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { Replica, ReplicaLoad } from '../../../protocol/service/replica.js';
 import { LatencyEstimate } from './latency-estimate.js';
 import { ReplicaHealth } from './replica-health.js';
 import { ReportedLoad } from './reported-load.js';
-import { StallDetector } from './response-silence.js';
 import { SlowStart } from './slow-start.js';
+import { StallDetector } from './stall-detector.js';
 
-/** Weights of the newest request and of the newest event in `averageMs`. Chosen, not measured. */
+/** Weights of the newest request and of the newest event in `averageMs`. */
 const REQUEST_WEIGHT = 0.2;
 const EVENT_WEIGHT = 0.05;
 
-/** Why nothing more is sent to an incarnation: its announcement is gone, or a later incarnation is known. */
+/** Why an incarnation ended: its announcement was withdrawn, or a later incarnation is known. */
 export type IncarnationEnd = 'left' | 'restarted';
 
 export class ReplicaState {
-  /** Requests of this node that it has. */
+  /** Requests of this node at the replica. */
   inFlight = 0;
-  /** Mean service time, at a model replica time between events, milliseconds; 0 if unknown. */
+  /** Average service time, or average time between events at a model replica, milliseconds; 0 if unknown. */
   averageMs = 0;
   private end: IncarnationEnd | undefined;
   private lastRequestAtMs = 0;
@@ -40,22 +39,22 @@
     return this.replica.id;
   }
 
-  /** Weight version of `model` that the replica has, 0 when unknown. */
+  /** Weight version of `model` at the replica, 0 if unknown. */
   versionOf(model: string): number {
     return this.replica.modelVersions.get(model) ?? 0;
   }
 
-  /** Whether a later incarnation is known: whatever ran in this one has ended. */
+  /** Whether a later incarnation is known, so that the requests of this one have ended. */
   get hasRestarted(): boolean {
     return this.end === 'restarted';
   }
 
-  /** Whether it is draining or its announcement is gone: its end is planned, and no crash. */
+  /** Whether it is draining or its announcement was withdrawn, so that its end is planned and not a crash. */
   get isLeaving(): boolean {
     return this.replica.isDraining || this.end === 'left';
   }
 
-  /** Calls `listener` once if the replica restarts; returns the function that removes the listener. */
+  /** Calls `listener` once if the replica restarts. Returns a function that removes the listener. */
   onRestart(listener: () => void): () => void {
     this.restartListeners.add(listener);
     return () => this.restartListeners.delete(listener);
@@ -72,7 +71,7 @@
     this.end = undefined;
   }
 
-  /** Whether it is ejected or backing off; the states are described at `ReplicaHealth`. */
+  /** Whether it is ejected or backing off; see `ReplicaHealth`. */
   get isUnhealthy(): boolean {
     return this.isEjected || this.isBackingOff;
   }
@@ -90,44 +89,46 @@
     return this.health.allowsGeneration(monotonicMs());
   }
 
-  /** Whether as many generation requests as may be sent await its answer. */
+  /** Whether the limit of unanswered generation requests is reached. */
   get isAwaitingAnswers(): boolean {
     return this.health.isAwaitingAnswers(monotonicMs());
   }
 
-  /** Whether it declined the last request that it answered. */
+  /** Whether it has declined a request and accepted none since. */
   get hasDeclined(): boolean {
     return this.health.hasDeclined;
   }
 
-  /** Requests that it has, of this node and, by its last report, of others. */
+  /** Requests at the replica: those of this node, and an estimate of those of other nodes. */
   get occupied(): number {
     return this.inFlight + this.reportedLoad.requestsOfOthers(monotonicMs());
   }
 
-  /** Service time over the usual one: measured times the reported pace, or its silence if longer. */
+  /**
+   * Service time relative to the average: measured ratio times reported ratio, or the stall ratio if larger.
+   */
   get latencyRatio(): number {
     const nowMs = monotonicMs();
     const silence = this.inFlight === 0 ? 0 : this.stallDetector.ratio(nowMs);
     return Math.max(this.latency.ratio(nowMs) * this.reportedLoad.latencyRatio(nowMs), silence);
   }
 
-  /** Whether it was slow and has not been measured since: it gets one request at a time. */
+  /** Whether it was slow and has no recent measurement. It then gets one request at a time. */
   get isLatencyStale(): boolean {
     return this.latency.isStale(monotonicMs());
   }
 
-  /** Time of the last request that was sent to it, on the monotonic clock, milliseconds. */
+  /** Time of the last request sent to it, monotonic, milliseconds. */
   get lastSentAtMs(): number {
     return this.lastRequestAtMs;
   }
 
-  /** Whether one more request keeps the limit of slow start. */
+  /** Whether one more request stays within the rate limit of slow start. */
   allowsInSlowStart(maxPerSecond: number): boolean {
     return this.slowStart.allows(maxPerSecond, monotonicMs());
   }
 
-  /** Puts it into slow start for `forMs` milliseconds from now. */
+  /** Starts slow start for `forMs` milliseconds. */
   beginSlowStart(forMs: number): void {
     this.slowStart.begin(forMs, monotonicMs());
   }
@@ -140,26 +141,26 @@
     this.reportedLoad.record(load, this.inFlight, monotonicMs());
   }
 
-  /** Notes that a request is sent whose expected time is `expectedMs`, 0 where it is not known. */
+  /** Records the start of an attempt. `expectedMs` is its expected service time, 0 if unknown. */
   recordAttemptStart(expectedMs = 0): void {
     this.stallDetector.recordAttemptStart(expectedMs, this.inFlight === 0, monotonicMs());
     this.inFlight += 1;
     this.recordSend();
   }
 
-  /** Notes that a request has ended; `isAnswered` when the replica answered or declined it. */
+  /** Records the end of an attempt. `isAnswered` is true if the replica answered or declined it. */
   recordAttemptEnd(isAnswered: boolean): void {
     this.inFlight -= 1;
     if (isAnswered) this.stallDetector.recordAnswer(monotonicMs());
   }
 
-  /** Notes that a generation request is sent, which it is to take or decline. */
+  /** Records that a generation request was sent, which the replica will accept or decline. */
   recordGenerationSent(): void {
     this.health.recordSent(monotonicMs());
     this.recordSend();
   }
 
-  /** Notes that it took or declined a generation request, or that the request ended before. */
+  /** Records that a generation request was accepted or declined, or ended before that. */
   recordGenerationSettled(): void {
     this.health.recordSettled(monotonicMs());
   }
@@ -168,28 +169,28 @@
     this.health.recordAccepted();
   }
 
-  /** Notes that it served a request in `tookMs`. */
+  /** Records a request served in `tookMs`. */
   recordSuccess(tookMs: number): void {
     this.recordFinished();
     this.updateAverage(tookMs, REQUEST_WEIGHT);
   }
 
-  /** Notes that it finished a request whose events were measured one by one. */
+  /** Records a finished request whose event intervals were recorded separately. */
   recordFinished(): void {
     this.health.recordFinished();
   }
 
-  /** Notes that it sent an event `tookMs` after the one before. */
+  /** Records an event received `tookMs` after the previous one. */
   recordEventInterval(tookMs: number): void {
     this.updateAverage(tookMs, EVENT_WEIGHT);
   }
 
-  /** Notes a failed attempt: it is ejected for a while. */
+  /** Records a failed attempt, which ejects the replica temporarily. */
   recordFailure(): void {
     this.health.recordFailure(monotonicMs());
   }
 
-  /** Notes that it declined a request since it is full; the first back-off takes `durationMs`. */
+  /** Records a decline of a full replica. `durationMs` is the first back-off. */
   backOff(durationMs: number): void {
     this.health.backOff(durationMs, monotonicMs());
   }
--- a/src/state/service/replicas/reported-load.ts
+++ b/src/state/service/replicas/reported-load.ts
@@ -1,34 +1,34 @@
 /**
- * Load and pace that a replica last reported with an answer, where it does. The requests of other nodes fade,
- * since their ends are not reported; an old pace does not count.
+ * Load that a replica last reported with an answer. The estimate of other nodes' requests decays, since their
+ * completion is not reported, and an outdated latency ratio is ignored.
  */
 import type { ReplicaLoad } from '../../../protocol/service/replica.js';
 
-/** Half-life of reported requests, and largest age of a pace, milliseconds. Chosen, not measured. */
+/** Half-life of reported requests and maximum age of a reported latency ratio, milliseconds. */
 const MAX_AGE_MS = 250;
-/** The pace of a replica whose work takes its usual time. */
+/** Value of `serviceTimePercent` when requests take their usual time. */
 const USUAL_PERCENT = 100;
 
 export class ReportedLoad {
   private load: ReplicaLoad | undefined;
   private reportedAtMs = 0;
-  /** Requests of other nodes at the time of the report. */
+  /** Requests of other nodes as of the last report. */
   private othersAtReport = 0;
 
-  /** `inFlight` are this node's own requests, which the report contains. */
+  /** Records a report. `inFlight` are this node's own requests, which the report includes. */
   record(load: ReplicaLoad, inFlight: number, nowMs: number): void {
     this.load = load;
     this.reportedAtMs = nowMs;
     this.othersAtReport = Math.max(0, load.running + load.waiting - inFlight);
   }
 
-  /** Estimated requests of other nodes. */
+  /** Estimated number of requests of other nodes. */
   requestsOfOthers(nowMs: number): number {
     if (!this.load) return 0;
     return Math.round(this.othersAtReport * 2 ** (-(nowMs - this.reportedAtMs) / MAX_AGE_MS));
   }
 
-  /** How many times the usual its work takes; 1 where that is not reported. */
+  /** Service time relative to the usual one; 1 if not reported recently. */
   latencyRatio(nowMs: number): number {
     const percent = this.load?.serviceTimePercent;
     const isOld = nowMs - this.reportedAtMs > MAX_AGE_MS;
--- a/src/state/service/replicas/service-times.ts
+++ b/src/state/service/replicas/service-times.ts
@@ -1,22 +1,22 @@
 /**
- * Usual service time of each kind of request at the replicas of a service, as one node measures it. Kinds
- * differ much in length, so a replica's speed shows only against the usual time of what it was sent.
+ * Average service time per kind of request over all replicas of a service, as measured by this node. Kinds
+ * differ widely in length, so the speed of a replica is judged relative to the average of each kind.
  *
- * The usual time is that of all replicas as they are used, slow ones too. Divided by each one's latency ratio
- * it would feed on itself: replicas would look faster, and it would grow.
+ * Times are not normalised by the latency ratio of their replica: the ratio is derived from the average, and
+ * the feedback would inflate the average.
  */
 
-/** Weight of the newest request in the mean of the logarithm. Chosen, not measured. */
+/** Weight of the newest request in the mean logarithm. */
 const SMOOTHING_FACTOR = 0.1;
-/** Kinds that are kept; beyond, all are measured anew. Chosen: far more than routes. */
+/** Kinds kept; beyond this all measurements are discarded. */
 const MAX_KINDS = 1_000;
-/** Usual time of an unmeasured kind, milliseconds; counts like one request. Chosen, not measured. */
+/** Initial estimate for a kind without measurements, milliseconds; weighs as much as one request. */
 const DEFAULT_SERVICE_TIME_MS = 50;
-/** Shortest time that is noted, milliseconds: bounds the logarithm. */
+/** Shortest time recorded, milliseconds; bounds the logarithm. */
 const MIN_RECORDED_MS = 0.1;
 
 interface KindTime {
-  /** Mean of the logarithm of the times, and number of requests. */
+  /** Mean logarithm of the service times in milliseconds. */
   log: number;
   count: number;
 }
@@ -24,13 +24,13 @@
 export class ServiceTimes {
   private readonly kinds = new Map<string, KindTime>();
 
-  /** Usual time of a kind, milliseconds. */
+  /** Average service time of a kind, milliseconds. */
   expectedMs(kind: string): number {
     const known = this.kinds.get(kind);
     return known ? Math.exp(known.log) : DEFAULT_SERVICE_TIME_MS;
   }
 
-  /** Notes the time of a request. Returns its ratio to the usual time; 1 for the first of its kind. */
+  /** Records the service time of a request. Returns its ratio to the average, 1 for the first of its kind. */
   record(kind: string, tookMs: number): number {
     const log = Math.log(Math.max(tookMs, MIN_RECORDED_MS));
     const known = this.kindOf(kind);
--- a/src/state/service/replicas/slow-start.ts
+++ b/src/state/service/replicas/slow-start.ts
@@ -1,12 +1,12 @@
-/** Limit of the requests that this node sends to a replica in slow start. Monotonic clock. */
+/** Limits the rate of requests that this node sends to a replica in slow start. Times are monotonic. */
 import { MILLISECONDS_PER_SECOND } from '../../../common/clock.js';
 
 export class SlowStart {
   private untilMs = 0;
-  /** Times of the requests that were sent in slow start, the oldest first. */
+  /** Times of requests sent during slow start, the oldest first. */
   private readonly sentAtMs: number[] = [];
 
-  /** The replica is in slow start for `forMs` milliseconds from now. */
+  /** Starts slow start for `forMs` milliseconds. */
   begin(forMs: number, nowMs: number): void {
     this.untilMs = nowMs + forMs;
   }
@@ -15,7 +15,7 @@
     if (nowMs < this.untilMs) this.sentAtMs.push(nowMs);
   }
 
-  /** Whether one more request keeps the limit; below one a second, one in the time that each may take. */
+  /** Whether one more request stays within the limit. Below 1 per second, allows one request per period. */
   allows(maxPerSecond: number, nowMs: number): boolean {
     if (nowMs >= this.untilMs) return true;
     const sinceMs = nowMs - MILLISECONDS_PER_SECOND * Math.max(1, 1 / maxPerSecond);
--- a/test/state/service/replicas/crash-history.test.ts
+++ b/test/state/service/replicas/crash-history.test.ts
@@ -1,4 +1,4 @@
-/** Which requests are quarantined after crashes, and which are not. */
+/** Tests of the quarantine of requests after replica crashes, and of crash records. */
 import { expect } from 'chai';
 import {
   CRASH_EXPIRY_MS,
@@ -13,7 +13,7 @@
 
 const SHORT_QUARANTINE_MS = 4_000;
 
-describe('requests at which replicas crashed', () => {
+describe('CrashHistory', () => {
   let history: CrashHistory;
 
   beforeEach(() => {
@@ -24,13 +24,13 @@
     for (const digest of digests) history.recordCrash({ digest, address, endedAtMs });
   };
 
-  it('may run at one replica at a time after the first crash', () => {
+  it('makes a request a suspect after its first crash', () => {
     crash('a', 0, 'fatal', 'other');
     expect(history.verdictOf('fatal', 1)).to.deep.equal({ kind: 'suspected', ends: 1 });
     expect(history.verdictOf('unknown', 1)).to.deep.equal({ kind: 'clear' });
   });
 
-  it('are quarantined for a short time after two crashes that they alone have in common', () => {
+  it('quarantines the only common suspect of two crashes for the short period', () => {
     crash('a', 0, 'fatal', 'other');
     crash('b', 100, 'fatal', 'another');
     expect(history.verdictOf('fatal', 200)).to.deep.equal({
@@ -42,7 +42,7 @@
     expect(history.verdictOf('fatal', SHORT_QUARANTINE_MS + 100).kind).to.equal('suspected');
   });
 
-  it('may still run where another one ran at the same two crashes', () => {
+  it('does not quarantine a request after two crashes that share another suspect', () => {
     crash('a', 0, 'fatal', 'other');
     crash('b', 100, 'fatal', 'other');
     for (const digest of ['fatal', 'other'])
@@ -56,7 +56,7 @@
     expect(history.verdictOf('other', 300).kind).to.equal('suspected');
   });
 
-  it('count a crash once, however often it is reported', () => {
+  it('counts repeated reports of one crash once', () => {
     crash('a', 0, 'fatal');
     crash('a', 900, 'fatal');
     expect(history.verdictOf('fatal', 1_000)).to.deep.equal({ kind: 'suspected', ends: 1 });
@@ -64,7 +64,7 @@
     expect(history.verdictOf('fatal', 2_600).kind).to.equal('held');
   });
 
-  it('are cleared by an answer, also when it is reported first', () => {
+  it('clears a request when it is answered, even if the answer is reported before the crash', () => {
     for (const [at, address] of ['a', 'b', 'c'].entries()) crash(address, at, 'popular', 'fatal');
     expect(history.recordAnswer({ digest: 'popular', servedAtMs: 10 })).to.equal(true);
     expect(history.verdictOf('popular', 11)).to.deep.equal({ kind: 'clear' });
@@ -76,21 +76,21 @@
     expect(history.recordAnswer({ digest: 'unknown', servedAtMs: 10 })).to.equal(false);
   });
 
-  it('are removed when they expire', () => {
+  it('removes expired crashes', () => {
     for (const address of ['a', 'b', 'c']) crash(address, 0, 'fatal');
     history.expireBefore(1);
     expect(history.verdictOf('fatal', 1)).to.deep.equal({ kind: 'clear' });
     expect(history.size).to.equal(0);
   });
 
-  it('take bounded memory, the newest are kept', () => {
+  it('keeps a bounded number of requests, the newest ones', () => {
     const count = 10_000;
     for (let index = 0; index < count; index += 1) crash(`address-${index}`, index, `request-${index}`);
     expect(history.size).to.be.at.most(5_000);
     expect(history.verdictOf(`request-${count - 1}`, count).kind).to.equal('suspected');
   });
 
-  it('are parsed from their records as they were written', () => {
+  it('decodes its records and rejects other values', () => {
     const report: Crash = { digest: '0a1b', address: '127.0.0.1:80', endedAtMs: 1_234 };
     const { key, value } = toCrashRecord(report, 'replica-1');
     expect(parseCrashReport({ key, value })).to.deep.equal({ kind: 'ended', run: report });
--- a/test/state/service/replicas/dispatcher-selection.test.ts
+++ b/test/state/service/replicas/dispatcher-selection.test.ts
@@ -1,4 +1,4 @@
-/** Dispatcher selection: every node finds the same dispatchers, and few change when nodes come and go. */
+/** Tests of dispatcher selection: all nodes agree, and few dispatchers change when nodes join or leave. */
 import { expect } from 'chai';
 import { Random } from '../../../../src/common/random.js';
 import {
@@ -21,12 +21,12 @@
 const firstOf = (service: string, members: readonly FleetMember[]) =>
   rankDispatchers(service, members)[0]?.name;
 
-describe('dispatchers of services', () => {
-  it('are the same in whatever order the nodes are known', () => {
+describe('rankDispatchers and dispatcherCount', () => {
+  it('ranks the same dispatcher first in any order of the members', () => {
     const members = fleet(89);
     const random = new Random(7);
     const shuffled = members.map((member) => ({ member, at: random.integer(1_000) }));
-    shuffled.sort((one, other) => one.at - other.at);
+    shuffled.sort((left, right) => left.at - right.at);
     for (const service of SERVICES)
       expect(
         firstOf(
@@ -36,7 +36,7 @@
       ).to.equal(firstOf(service, members));
   });
 
-  it('stay when another node leaves, and are followed by the next in rank order otherwise', () => {
+  it('keeps the first dispatcher when another node leaves, and ranks the second first when it leaves', () => {
     const members = fleet(89);
     for (const service of SERVICES) {
       const [first, second] = rankDispatchers(service, members) as [FleetMember, FleetMember];
@@ -55,18 +55,18 @@
     }
   });
 
-  it('are nodes with at least half of the processor share of the strongest one', () => {
+  it('ranks only nodes with at least half the CPU share of the strongest', () => {
     const members = fleet(80, (index) => (index % 4 === 0 ? 1.35 : 0.243));
     for (const service of SERVICES) expect(rankDispatchers(service, members)[0]?.capacity).to.equal(1.35);
   });
 
-  it('are spread over the nodes when there are many services', () => {
+  it('spreads many services over the nodes', () => {
     const members = fleet(20);
     const used = new Set(SERVICES.map((service) => firstOf(service, members)));
     expect(used.size).to.be.greaterThan(15);
   });
 
-  it('are more the more replicas there are', () => {
+  it('adds a dispatcher for every 32 replicas', () => {
     expect([0, 1, 32, 33, 3_000].map(dispatcherCount)).to.deep.equal([1, 1, 1, 2, 94]);
   });
 });
