--- a/src/coordination/service/dispatch/queue-checks.ts
+++ b/src/coordination/service/dispatch/assignment-scheduler.ts
@@ -1,19 +1,21 @@
-/** When a queue assigns its requests: after a change, and at a fixed period while requests are queued. */
+/**
+ * Schedules the assignment of queued requests: after a change, and periodically while requests are queued.
+ */
 
-/** Period of the check, milliseconds: the end of a back-off is no event. Chosen, not measured. */
+/** Period of the assignment, milliseconds. Needed because the end of a back-off emits no event. */
 export const RECHECK_INTERVAL_MS = 20;
 
 export class AssignmentScheduler {
   private timer: NodeJS.Timeout | undefined;
   private isScheduled = false;
 
-  /** `check` is called only from the event loop, never within a call of this object. */
+  /** `assign` is always called asynchronously. */
   constructor(
     private readonly assign: () => void,
     private readonly hasQueued: () => boolean,
   ) {}
 
-  /** Checks in this turn of the event loop, once however often this is called. */
+  /** Assigns in this turn of the event loop. Repeated calls are coalesced. */
   schedule(): void {
     if (this.isScheduled || !this.hasQueued()) return;
     this.isScheduled = true;
@@ -23,7 +25,7 @@
     });
   }
 
-  /** Checks once after `RECHECK_MS`, unless that is planned already. */
+  /** Assigns once after `RECHECK_INTERVAL_MS`, unless a timer is already set. */
   armTimer(): void {
     if (this.timer || !this.hasQueued()) return;
     this.timer = setTimeout(() => {
--- a/src/coordination/service/dispatch/crash-check.ts
+++ b/src/coordination/service/dispatch/crash-check.ts
@@ -1,17 +1,16 @@
 /**
- * Distinguishes a crashed replica from a lost connection, which look the same to the request: after a crash
- * nothing listens at the address until the next incarnation starts. A crash is missed where that starts
- * before the probe, or packets are lost; in doubt there was none.
+ * Distinguishes a crashed replica from a lost connection by probing its address: after a crash, connections
+ * are refused until the next incarnation starts. An inconclusive probe does not count as a crash.
  */
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
 import { type ListenerState, probeListener } from '../../../transport/listener-probe.js';
 
-/** Time-out of a probe, milliseconds. Chosen, not measured: a caller may wait for the next attempt. */
+/** Timeout of a probe, milliseconds. */
 const PROBE_TIMEOUT_MS = 300;
 
 export class CrashCheck {
-  /** Probes in progress, by address: requests that fail together share one. */
+  /** Probes in progress by address, shared by requests that fail at the same time. */
   private readonly probes = new Map<string, Promise<ListenerState>>();
 
   constructor(
@@ -19,7 +18,7 @@
     private readonly probe: typeof probeListener = probeListener,
   ) {}
 
-  /** Whether a replica has certainly crashed, after a connection to it was lost. Never rejects. */
+  /** Whether a replica has certainly crashed after a lost connection. Never rejects. */
   async hasCrashed(replica: ReplicaState): Promise<boolean> {
     const { service, address } = replica.replica;
     const listener = await this.probeOnce(address);
--- a/src/coordination/service/dispatch/dispatch-call.ts
+++ b/src/coordination/service/dispatch/dispatch-call.ts
@@ -1,67 +1,67 @@
-/** A request for some replica of a service, and its result, in the queue and in remote dispatch. */
+/**
+ * Calls to a service, their results and the capacity of the service, as used by queues and remote dispatch.
+ */
 import type { ReplicaRequest } from '../../../protocol/service/replica.js';
 import type { AttemptOutcome } from './replica-exchange.js';
 
-/** A request for some replica of a service. Times are on the monotonic clock, milliseconds. */
+/** A request to any replica of a service. Times are monotonic, in milliseconds. */
 export interface DispatchCall {
   readonly service: string;
-  /** Requests of one kind are expected to take equally long: the name of the route. */
+  /** Key of the service time estimate: the name of the route. */
   readonly workKind: string;
   readonly request: Omit<ReplicaRequest, 'remainingMs' | 'signal'>;
-  /** 0 is the most urgent; counts upwards. */
+  /** 0 is the most urgent. */
   readonly priority: number;
-  /** Charged for the use of replicas: a tenant, or a caller where there are no tenants. */
+  /** Flow charged for the replica time: a tenant, or a caller if there are no tenants. */
   readonly flow: string;
-  /** Whether it yields to interactive requests of its priority. */
+  /** Whether it yields to interactive requests of the same priority. */
   readonly isBackground: boolean;
-  /** Latency target, and deadline: when the answer is wanted, and when it is of no more use. */
+  /** Latency target, and the deadline after which the answer is useless. */
   readonly targetAtMs: number;
   readonly deadlineMs: number;
-  /** Whether another attempt of it runs: it takes a free slot and retry budget, or is declined. */
+  /** Whether another attempt is running. A hedge needs a free slot and retry budget, or is declined. */
   readonly isHedge: boolean;
-  /** Whether an earlier attempt reached a replica: it takes retry budget. */
+  /** Whether an earlier attempt reached a replica. A retry needs retry budget. */
   readonly isRetry: boolean;
-  /** Ids of replicas that it was sent to before; used only when there are no others. */
+  /** Ids of replicas already tried, used again only if there are no others. */
   readonly excluded: ReadonlySet<string>;
   readonly configVersion: number;
-  /** Aborted when nobody wants the answer any more. */
+  /** Aborted when the caller no longer needs the answer. */
   readonly signal: AbortSignal;
   /**
-   * Called with `true` when the request is handed to a replica or to another node, where it may run, and with
-   * `false` when it has not run there and is queued here again. Without a call it has not run.
+   * Called with `true` when the request is passed to a replica or another node, where it may run, and with
+   * `false` when it did not run there and is queued here again.
    */
   readonly onHandOver?: (mayRun: boolean) => void;
 }
 
-/** A replica that a request was sent to. */
 export interface AttemptedReplica {
   readonly id: string;
   /** `IP:PORT`. */
   readonly address: string;
 }
 
-/** Slots of a service and queued requests, as its dispatcher sees them. */
+/** Free and total slots of a service and the number of queued requests at its dispatcher. */
 export interface ServiceCapacity {
   readonly free: number;
   readonly slots: number;
   readonly waiting: number;
 }
 
-/** The result of a call. */
 export interface DispatchResult {
   readonly outcome: AttemptOutcome;
-  /** The last replica that it was sent to; none where it was sent to none. */
+  /** The last replica that the request was sent to, if any. */
   readonly replica?: AttemptedReplica;
-  /** Whether the replica has crashed while it ran the request; a planned end is none. */
+  /** Whether the replica crashed while it ran the request. A planned shutdown is not a crash. */
   readonly hasCrashedReplica: boolean;
-  /** Retry-After of a request that has not run, milliseconds. */
+  /** Retry-After of a rejected request, milliseconds. */
   readonly retryAfterMs?: number;
   readonly capacity?: ServiceCapacity;
-  /** Whether it was rejected only because its dispatcher is leaving. */
+  /** Whether the request was rejected because its dispatcher is shutting down. */
   readonly isLeaving?: boolean;
-  /** Name of the dispatcher, for the logs. */
+  /** Name of the dispatcher that returned the result. */
   readonly via?: string;
 }
 
-/** The result of a call that its caller has cancelled. */
+/** Result of a cancelled call. */
 export const CANCELLED_RESULT: DispatchResult = { outcome: { kind: 'cancelled' }, hasCrashedReplica: false };
--- a/src/coordination/service/dispatch/dispatch-messages.ts
+++ b/src/coordination/service/dispatch/dispatch-messages.ts
@@ -1,15 +1,9 @@
 /**
- * Translates calls and results to and from messages (`dispatch-peer.ts`). Wire names that mislead:
- * - `rank`: priority, 0 is the most urgent
- * - `party`: flow
- * - `isPatient`: whether it is background work
- * - `isExtra`: whether it is a hedge
- * - `aimMs`, `leftMs`: time until the latency target, and until the deadline
- * - `isServed`: whether the store answers the caller's node; about the node, not about the request
- * - `hasEndedReplica`: whether the replica has crashed
- * - `room`: capacity
- *
- * Times on the wire are relative, since monotonic clocks cannot be compared; the hop is not deducted.
+ * Converts calls and results to and from messages (`dispatch-peer.ts`). Fields whose wire name differs:
+ * - `rank`: priority, `party`: flow, `isPatient`: background, `isExtra`: hedge
+ * - `aimMs`, `leftMs`: time until the latency target and the deadline, relative since monotonic clocks differ
+ * - `isServed`: whether the store answers the calling node
+ * - `hasEndedReplica`: whether the replica crashed, `isClosed`: dispatcher is leaving, `room`: capacity
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type {
@@ -22,7 +16,6 @@
 
 const NO_BODY = Buffer.alloc(0);
 
-/** The message of a call. */
 export function toMessage(call: DispatchCall, isStoreAnswering: boolean): Framed<DispatchMessage> {
   const nowMs = monotonicMs();
   const { id, method, path, host, headers, tenant, body } = call.request;
@@ -51,7 +44,7 @@
   };
 }
 
-/** The call of another node's message. */
+/** Converts the message of another node to a call. `signal` aborts it. */
 export function toCall({ message, body }: Framed<DispatchMessage>, signal: AbortSignal): DispatchCall {
   const {
     service,
@@ -86,7 +79,6 @@
   };
 }
 
-/** The message of a result. */
 export function toOutcomeMessage(result: DispatchResult): Framed<DispatchOutcomeMessage> {
   const { outcome, replica, hasCrashedReplica, retryAfterMs, capacity, isLeaving: isClosed } = result;
   const shared = {
@@ -110,13 +102,13 @@
   return { message: { ...shared, ...isFull, reason: outcome.reason }, body: NO_BODY };
 }
 
-/** The result in a message from the dispatcher `via`. */
+/** Converts a message from the dispatcher `via` to a result. */
 export function toResult({ message, body }: Framed<DispatchOutcomeMessage>, via: string): DispatchResult {
   const { replica, hasEndedReplica: hasCrashedReplica, retryAfterMs, room: capacity } = message;
   return { outcome: toOutcome(message, body), replica, hasCrashedReplica, retryAfterMs, capacity, via };
 }
 
-/** Optional fields that are missing get the value that promises least. */
+/** Missing optional fields get conservative defaults. */
 function toOutcome(message: DispatchOutcomeMessage, body: Buffer): AttemptOutcome {
   const {
     kind,
--- a/src/coordination/service/dispatch/dispatcher-candidates.ts
+++ b/src/coordination/service/dispatch/dispatcher-candidates.ts
@@ -1,9 +1,7 @@
 /**
- * The nodes to call for a service: one of its dispatchers, then the fallback in this node's zone. Of two
- * dispatchers drawn at random the less loaded is called, so that nodes do not all choose the same one.
- *
- * Owns the selection per service, until the fleet or the replicas change, and the last capacity that each
- * dispatcher reported. Where all are ejected there is no candidate, and the caller dispatches by itself.
+ * Nodes to call for a service: one of its dispatchers, then the fallback in this node's zone. The dispatcher
+ * is the less loaded of two random ones (power of two choices). Selections are cached until the fleet or the
+ * replicas change. If all candidates are ejected there are none, and this node dispatches itself.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import {
@@ -14,10 +12,10 @@
 } from '../../../state/service/replicas/index.js';
 import type { ServiceCapacity } from './dispatch-call.js';
 
-/** Age up to which a reported capacity counts, milliseconds. Chosen, not measured. */
+/** Maximum age of a reported capacity, milliseconds. */
 const MAX_CAPACITY_AGE_MS = 1_000;
 
-/** What the candidates depend on. */
+/** Dependencies of `DispatcherCandidates`. */
 export interface CandidateServices {
   readonly nodeName: string;
   readonly zone: string;
@@ -33,17 +31,17 @@
 export class DispatcherCandidates {
   private readonly selections = new Map<string, DispatcherSelection>();
   private readonly capacities = new Map<string, ReportedCapacity>();
-  /** Names of the dispatchers last given to `onSelected`, by service. */
+  /** Names last passed to `onSelected`, by service. */
   private readonly selectedNames = new Map<string, string>();
 
-  /** `onSelected` is called with the names, separated by spaces, when the dispatchers of a service change. */
+  /** `onSelected` is called when the dispatchers of a service change. The names are separated by spaces. */
   constructor(
     private readonly services: CandidateServices,
     private readonly isCallable: (name: string) => boolean,
     private readonly onSelected: (service: string, names: string) => void,
   ) {}
 
-  /** The fleet or the replicas have changed. */
+  /** Discards the cached selections after a change of the fleet or the replicas. */
   invalidate(): void {
     this.selections.clear();
   }
@@ -52,12 +50,12 @@
     this.capacities.set(name, { capacity, reportedAtMs: monotonicMs() });
   }
 
-  /** Whether the service has dispatchers; else each node dispatches for itself. */
+  /** Whether the service has dispatchers. Otherwise each node dispatches its own requests. */
   hasDispatchers(service: string): boolean {
     return this.selectionOf(service).dispatchers.length > 0;
   }
 
-  /** Nodes to call, in this order; none where this node dispatches by itself. May contain this node. */
+  /** Nodes to call, in order; empty if this node dispatches itself. May contain this node. */
   of(service: string): FleetMember[] {
     const { dispatchers, fallback } = this.selectionOf(service);
     const healthy = dispatchers.filter(({ name }) => this.isCallable(name));
@@ -66,8 +64,8 @@
   }
 
   private selectionOf(service: string): DispatcherSelection {
-    const known = this.selections.get(service);
-    if (known) return known;
+    const cached = this.selections.get(service);
+    if (cached) return cached;
     const { directory, members, zone } = this.services;
     const slots = directory.availableOf(service).map(({ replica }) => replica.slots);
     const selection = selectDispatchers({ service, slots, members: members(), zone });
@@ -83,12 +81,12 @@
   }
 
   private pickLessLoaded(dispatchers: readonly FleetMember[]): FleetMember {
-    const one = dispatchers[Math.floor(Math.random() * dispatchers.length)] as FleetMember;
-    const other = dispatchers[Math.floor(Math.random() * dispatchers.length)] as FleetMember;
-    return this.load(other.name) < this.load(one.name) ? other : one;
+    const first = dispatchers[Math.floor(Math.random() * dispatchers.length)] as FleetMember;
+    const second = dispatchers[Math.floor(Math.random() * dispatchers.length)] as FleetMember;
+    return this.load(second.name) < this.load(first.name) ? second : first;
   }
 
-  /** Occupied slots and queued requests for each slot; 0 where nothing recent is known. */
+  /** Occupied slots and queued requests per slot; 0 without a recent report. */
   private load(name: string): number {
     const last = this.capacities.get(name);
     if (!last || monotonicMs() - last.reportedAtMs > MAX_CAPACITY_AGE_MS) return 0;
--- a/src/coordination/service/dispatch/dispatcher-client.ts
+++ b/src/coordination/service/dispatch/dispatcher-client.ts
@@ -1,4 +1,4 @@
-/** Calls dispatchers at other nodes and notes their acknowledgements. Never repeats a call. */
+/** Calls dispatchers at other nodes and tracks their acknowledgements. Never repeats a call. */
 import { monotonicMs } from '../../../common/clock.js';
 import type {
   DispatchMessage,
@@ -11,9 +11,9 @@
 import { toMessage } from './dispatch-messages.js';
 import { ACKNOWLEDGE_TIMEOUT_MS, type DispatcherHealth } from './dispatcher-health.js';
 
-/** Unacknowledged time after which a repeatable request ends here, milliseconds. Chosen, not measured. */
+/** Time without an acknowledgement after which the call of a repeatable request is aborted, milliseconds. */
 const REPEATABLE_ACKNOWLEDGE_TIMEOUT_MS = 2.5 * ACKNOWLEDGE_TIMEOUT_MS;
-/** Time for the dispatcher's answer beyond the request's deadline, milliseconds. Chosen, not measured. */
+/** Time allowed for the dispatcher's answer after the deadline of the request, milliseconds. */
 const ANSWER_TIMEOUT_MARGIN_MS = 250;
 
 /** Sends a message to the node at an address. Never rejects. */
@@ -23,7 +23,7 @@
   options: PeerDispatchOptions,
 ) => Promise<PeerDispatch>;
 
-/** What calls depend on. */
+/** Dependencies of `DispatcherClient`. */
 export interface DispatcherClientServices {
   /** Whether the store answers this node. */
   readonly isStoreAnswering: () => boolean;
@@ -36,16 +36,16 @@
     private readonly health: DispatcherHealth,
   ) {}
 
-  /** Sends a call to a dispatcher; ends early when the call is aborted. Never rejects. */
+  /** Sends a call to a dispatcher until it is answered or aborted. Never rejects. */
   async call(dispatcher: FleetMember, call: DispatchCall, isRepeatable: boolean): Promise<PeerDispatch> {
     const controller = new AbortController();
     const abort = () => controller.abort();
     call.signal.addEventListener('abort', abort, { once: true });
-    const number = this.health.begin(dispatcher.name);
-    const unacknowledged = isRepeatable ? setTimeout(abort, REPEATABLE_ACKNOWLEDGE_TIMEOUT_MS) : undefined;
+    const callNumber = this.health.begin(dispatcher.name);
+    const acknowledgeTimer = isRepeatable ? setTimeout(abort, REPEATABLE_ACKNOWLEDGE_TIMEOUT_MS) : undefined;
     const onAcknowledged = () => {
-      clearTimeout(unacknowledged);
-      this.health.acknowledge(dispatcher.name, number);
+      clearTimeout(acknowledgeTimer);
+      this.health.acknowledge(dispatcher.name, callNumber);
     };
     const timeoutMs = Math.max(1, call.deadlineMs - monotonicMs() + ANSWER_TIMEOUT_MARGIN_MS);
     try {
@@ -53,8 +53,8 @@
       const options = { onAcknowledged: onAcknowledged, timeoutMs, signal: controller.signal };
       return await this.services.call(dispatcher.peerAddress, message, options);
     } finally {
-      clearTimeout(unacknowledged);
-      this.health.end(dispatcher.name, number);
+      clearTimeout(acknowledgeTimer);
+      this.health.end(dispatcher.name, callNumber);
       call.signal.removeEventListener('abort', abort);
     }
   }
--- a/src/coordination/service/dispatch/dispatcher-health.ts
+++ b/src/coordination/service/dispatch/dispatcher-health.ts
@@ -1,24 +1,22 @@
 /**
- * Ejection of dispatchers, as one node learns it from its own calls. A dispatcher acknowledges a call before
- * the replica answers; one that does not in time, or whose call fails, is ejected for a while, longer each
- * time, until it acknowledges a call again.
- *
- * Owns the state of each dispatcher, in memory. The first call after an ejection is the probe.
+ * Passive health check of dispatchers from this node's own calls. Dispatchers acknowledge a call before the
+ * replica answers; one that does not in time, or whose call fails, is ejected with exponential back-off until
+ * it acknowledges a call again. The first call after an ejection serves as the probe.
  */
 import { exponentialBackoffMs } from '../../../common/backoff.js';
 import { monotonicMs } from '../../../common/clock.js';
 
 /**
- * Time without an acknowledgement after which a dispatcher is ejected, milliseconds. Chosen, not measured:
- * leaves time for another attempt, and exceeds the pause of a machine that used up its processor share.
+ * Time without an acknowledgement after which a dispatcher is ejected, milliseconds. Longer than the pause of
+ * a node that is throttled by its CPU quota.
  */
 export const ACKNOWLEDGE_TIMEOUT_MS = 100;
-/** First and longest ejection, milliseconds; doubles each time. Chosen, not measured. */
+/** First and longest ejection, milliseconds. Doubles each time. */
 const MIN_EJECTION_MS = 500;
 const MAX_EJECTION_MS = 8_000;
 
 class DispatcherState {
-  /** Times of the calls that are not acknowledged, by call number, the oldest first. */
+  /** Start times of unacknowledged calls by call number, the oldest first. */
   private readonly unacknowledged = new Map<number, number>();
   private ejectedUntilMs = 0;
   private ejections = 0;
@@ -60,32 +58,32 @@
 export class DispatcherHealth {
   private readonly dispatchers = new Map<string, DispatcherState>();
 
-  /** `onEjected` is called with the name of a dispatcher and the reason when it is ejected. */
+  /** `onEjected` is called when a dispatcher is ejected. */
   constructor(private readonly onEjected: (name: string, reason: string) => void) {}
 
-  /** Whether a dispatcher may be called; ejects it if a call to it is overdue. */
+  /** Whether a dispatcher may be called. Ejects it if an acknowledgement is overdue. */
   isCallable(name: string): boolean {
     const dispatcher = this.dispatchers.get(name);
-    if (dispatcher?.isOverdue) this.eject(name, 'a call was not acknowledged');
+    if (dispatcher?.isOverdue) this.eject(name, 'a call was not acknowledged in time');
     return !dispatcher?.isEjected;
   }
 
-  /** Notes that a call begins; returns its number. */
+  /** Records the start of a call and returns its number. */
   begin(name: string): number {
     return this.stateOf(name).begin();
   }
 
-  /** Notes that a call was acknowledged: an ejection ends. */
+  /** Records an acknowledgement, which ends an ejection. */
   acknowledge(name: string, call: number): void {
     this.stateOf(name).acknowledge(call);
   }
 
-  /** Notes that a call has ended, acknowledged or not. */
+  /** Records the end of a call, acknowledged or not. */
   end(name: string, call: number): void {
     this.stateOf(name).end(call);
   }
 
-  /** Ejects a dispatcher unless it is ejected already. */
+  /** Ejects a dispatcher unless it is already ejected. */
   eject(name: string, reason: string): void {
     const dispatcher = this.stateOf(name);
     if (dispatcher.isEjected) return;
--- a/src/coordination/service/dispatch/queue-entry.ts
+++ b/src/coordination/service/dispatch/queue-entry.ts
@@ -1,28 +1,29 @@
-/** A request in the queue of a service, from its arrival to its result. */
+/** A request in the queue of a service with its call, from arrival to result. */
 import { monotonicMs } from '../../../common/clock.js';
 import type { QueuedRequest } from '../../../state/service/admission/index.js';
 import type { DispatchCall, DispatchResult } from './dispatch-call.js';
 
 export interface QueueEntry extends QueuedRequest {
   readonly call: DispatchCall;
-  /** Replicas that it is not sent to, by id; emptied when no other replica is available. */
+  /** Ids of replicas that it is not sent to. Cleared when no other replica is available. */
   readonly excluded: Set<string>;
-  /** Declines by replicas so far, and the reason of the last one. */
+  /** Number of declines by replicas. */
   declines: number;
+  /** Reason of the last decline, empty if there was none. */
   lastDecline: string;
   readonly resolve: (result: DispatchResult) => void;
-  /** Listens to the call's signal while the request is queued. */
+  /** Abort listener of the call's signal, attached while the request is queued. */
   readonly onAbort: () => void;
 }
 
-/** What an entry is made of besides its call. */
+/** Fields of an entry that are not taken from its call. */
 export interface QueueEntryInput extends Pick<QueueEntry, 'serviceTimeMs' | 'resolve'> {
-  /** Replicas at which another attempt of the request runs. */
+  /** Ids of replicas at which another attempt of the request is running. */
   readonly runningAt: Iterable<string>;
   readonly onAbort: (entry: QueueEntry) => void;
 }
 
-/** The entry of a call that arrives now. */
+/** Creates the entry of a call that arrives now. */
 export function toQueueEntry(
   call: DispatchCall,
   { runningAt, onAbort, ...fields }: QueueEntryInput,
--- a/src/coordination/service/dispatch/rejection-reports.ts
+++ b/src/coordination/service/dispatch/rejection-reports.ts
@@ -1,4 +1,4 @@
-/** Log line and metric of a request that the queue of a service rejects. */
+/** Log line and metric of a rejected request. */
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
@@ -6,14 +6,16 @@
 import type { ServiceCapacity } from './dispatch-call.js';
 import type { QueueEntry } from './queue-entry.js';
 
-/** A rejection as it is reported; `retryAfterMs` is 0 where none is given. */
+/** A rejection to report. `retryAfterMs` is 0 if there is no Retry-After. */
 export interface RejectionReport extends Pick<Rejection, 'retryAfterMs'> {
   readonly entry: QueueEntry;
   readonly reason: string;
   readonly capacity: ServiceCapacity;
 }
 
-/** Reports a rejection. The log keys `party` and `rank` are the request's flow and priority. */
+/**
+ * Logs and counts a rejection. The log keys `party` and `rank` are the flow and the priority of the request.
+ */
 export function reportRejection(
   { metrics, logger }: { metrics: Pick<ServiceMetrics, 'refusedRequests'>; logger: DecisionLogger },
   service: string,
--- a/src/coordination/service/dispatch/remote-dispatch.ts
+++ b/src/coordination/service/dispatch/remote-dispatch.ts
@@ -1,11 +1,7 @@
 /**
- * Client side of remote dispatch: forwards a request to a dispatcher of its service, and falls back to this
- * node's own queue. So a replica's queue, load and connections are at few nodes.
- *
- * Relies on fleet membership and replicas (dispatcher selection) and on the peer ports of other nodes. A
- * dispatcher that does not acknowledge in time or whose call fails is ejected; then the fallback in this
- * node's zone is called, then this node's own queue is used. Several nodes may dispatch for one service at a
- * time: replicas decline what exceeds their slots.
+ * Client side of remote dispatch: forwards a request to a dispatcher of its service, so that the queue and
+ * the load of a replica are known at few nodes. If the dispatcher fails, it is ejected, and the request goes
+ * to the fallback in this node's zone, then to this node's own queue.
  */
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
@@ -27,7 +23,7 @@
 import { DispatcherHealth } from './dispatcher-health.js';
 import type { ServiceQueues } from './service-queues.js';
 
-/** What remote dispatch depends on. */
+/** Dependencies of `RemoteDispatch`. */
 export interface RemoteDispatchServices extends CandidateServices, DispatcherClientServices {
   readonly queues: ServiceQueues;
   readonly metrics: Pick<ServiceMetrics, 'dispatcherCalls'>;
@@ -49,15 +45,15 @@
     this.client = new DispatcherClient(services, this.health);
   }
 
-  /** The fleet or the replicas have changed: dispatchers are selected anew. */
+  /** Discards the dispatcher selections after a change of the fleet or the replicas. */
   invalidateSelections(): void {
     this.candidates.invalidate();
     this.health.retainOnly(new Set(this.services.members().map(({ name }) => name)));
   }
 
   /**
-   * Sends a call to a dispatcher or to this node's queue. Never rejects. `isRepeatable` says whether the
-   * request may run twice; one that a dispatcher may have taken ends as `unknown`.
+   * Sends a call to a dispatcher or to this node's queue. Never rejects. `isRepeatable` states whether the
+   * request may run twice. A request that a failed dispatcher may have accepted ends as `unknown`.
    */
   async dispatch(call: DispatchCall, isRepeatable: boolean): Promise<DispatchResult> {
     if (call.request.body.length <= MAX_DISPATCHED_BODY_BYTES)
@@ -77,12 +73,12 @@
     return first === undefined || first.name === this.services.nodeName;
   }
 
-  /** Whether the service has dispatchers; else each node dispatches for itself. */
+  /** Whether the service has dispatchers. Otherwise each node dispatches its own requests. */
   hasDispatchers(service: string): boolean {
     return this.candidates.hasDispatchers(service);
   }
 
-  /** Sends a request that was queued here when this node began to leave to another node, if there is any. */
+  /** Forwards a request that was rejected because this node is leaving to another node, if there is one. */
   private async forwardRejected(
     call: DispatchCall,
     isRepeatable: boolean,
@@ -97,7 +93,7 @@
     return rejected;
   }
 
-  /** The result at a dispatcher; `undefined` when it has not run there and is to be sent elsewhere. */
+  /** Sends a call to a dispatcher. Returns `undefined` if it did not run and should be sent elsewhere. */
   private async dispatchAt(
     dispatcher: FleetMember,
     call: DispatchCall,
@@ -119,7 +115,10 @@
     return { outcome: { kind: 'unknown', reason }, hasCrashedReplica: false, via: dispatcher.name };
   }
 
-  /** The result in an outcome; `undefined` when the dispatcher cannot serve it and another node may. */
+  /**
+   * Converts an outcome to a result; `undefined` if the dispatcher cannot serve the call but another node
+   * may.
+   */
   private resultOf(
     outcome: Framed<DispatchOutcomeMessage>,
     { name }: FleetMember,
@@ -127,19 +126,19 @@
   ): DispatchResult | undefined {
     const { kind, room: capacity, isClosed } = outcome.message;
     if (capacity) this.candidates.recordCapacity(name, capacity);
-    if (isClosed) this.health.eject(name, 'it is leaving');
+    if (isClosed) this.health.eject(name, 'the dispatcher is leaving');
     if (!isClosed && !(kind === 'declined' && this.knowsMoreReplicas(call.service, capacity)))
       return toResult(outcome, name);
     call.onHandOver?.(false);
     return undefined;
   }
 
-  /** Whether a dispatcher knows no replicas and this node does: it has just started, or lost the store. */
+  /** Whether this node knows replicas and the dispatcher none, as after its start or without the store. */
   private knowsMoreReplicas(service: string, capacity: ServiceCapacity | undefined): boolean {
     return capacity?.slots === 0 && this.services.directory.availableOf(service).length > 0;
   }
 
-  /** The log's subject `home` is a dispatcher, or the dispatchers of a service. */
+  /** Logs a change. The subject `home` stands for a dispatcher, or for the dispatchers of a service. */
   private report(name: string, change: string): void {
     this.services.logger.record({ event: 'belief-changed', subject: 'home', name, change, version: 0 });
   }
--- a/src/coordination/service/dispatch/replica-exchange.ts
+++ b/src/coordination/service/dispatch/replica-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at one replica: whether the request ran, and whether the answer can be passed on. Keeps the
- * replica's statistics, and logs each attempt. In doubt the outcome is `unknown`.
+ * Sends a single attempt to a replica and classifies its outcome. Updates the statistics of the replica and
+ * logs each attempt. An ambiguous outcome is `unknown`.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -12,38 +12,38 @@
 import type { CrashCheck } from './crash-check.js';
 import { digestOf } from './request-digest.js';
 
-/** Largest body of an answer, bytes; a larger one is a failed attempt. Chosen, not measured. */
+/** Maximum body size of an answer, bytes. A larger one fails the attempt. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-/** First back-off from a replica that is full, milliseconds. Chosen, not measured: about one service time. */
+/** First back-off from a full replica, milliseconds. */
 const FULL_BACKOFF_MS = 60;
-/** The replica at the address is not the one that was addressed (misdirected request). */
+/** HTTP 421 Misdirected Request: another replica has the address. */
 const MISDIRECTED_STATUS = 421;
 
-/** An answer that was read to its end. */
+/** A completely read answer. */
 export interface BufferedAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
   readonly signature: string | undefined;
-  /** False when the answer ended with its connection, so that it may be incomplete. */
+  /** False if the end of the body was signalled by closing the connection, so that it may be truncated. */
   readonly isFramed: boolean;
 }
 
 export type AttemptOutcome =
   | { readonly kind: 'answered'; readonly answer: BufferedAnswer }
-  /** It has certainly not run. */
+  /** The request certainly did not run. */
   | { readonly kind: 'declined'; readonly reason: string; readonly isFull: boolean }
-  /** It may have run; there is no answer to pass on. */
+  /** The request may have run, but there is no usable answer. */
   | {
       readonly kind: 'unknown';
       readonly reason: string;
-      /** Only after a lost connection: whether the replica has certainly crashed. */
+      /** Whether the replica has certainly crashed; only set after a lost connection or a restart. */
       readonly replicaCrashed?: boolean;
     }
-  /** Its caller cancelled it, or its deadline passed. */
+  /** The caller cancelled the request, or its deadline passed. */
   | { readonly kind: 'cancelled' };
 
-/** Fields of the log line. */
+/** Additional fields of the log line. */
 export interface AttemptContext {
   readonly configVersion: number;
   readonly jobId?: string;
@@ -51,19 +51,20 @@
 }
 
 export interface AttemptOptions extends AttemptContext {
-  /** Expected service time, milliseconds; 0 where it is not known. */
+  /** Expected service time, milliseconds; 0 if unknown. */
   readonly expectedMs: number;
 }
 
-/** Why an answer cannot be passed on, by its head; `undefined` when it can. */
+/** Why an answer must not be forwarded, judged by its head; `undefined` if it may be. */
 export function answerDefect(answer: ReplicaAnswer): string | undefined {
   if (!answer.matchesRequest) return 'the answer belongs to another request';
   if (answer.isEncoded) return 'the body is encoded';
-  if (answer.status >= 200 && answer.status < 300 && !answer.signature) return 'the success is not signed';
+  if (answer.status >= 200 && answer.status < 300 && !answer.signature)
+    return 'the successful answer is not signed';
   return undefined;
 }
 
-/** The decline in an answer which states that the request was not run; `undefined` in any other. */
+/** Returns the `declined` outcome if the answer states that the request did not run. */
 function toDecline({ isNotExecuted, matchesRequest, status }: ReplicaAnswer): AttemptOutcome | undefined {
   if (!isNotExecuted) return undefined;
   const isMisdirected = status === MISDIRECTED_STATUS;
@@ -80,7 +81,7 @@
     private readonly logger: DecisionLogger,
   ) {}
 
-  /** Sends a request and reads the answer to its end. Never rejects, never repeats. */
+  /** Sends a request once and reads the whole answer. Never rejects. */
   async attempt(
     state: ReplicaState,
     request: ReplicaRequest,
@@ -96,7 +97,7 @@
     return outcome;
   }
 
-  /** Ends an attempt when its replica restarts: the request may have run, and no answer will come. */
+  /** Aborts an attempt when its replica restarts: the request may have run, but there will be no answer. */
   private async exchangeUntilRestart(state: ReplicaState, request: ReplicaRequest): Promise<AttemptOutcome> {
     const controller = new AbortController();
     const abort = () => controller.abort();
@@ -114,14 +115,14 @@
   }
 
   private async exchange(state: ReplicaState, request: ReplicaRequest): Promise<AttemptOutcome> {
-    const sent = await this.client.dispatch(state.replica, request);
-    if (sent.isErr()) {
-      const { failure, requestSent, message } = sent.error;
+    const response = await this.client.dispatch(state.replica, request);
+    if (response.isErr()) {
+      const { failure, requestSent, message } = response.error;
       const reason = `${failure}: ${message}`;
       if (!request.signal.aborted && !requestSent) return { kind: 'declined', reason, isFull: false };
-      return this.outcomeOfFailure(state, request, sent.error, reason);
+      return this.outcomeOfFailure(state, request, response.error, reason);
     }
-    return this.receive(state, request, sent.value);
+    return this.receive(state, request, response.value);
   }
 
   private async receive(
@@ -144,7 +145,7 @@
     return { kind: 'answered', answer: { status, headers, signature, isFramed, body: body.value } };
   }
 
-  /** Outcome of a request that may have reached the replica. */
+  /** Returns the outcome of a failed request that may have reached the replica. */
   private async outcomeOfFailure(
     state: ReplicaState,
     { signal }: ReplicaRequest,
--- a/src/coordination/service/dispatch/request-digest.ts
+++ b/src/coordination/service/dispatch/request-digest.ts
@@ -1,25 +1,27 @@
-/** Identity of a request across retries, whatever its id: tenant, method, host, path and body. */
+/**
+ * Digest of a request that stays the same across retries: covers tenant, method, host, path and body, not the
+ * id.
+ */
 import { createHash } from 'node:crypto';
 
-/** The parts of a request that a caller repeats unchanged. */
+/** Parts of a request that stay the same in a retry. */
 export interface IdentifiedRequest {
   readonly method: string;
   readonly path: string;
   readonly host: string;
-  /** Tenant on whose behalf it runs, if any. */
   readonly tenant?: string;
   readonly body: Buffer;
 }
 
 const DIGEST_LENGTH = 32;
 const SEPARATOR = '\0';
-/** Digests by request, so that a body is hashed once at most. */
+/** Cached digests, so that each body is hashed at most once. */
 const digests = new WeakMap<IdentifiedRequest, string>();
 
-/** Digest of a request, 32 hexadecimal digits. Computed at the first use: most requests never need one. */
+/** Digest of a request, 32 hexadecimal digits. Computed on first use, since most requests never need it. */
 export function digestOf(request: IdentifiedRequest): string {
-  const before = digests.get(request);
-  if (before !== undefined) return before;
+  const cached = digests.get(request);
+  if (cached !== undefined) return cached;
   const { method, host, tenant, path, body } = request;
   const hash = createHash('sha256').update([method, host, tenant ?? '', path, ''].join(SEPARATOR));
   const digest = hash.update(body).digest('hex').slice(0, DIGEST_LENGTH);
--- a/src/coordination/service/dispatch/running-requests.ts
+++ b/src/coordination/service/dispatch/running-requests.ts
@@ -1,4 +1,4 @@
-/** Requests that the queue of one service has running at replicas, by request and by replica. */
+/** Running requests of one service, indexed by request and by replica. */
 import type { RunningRequest } from '../../../state/service/admission/index.js';
 
 const NONE: ReadonlySet<never> = new Set();
@@ -7,17 +7,16 @@
   private readonly replicasByRequest = new Map<string, Set<string>>();
   private readonly runsByReplica = new Map<string, Set<RunningRequest>>();
 
-  /** Ids of the replicas at which a request runs. */
+  /** Ids of the replicas at which a request is running. */
   replicasOf(requestId: string): ReadonlySet<string> {
     return this.replicasByRequest.get(requestId) ?? NONE;
   }
 
-  /** The requests that run at a replica. */
   runningAt(replicaId: string): ReadonlySet<RunningRequest> {
     return this.runsByReplica.get(replicaId) ?? NONE;
   }
 
-  /** Notes that an attempt begins; returns the function to call when it ends. */
+  /** Records the start of an attempt. Returns a function to call when it ends. */
   begin(requestId: string, replicaId: string, run: RunningRequest): () => void {
     add(this.replicasByRequest, requestId, replicaId);
     add(this.runsByReplica, replicaId, run);
--- a/src/coordination/service/dispatch/service-queue.ts
+++ b/src/coordination/service/dispatch/service-queue.ts
@@ -1,11 +1,8 @@
 /**
- * Queue of one service at its dispatcher: assigns requests to replicas, queues them in order while no slot is
- * free, and rejects those that cannot meet their deadline, before they run.
- *
- * Owns the queued requests, their flows' usage, the retry budget and what it has running; in memory, bounded
- * in requests, bytes and time, and lost with the process. The rules are in `state/service/admission` and
- * `state/service/replicas`. A queued request is checked again before it is sent: its caller may have
- * cancelled, its deadline be out of reach, or its route be gone.
+ * Queue of one service at its dispatcher: assigns requests to replicas, queues them while no slot is free,
+ * and rejects those that cannot meet their deadline. Requests are checked again before they are sent, since
+ * their route or deadline may have expired meanwhile. The rules are in `state/service/admission` and
+ * `state/service/replicas`.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -26,13 +23,13 @@
   retryAfterMs,
 } from '../../../state/service/admission/index.js';
 import { type ReplicaState, ServiceTimes } from '../../../state/service/replicas/index.js';
+import { AssignmentScheduler, RECHECK_INTERVAL_MS } from './assignment-scheduler.js';
 import {
   CANCELLED_RESULT,
   type DispatchCall,
   type DispatchResult,
   type ServiceCapacity,
 } from './dispatch-call.js';
-import { AssignmentScheduler, RECHECK_INTERVAL_MS } from './queue-checks.js';
 import { type QueueEntry, toQueueEntry } from './queue-entry.js';
 import { reportRejection } from './rejection-reports.js';
 import type { AttemptOutcome, ReplicaExchange } from './replica-exchange.js';
@@ -40,17 +37,19 @@
 import { type ReplicaPolicy, ServiceReplicas } from './service-replicas.js';
 
 /**
- * A queued request is rejected this long before its deadline, milliseconds. Two check periods, so that the
- * caller's node learns of it before its own timer ends the request as one that may have run.
+ * Queued requests are rejected this long before their deadline, milliseconds, so that the calling node gets
+ * the rejection before its own timeout, after which it would have to assume that the request may have run.
  */
 const EXPIRY_MARGIN_MS = 2 * RECHECK_INTERVAL_MS;
-/** Requests that one pass may leave waiting for a fast replica. Chosen, not measured: bounds its cost. */
+/**
+ * Requests that one assignment pass may skip because they wait for a fast replica; bounds the cost of a pass.
+ */
 const MAX_SKIPPED_PER_PASS = 200;
 
-/** What the queues of a node depend on. */
+/** Dependencies of the queues of a node. */
 export interface ServiceQueueServices extends ReplicaPolicy {
   readonly exchange: ReplicaExchange;
-  /** Whether the configuration in force still routes a queued request to the service. */
+  /** Whether the current configuration still routes a call to the service. */
   readonly isRouted: (call: DispatchCall) => boolean;
   readonly queueLimits: QueueLimits;
   readonly metrics: Pick<ServiceMetrics, 'refusedRequests' | 'waitedSeconds'>;
@@ -79,12 +78,11 @@
     services.directory.onChange(() => this.scheduler.schedule());
   }
 
-  /** Queued requests. */
   get queuedCount(): number {
     return this.queue.size;
   }
 
-  /** Retries and hedges that may be sent now. */
+  /** Number of retries and hedges that may be sent now. */
   get retryBudgetLeft(): number {
     return this.retryBudget.available;
   }
@@ -94,13 +92,13 @@
     return { free, slots: all, waiting: this.queue.size };
   }
 
-  /** Sends or queues a request. Never rejects the promise: a rejected request is a declined outcome. */
+  /** Sends or queues a request. The promise never rejects; a rejected request has the outcome `declined`. */
   dispatch(call: DispatchCall): Promise<DispatchResult> {
     if (call.signal.aborted) return Promise.resolve(CANCELLED_RESULT);
     return new Promise((resolve) => this.receive(call, resolve));
   }
 
-  /** Rejects all queued requests, so that callers' nodes ask another dispatcher. What runs goes on. */
+  /** Rejects all queued requests, so that calling nodes use another dispatcher. Running requests continue. */
   close(): void {
     this.isClosed = true;
     for (const entry of [...this.queue]) this.rejectWithoutRetryAfter(entry, 'dispatcher-leaving');
@@ -130,7 +128,7 @@
     this.assignQueued();
   }
 
-  /** Sends a hedge at once or rejects it; the budget is charged only where there is a replica for it. */
+  /** Sends a hedge immediately or rejects it. Takes retry budget only if a replica is available. */
   private receiveHedge(entry: QueueEntry): void {
     const choice = mayHedge(this.capacity)
       ? this.replicas.choose(entry.excluded, entry.serviceTimeMs, 0)
@@ -153,7 +151,7 @@
     return admit(input, Math.random());
   }
 
-  /** Allows the excluded replicas again where there are no others. */
+  /** Clears the exclusions if no other replica is available. */
   private relaxExclusion({ excluded }: QueueEntry): void {
     if (this.replicas.eligible(excluded).length === 0) excluded.clear();
   }
@@ -173,12 +171,11 @@
     entry.resolve(result);
   }
 
-  /** Rejects a request that may be retried once the queue has drained. */
+  /** Rejects a request that may be retried after the queue has drained. */
   private rejectWithRetryAfter(entry: QueueEntry, reason: RejectionReason, expectedWaitMs?: number): void {
     this.reject(entry, { kind: 'reject', reason, retryAfterMs: this.retryAfterMs(entry), expectedWaitMs });
   }
 
-  /** Rejects a request without Retry-After. */
   private rejectWithoutRetryAfter(entry: QueueEntry, reason: RejectionReason): void {
     this.reject(entry, { kind: 'reject', reason, retryAfterMs: 0 });
   }
@@ -186,7 +183,7 @@
   private reject(entry: QueueEntry, rejection: Rejection): void {
     this.queue.remove(entry);
     const text = rejectionText(rejection);
-    const reason = entry.lastDecline === '' ? text : `${text}; before: ${entry.lastDecline}`;
+    const reason = entry.lastDecline === '' ? text : `${text}; last decline: ${entry.lastDecline}`;
     const { retryAfterMs } = rejection;
     const { service, services, capacity } = this;
     if (!entry.call.isHedge) reportRejection(services, service, { entry, reason, retryAfterMs, capacity });
@@ -217,7 +214,7 @@
     const skipped = new Set<QueueEntry>();
     let skippedMs = 0;
     while (skipped.size < MAX_SKIPPED_PER_PASS && this.queue.size > skipped.size && this.capacity.free > 0) {
-      const entry = this.queue.next(monotonicMs(), (one) => !skipped.has(one));
+      const entry = this.queue.next(monotonicMs(), (candidate) => !skipped.has(candidate));
       if (!entry) break;
       const choice = this.replicas.choose(entry.excluded, entry.serviceTimeMs, skippedMs);
       if (choice.kind === 'send') this.assign(entry, choice.state, choice.expectedMs);
@@ -288,7 +285,7 @@
     });
   }
 
-  /** Queues a declined request again, with the time of its arrival; false when it is not to be queued. */
+  /** Requeues a declined request with its original arrival time. Returns false if it must not be requeued. */
   private requeue(entry: QueueEntry, reason: string, replicaId: string): boolean {
     entry.declines += 1;
     entry.lastDecline = reason;
--- a/src/coordination/service/dispatch/service-queues.ts
+++ b/src/coordination/service/dispatch/service-queues.ts
@@ -1,4 +1,4 @@
-/** The queues of this node by service, created with the first request and kept until the process ends. */
+/** Queues of this node by service, created on the first request and never removed. */
 import type { DispatchCall, DispatchResult } from './dispatch-call.js';
 import { ServiceQueue, type ServiceQueueServices } from './service-queue.js';
 
@@ -8,23 +8,22 @@
 
   constructor(private readonly services: ServiceQueueServices) {}
 
-  /** Sends or queues a request here. Never rejects. */
+  /** Sends or queues a request at this node. Never rejects. */
   dispatch(call: DispatchCall): Promise<DispatchResult> {
     return this.queueOf(call.service).dispatch(call);
   }
 
-  /** Rejects all queued requests; what runs goes on. */
+  /** Rejects all queued requests. Running requests continue. */
   close(): void {
     this.isClosed = true;
     for (const queue of this.queues.values()) queue.close();
   }
 
-  /** Whether this node is leaving, so that other nodes dispatch. */
+  /** Whether the queues are closed because this node is leaving. */
   get areClosed(): boolean {
     return this.isClosed;
   }
 
-  /** Queues by service. */
   get all(): ReadonlyMap<string, ServiceQueue> {
     return this.queues;
   }
--- a/src/coordination/service/dispatch/service-replicas.ts
+++ b/src/coordination/service/dispatch/service-replicas.ts
@@ -1,6 +1,5 @@
 /**
- * The replicas of one service as its queue sees them: which are available, their capacity, and the choice
- * among them. Keeps no state of its own; what is known of a replica lies in its `ReplicaState`.
+ * Stateless view of the available replicas of one service: capacity, load balancing and the wait for a slot.
  */
 import { type RunningRequest, slotWaitMs } from '../../../state/service/admission/index.js';
 import {
@@ -13,7 +12,7 @@
   type ReplicaState,
 } from '../../../state/service/replicas/index.js';
 
-/** What the configuration and the fleet say of replicas. */
+/** The directory, and the limits and penalties of replicas by configuration and fleet. */
 export interface ReplicaPolicy
   extends Required<Pick<ReplicaChoiceInput, 'slotsOf' | 'slowStartPerSecond' | 'zonePenalty'>> {
   readonly directory: ReplicaDirectory;
@@ -25,30 +24,29 @@
     private readonly policy: ReplicaPolicy,
   ) {}
 
-  /** Free slots, and all slots. */
+  /** Free and total slots. */
   get capacity(): { free: number; all: number } {
     return capacityOf(this.available(), this.policy);
   }
 
-  /** Work that the replicas finish in a millisecond with all slots taken, milliseconds. */
+  /** Service time that the replicas complete per millisecond with all slots in use. */
   get drainPerMs(): number {
     return drainRate(this.available(), this.policy);
   }
 
-  /** Available replicas without the excluded ones. */
   eligible(excluded: ReadonlySet<string>): ReplicaState[] {
     const states = this.available();
     return excluded.size === 0 ? states : states.filter(({ id }) => !excluded.has(id));
   }
 
-  /** The replica for a request of `serviceTimeMs` behind work of `queuedAheadMs`. */
+  /** Chooses a replica for a request of `serviceTimeMs` with `queuedAheadMs` of work ahead of it. */
   choose(excluded: ReadonlySet<string>, serviceTimeMs: number, queuedAheadMs: number): ReplicaChoice {
     const { slotsOf, zonePenalty, slowStartPerSecond } = this.policy;
     const input = { slotsOf, zonePenalty, slowStartPerSecond, serviceTimeMs, queuedAheadMs };
     return chooseReplica(this.eligible(excluded), input);
   }
 
-  /** Least expected time until a slot becomes free, milliseconds. */
+  /** Lower bound of the time until a slot becomes free, milliseconds. */
   slotWaitMs(runningAt: (replicaId: string) => ReadonlySet<RunningRequest>, nowMs: number): number {
     const uses = this.available().map((state) => {
       const running = runningAt(state.id);
--- a/test/coordination/service/dispatch/crash-check.test.ts
+++ b/test/coordination/service/dispatch/crash-check.test.ts
@@ -1,4 +1,4 @@
-/** Whether a replica crashed after a lost connection, and the identity of a request across retries. */
+/** Tests of crash detection after a lost connection, and of the digest that identifies a request. */
 import { once } from 'node:events';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -20,8 +20,8 @@
   return { server, replica: replicaAt(`127.0.0.1:${(server.address() as AddressInfo).port}`) };
 }
 
-describe('the crash check of a replica', () => {
-  it('distinguishes a crash from a lost connection', async () => {
+describe('CrashCheck', () => {
+  it('distinguishes a crashed replica from a lost connection', async () => {
     const check = new CrashCheck(new ServiceMetrics());
     const { server, replica } = await listen();
     expect(await check.hasCrashed(replica)).to.equal(false);
@@ -30,31 +30,31 @@
     expect(await check.hasCrashed(replica)).to.equal(true);
   });
 
-  it('assumes no crash where the machine does not answer', async () => {
+  it('assumes no crash if the host does not answer', async () => {
     const check = new CrashCheck(new ServiceMetrics(), async () => 'unknown');
     expect(await check.hasCrashed(replicaAt('127.0.0.1:1'))).to.equal(false);
   });
 
-  it('takes a restart at the same address for a crash', async () => {
+  it('treats a restart at the same address as a crash', async () => {
     const check = new CrashCheck(new ServiceMetrics(), async () => 'listening');
     const replica = replicaAt('127.0.0.1:1');
     replica.recordEnd('restarted');
     expect(await check.hasCrashed(replica)).to.equal(true);
   });
 
-  it('is shared by requests that fail together', async () => {
+  it('shares one probe between requests that fail at the same time', async () => {
     let probes = 0;
     const check = new CrashCheck(new ServiceMetrics(), async () => {
       probes += 1;
       return 'refused';
     });
-    const ended = await Promise.all([1, 2, 3].map(() => check.hasCrashed(replicaAt('127.0.0.1:1'))));
-    expect(ended).to.deep.equal([true, true, true]);
+    const crashed = await Promise.all([1, 2, 3].map(() => check.hasCrashed(replicaAt('127.0.0.1:1'))));
+    expect(crashed).to.deep.equal([true, true, true]);
     expect(probes).to.equal(1);
   });
 });
 
-describe('the digest of a request', () => {
+describe('digestOf', () => {
   const request: IdentifiedRequest = {
     method: 'POST',
     path: '/lookup/x',
@@ -63,16 +63,16 @@
     body: Buffer.from('question'),
   };
 
-  it('is the same for each retry, and differs with a changed byte, path, host, tenant or method', () => {
+  it('is the same for a retry and differs if the body, path, host, tenant or method changes', () => {
     expect(digestOf({ ...request, body: Buffer.from('question') })).to.equal(digestOf(request));
-    const others: Partial<IdentifiedRequest>[] = [
+    const changes: Partial<IdentifiedRequest>[] = [
       { body: Buffer.from('questioN') },
       { path: '/lookup/y' },
       { host: 'g' },
       { tenant: 't' },
       { method: 'PUT' },
     ];
-    const digests = others.map((change) => digestOf({ ...request, ...change }));
-    expect(new Set([digestOf(request), ...digests]).size).to.equal(others.length + 1);
+    const digests = changes.map((change) => digestOf({ ...request, ...change }));
+    expect(new Set([digestOf(request), ...digests]).size).to.equal(changes.length + 1);
   });
 });
--- a/test/coordination/service/dispatch/dispatchers.test.ts
+++ b/test/coordination/service/dispatch/dispatchers.test.ts
@@ -1,4 +1,4 @@
-/** Requests that reach replicas through the dispatcher of their service: real nodes, one failure a test. */
+/** Tests of remote dispatch with node processes, including killed, paused and stopped dispatchers. */
 import { expect } from 'chai';
 import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
 import { HEADER } from '../../../../platform/names.js';
@@ -14,14 +14,14 @@
 } from '../../../support/service-system.js';
 import { until } from '../../../support/wait.js';
 
-/** More nodes than a replica runs requests at once, so that the service has a dispatcher. */
+/** More nodes than slots per replica, so that the service has a dispatcher. */
 const NODES = 5;
 const SLOTS = 3;
 const WORK_MS = 20;
-/** Longest time for a repeatable request whose dispatcher is paused or gone, milliseconds. */
-const TAKE_OVER_MS = 1_000;
+/** Maximum duration of a repeatable request whose dispatcher is paused, milliseconds. */
+const MAX_TAKEOVER_MS = 1_000;
 
-describe('requests through the dispatcher of their service', () => {
+describe('remote dispatch between nodes', () => {
   let system: ServiceSystem;
   let nodes: ServiceNodeProcess[];
   let replicas: ReplicaServer[];
@@ -66,14 +66,14 @@
   const receivedAs = (id: string) =>
     replicas.flatMap(({ received }) => received.filter((one) => one.id === id));
   const configure = (fields: object) => system.configure(usualConfiguration(2, { lookup: { ...fields } }));
-  const inForce = (version: number) =>
+  const untilConfigured = (version: number) =>
     until(`version ${version} is in force`, () =>
       nodes.every(({ log }) =>
         log.some(({ context }) => context.subject === 'configuration' && context.version === version),
       ),
     );
 
-  it('share the connections of one node, however many nodes callers use', async () => {
+  it('opens at most one connection per replica, regardless of the receiving node', async () => {
     const before = replicas.reduce((sum, { openedConnections }) => sum + openedConnections, 0);
     for (let round = 0; round < 10; round += 1)
       for (const node of nodes) expect((await lookup(node))?.status).to.equal(200);
@@ -81,7 +81,7 @@
     expect(opened).to.be.at.most(replicas.length);
   });
 
-  it('are served whole in a crowd that fills every slot, and while there is one dispatcher no replica is sent more than its slots', async () => {
+  it('serves a burst that fills every slot, and a single dispatcher never exceeds the slots of a replica', async () => {
     const answers = await Promise.all(
       Array.from({ length: 60 }, (_, index) => lookup(nodes[index % NODES] as ServiceNodeProcess)),
     );
@@ -97,66 +97,69 @@
     );
   });
 
-  it('pass on no more time than remains', async () => {
+  it('forwards no more than the remaining time of a request', async () => {
     const id = nextId();
     await lookup(others[0] as ServiceNodeProcess, id, { [HEADER.deadlineMs]: '700' });
     expect(receivedAs(id)[0]?.deadlineMs).to.be.within(1, 700);
   });
 
-  it('are served elsewhere when the dispatcher is killed, also those that it had', async () => {
+  it('serves repeatable requests when the dispatcher is killed, including those in flight', async () => {
     for (const replica of replicas) replica.workMs = 300;
-    const underWay = others.map((node) => lookup(node));
-    await until('they run', () => replicas.some(({ running }) => running > 0));
+    const inFlight = others.map((node) => lookup(node));
+    await until('the requests are running', () => replicas.some(({ running }) => running > 0));
     await kill(dispatcher);
-    for (const answer of await Promise.all(underWay))
+    for (const answer of await Promise.all(inFlight))
       expect(answer?.status, answer?.body.toString()).to.equal(200);
     for (const node of others) expect((await lookup(node))?.status).to.equal(200);
   });
 
-  it('run at most once when the dispatcher is killed and they may not be repeated', async () => {
+  it('runs unrepeatable requests at most once when the dispatcher is killed', async () => {
     configure({ kind: 'unsafe' });
-    await inForce(2);
+    await untilConfigured(2);
     for (const replica of replicas) replica.workMs = 300;
     const ids = others.map(() => nextId());
-    const underWay = others.map((node, index) => lookup(node, ids[index]));
-    await until('they run', () => replicas.reduce((sum, { running }) => sum + running, 0) === others.length);
+    const inFlight = others.map((node, index) => lookup(node, ids[index]));
+    await until(
+      'the requests are running',
+      () => replicas.reduce((sum, { running }) => sum + running, 0) === others.length,
+    );
     await kill(dispatcher);
-    for (const answer of await Promise.all(underWay)) expect(answer?.status).to.be.oneOf([502, 504]);
+    for (const answer of await Promise.all(inFlight)) expect(answer?.status).to.be.oneOf([502, 504]);
     for (const id of ids) expect(receivedAs(id)).to.have.length(1);
     for (const node of others) expect((await lookup(node))?.status).to.equal(200);
   });
 
-  it('go elsewhere within a stated time when the dispatcher is paused', async () => {
+  it('takes over requests within the time limit when the dispatcher is paused', async () => {
     dispatcher.child.kill('SIGSTOP');
     for (const node of others) {
       const startedAt = monotonicMs();
       expect((await lookup(node))?.status).to.equal(200);
-      expect(monotonicMs() - startedAt).to.be.lessThan(TAKE_OVER_MS);
+      expect(monotonicMs() - startedAt).to.be.lessThan(MAX_TAKEOVER_MS);
       expect((await lookup(node))?.status).to.equal(200);
     }
     dispatcher.child.kill('SIGCONT');
     for (const node of others) expect((await lookup(node))?.status).to.equal(200);
   });
 
-  it('that are queued at a dispatcher which is paused past their deadline are never sent by it afterwards', async () => {
+  it('never sends a queued request after its dispatcher was paused past the deadline', async () => {
     for (const replica of replicas) replica.workMs = 1_000;
     configure({ kind: 'unsafe', timeoutMs: 5_000 });
-    await inForce(2);
+    await untilConfigured(2);
     const filling = Array.from({ length: replicas.length * SLOTS }, () => lookup(dispatcher));
     await until('every slot is taken', () => replicas.every(({ running }) => running === SLOTS));
-    const waitingId = nextId();
-    const waiting = lookup(others[0] as ServiceNodeProcess, waitingId, { [HEADER.deadlineMs]: '1500' });
-    await until('the dispatcher has it', async () => (await waitingAt(dispatcher)) === 1);
+    const queuedId = nextId();
+    const waiting = lookup(others[0] as ServiceNodeProcess, queuedId, { [HEADER.deadlineMs]: '1500' });
+    await until('the request is queued at the dispatcher', async () => (await queuedAt(dispatcher)) === 1);
     dispatcher.child.kill('SIGSTOP');
     expect((await waiting)?.status).to.equal(504);
     dispatcher.child.kill('SIGCONT');
     await Promise.all(filling);
-    expect(receivedAs(waitingId)).to.have.length(0);
+    expect(receivedAs(queuedId)).to.have.length(0);
   });
 
-  it('that a paused dispatcher has not read yet are never sent by it once their caller has left', async () => {
+  it('never sends a request that a paused dispatcher reads after the caller has disconnected', async () => {
     configure({ kind: 'unsafe', timeoutMs: 400 });
-    await inForce(2);
+    await untilConfigured(2);
     dispatcher.child.kill('SIGSTOP');
     const ids = [...others, ...others].map(() => nextId());
     const answers = await Promise.all(
@@ -166,18 +169,21 @@
     const unanswered = ids.filter((_, index) => answers[index]?.status !== 200);
     expect(unanswered.length).to.be.greaterThan(0);
     const sentBefore = unanswered.filter((id) => receivedAs(id).length > 0);
-    await until('their callers have closed', async () => {
+    await until('the calling nodes have closed their connections', async () => {
       const lost = await Promise.all(
         others.map((node) => metricOf(node, 'home_calls_total{outcome="lost"}')),
       );
       return lost.every((count) => count > 0);
     });
     dispatcher.child.kill('SIGCONT');
-    await until('the dispatcher serves again', async () => (await lookup(dispatcher))?.status === 200);
+    await until(
+      'the dispatcher serves requests again',
+      async () => (await lookup(dispatcher))?.status === 200,
+    );
     expect(unanswered.filter((id) => receivedAs(id).length > 0)).to.deep.equal(sentBefore);
   });
 
-  it('that cannot have a slot in time are rejected as not run, at the dispatcher and over the hop', async () => {
+  it('rejects requests that cannot get a slot in time, at the dispatcher and through another node', async () => {
     for (const replica of replicas) replica.workMs = 3_000;
     const filling = Array.from({ length: replicas.length * SLOTS }, () => lookup(dispatcher));
     await until('every slot is taken', () => replicas.every(({ running }) => running === SLOTS));
@@ -196,24 +202,27 @@
     await Promise.all(filling);
   });
 
-  it('are not cut off when the dispatcher is stopped: what runs ends, what is queued goes elsewhere', async () => {
+  it('finishes running requests and forwards queued ones when the dispatcher is stopped', async () => {
     for (const replica of replicas) replica.workMs = 200;
-    const underWay = Array.from({ length: 40 }, (_, index) =>
+    const inFlight = Array.from({ length: 40 }, (_, index) =>
       lookup(others[index % others.length] as ServiceNodeProcess),
     );
-    await until('some run', () => replicas.some(({ running }) => running > 0));
+    await until('some requests are running', () => replicas.some(({ running }) => running > 0));
     const ended = kill(dispatcher, 'SIGTERM');
-    for (const answer of await Promise.all(underWay))
+    for (const answer of await Promise.all(inFlight))
       expect(answer?.status, answer?.body.toString()).to.equal(200);
     for (const node of others) expect((await lookup(node))?.status).to.equal(200);
     await ended;
   });
 
-  it("of a route that the dispatcher does not know are served: it is cut off from the store, the caller's node is not", async () => {
+  it('serves requests of a new route that a dispatcher without the store does not know', async () => {
     dispatcher.proxy.set('cut');
-    await until('the dispatcher knows that', async () => (await system.status(dispatcher.readyUrl)) === 503);
+    await until(
+      'the dispatcher reports that it is not ready',
+      async () => (await system.status(dispatcher.readyUrl)) === 503,
+    );
     configure({ pathPrefix: '/moved/' });
-    await until('the others have the change', () =>
+    await until('the other nodes have the change', () =>
       others.every(({ log }) =>
         log.some(({ context }) => context.subject === 'configuration' && context.version === 2),
       ),
@@ -222,7 +231,7 @@
       expect((await system.lookup(node, nextId(), {}, '/moved/x'))?.status).to.equal(200);
   });
 
-  it('stop at the replica when their caller leaves', async () => {
+  it('closes the connection to the replica when the caller disconnects', async () => {
     for (const replica of replicas) replica.workMs = 60_000;
     const leaving = new AbortController();
     const sent = system.http.exchange({
@@ -232,12 +241,12 @@
       body: 'question',
       signal: leaving.signal,
     });
-    await until('it runs', () => replicas.some(({ running }) => running > 0));
+    await until('the request is running', () => replicas.some(({ running }) => running > 0));
     const connections = () => replicas.reduce((sum, replica) => sum + replica.connectionCount(), 0);
     const before = connections();
     leaving.abort();
     await sent;
-    await until('its connection is closed', () => connections() < before);
+    await until('the connection is closed', () => connections() < before);
   });
 
   async function metricsOf(node: ServiceNodeProcess): Promise<string> {
@@ -245,11 +254,11 @@
     return answer._unsafeUnwrap().body.toString();
   }
 
-  async function waitingAt(node: ServiceNodeProcess): Promise<number> {
+  async function queuedAt(node: ServiceNodeProcess): Promise<number> {
     return Number(/thymecove_waiting_requests\{[^}]*\} (\d+)/.exec(await metricsOf(node))?.[1] ?? 0);
   }
 
-  /** Value of a metric; `name` with its labels, without the prefix of the product. */
+  /** Value of a metric. `name` includes the labels but not the prefix. */
   async function metricOf(node: ServiceNodeProcess, name: string): Promise<number> {
     const line = (await metricsOf(node)).split('\n').find((text) => text.startsWith(`thymecove_${name} `));
     return Number(line?.split(' ')[1] ?? 0);
--- a/test/coordination/service/dispatch/remote-dispatch.test.ts
+++ b/test/coordination/service/dispatch/remote-dispatch.test.ts
@@ -1,4 +1,4 @@
-/** Requests to dispatchers of their services: one failure a test, without a network. */
+/** Tests of remote dispatch with failing dispatchers, without a network. */
 import { expect } from 'chai';
 import { monotonicMs, sleep } from '../../../../src/common/clock.js';
 import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
@@ -25,7 +25,7 @@
 import { replicaWith } from '../../../support/replicas.js';
 
 const SERVICE = 's';
-const HERE: DispatchResult = {
+const LOCAL_RESULT: DispatchResult = {
   outcome: {
     kind: 'answered',
     answer: { status: 200, headers: {}, body: Buffer.from('here'), signature: 'x', isFramed: true },
@@ -40,7 +40,7 @@
 }));
 const RANKED = rankDispatchers(SERVICE, MEMBERS);
 const [FIRST] = RANKED as [FleetMember];
-/** A node that is neither the dispatcher nor the fallback. */
+/** This node, neither the dispatcher nor the fallback. */
 const SELF = RANKED.at(-1) as FleetMember;
 const FALLBACK = RANKED.find(({ zone, name }) => zone === SELF.zone && name !== FIRST.name) as FleetMember;
 
@@ -49,7 +49,7 @@
 const answered: Answer = async (framed, { onAcknowledged }) => {
   onAcknowledged();
   const { message, body } = toOutcomeMessage({
-    ...HERE,
+    ...LOCAL_RESULT,
     outcome: {
       kind: 'answered',
       answer: { status: 200, headers: { a: 'b' }, body: framed.body, signature: 'x', isFramed: true },
@@ -64,18 +64,18 @@
     signal.addEventListener('abort', () => resolve({ kind: 'lost', reason: 'aborted' })),
   );
 
-describe('requests to dispatchers', () => {
+describe('RemoteDispatch', () => {
   let remote: RemoteDispatch;
-  let asked: string[];
+  let called: string[];
   let answers: Map<string, Answer>;
-  let served: number;
+  let servedLocally: number;
 
   beforeEach(() => {
     const directory = new ReplicaDirectory();
     directory.set(replicaWith({ service: SERVICE, slots: 6 }));
-    asked = [];
+    called = [];
     answers = new Map();
-    served = 0;
+    servedLocally = 0;
     remote = new RemoteDispatch({
       nodeName: SELF.name,
       zone: SELF.zone,
@@ -83,14 +83,14 @@
       directory,
       queues: {
         dispatch: async () => {
-          served += 1;
-          return HERE;
+          servedLocally += 1;
+          return LOCAL_RESULT;
         },
       } as unknown as ServiceQueues,
       isStoreAnswering: () => true,
       call: (address, framed, options) => {
         const { name } = MEMBERS.find(({ peerAddress }) => peerAddress === address) as FleetMember;
-        asked.push(name);
+        called.push(name);
         return (answers.get(name) ?? answered)(framed, options);
       },
       metrics: new ServiceMetrics(),
@@ -125,16 +125,16 @@
     };
   }
 
-  it('go to the first in rank order, whole, and bring the whole answer back', async () => {
+  it('sends the request to the first dispatcher by rank and returns its answer', async () => {
     const { outcome, via, capacity } = await remote.dispatch(call(), true);
-    expect(asked).to.deep.equal([FIRST.name]);
+    expect(called).to.deep.equal([FIRST.name]);
     expect(outcome.kind === 'answered' && outcome.answer.body.toString()).to.equal('question');
     expect(outcome.kind === 'answered' && outcome.answer.headers).to.deep.equal({ a: 'b' });
     expect(via).to.equal(FIRST.name);
     expect(capacity).to.deep.equal({ free: 1, slots: 6, waiting: 0 });
   });
 
-  it('are the same request at the dispatcher, with the remaining time', async () => {
+  it('passes all fields of the call to the dispatcher, with the remaining time', async () => {
     let received: DispatchCall | undefined;
     answers.set(FIRST.name, async (framed, options) => {
       received = toCall(framed, options.signal);
@@ -153,20 +153,20 @@
     expect(there.deadlineMs).to.be.closeTo(here.deadlineMs, 50);
   });
 
-  it('go to the fallback in their own zone when the dispatcher is gone, and stay there while it is ejected', async () => {
+  it('uses the fallback in its own zone while an unreachable dispatcher is ejected', async () => {
     answers.set(FIRST.name, refusedConnection);
     expect((await remote.dispatch(call(), false)).outcome.kind).to.equal('answered');
     expect((await remote.dispatch(call(), false)).outcome.kind).to.equal('answered');
-    expect(asked).to.deep.equal([FIRST.name, FALLBACK.name, FALLBACK.name]);
+    expect(called).to.deep.equal([FIRST.name, FALLBACK.name, FALLBACK.name]);
   });
 
-  it('are queued here when no dispatcher can be reached', async () => {
+  it('queues requests locally if no dispatcher can be reached', async () => {
     answers.set(FIRST.name, refusedConnection).set(FALLBACK.name, refusedConnection);
     await remote.dispatch(call(), false);
-    expect(served).to.equal(1);
-    asked.length = 0;
+    expect(servedLocally).to.equal(1);
+    called.length = 0;
     await remote.dispatch(call(), false);
-    expect(asked).to.deep.equal([]);
+    expect(called).to.deep.equal([]);
   });
 
   it('avoid a dispatcher that does not acknowledge: a repeatable one ends soon, later ones go elsewhere at once', async () => {
@@ -178,7 +178,7 @@
     expect((await remote.dispatch(call(), true)).via).to.equal(FALLBACK.name);
   });
 
-  it('that run at most once wait for a dispatcher that may have them, while others go elsewhere', async () => {
+  it('waits for a dispatcher that may have accepted an unrepeatable request, and sends later ones to the fallback', async () => {
     const leaving = new AbortController();
     answers.set(FIRST.name, silent);
     const waiting = remote.dispatch(call(undefined, leaving.signal), false);
@@ -186,20 +186,20 @@
     expect((await remote.dispatch(call(), false)).via).to.equal(FALLBACK.name);
     leaving.abort();
     expect((await waiting).outcome.kind).to.equal('cancelled');
-    expect(asked.filter((name) => name === FIRST.name)).to.have.length(1);
+    expect(called.filter((name) => name === FIRST.name)).to.have.length(1);
   });
 
-  it('may have run when the connection to the dispatcher broke: they are not sent again from here', async () => {
+  it('does not repeat a request whose connection to the dispatcher was lost', async () => {
     answers.set(FIRST.name, async (_, { onAcknowledged }) => {
       onAcknowledged();
       return { kind: 'lost', reason: 'reset' };
     });
     expect((await remote.dispatch(call(), false)).outcome.kind).to.equal('unknown');
-    expect(asked).to.deep.equal([FIRST.name]);
-    expect(served).to.equal(0);
+    expect(called).to.deep.equal([FIRST.name]);
+    expect(servedLocally).to.equal(0);
   });
 
-  it('are sent elsewhere when the dispatcher knows no replicas', async () => {
+  it('sends requests to the fallback if the dispatcher knows no replicas', async () => {
     answers.set(FIRST.name, async (framed, options) => {
       options.onAcknowledged();
       const refused: DispatchResult = {
@@ -211,10 +211,10 @@
       return framed ? { kind: 'outcome', outcome: { message, body } } : answered(framed, options);
     });
     expect((await remote.dispatch(call(), false)).outcome.kind).to.equal('answered');
-    expect(asked).to.deep.equal([FIRST.name, FALLBACK.name]);
+    expect(called).to.deep.equal([FIRST.name, FALLBACK.name]);
   });
 
-  it('are sent to another node when the dispatcher rejects its queue because it leaves', async () => {
+  it('sends requests to the fallback if the dispatcher rejects them because it is leaving', async () => {
     answers.set(FIRST.name, async (_, options) => {
       options.onAcknowledged();
       const refused: DispatchResult = {
@@ -228,16 +228,16 @@
     });
     expect((await remote.dispatch(call(), false)).via).to.equal(FALLBACK.name);
     expect((await remote.dispatch(call(), false)).via).to.equal(FALLBACK.name);
-    expect(asked).to.deep.equal([FIRST.name, FALLBACK.name, FALLBACK.name]);
+    expect(called).to.deep.equal([FIRST.name, FALLBACK.name, FALLBACK.name]);
   });
 
-  it('are queued here when the body is large', async () => {
+  it('queues requests with a large body locally', async () => {
     await remote.dispatch(call(Buffer.alloc(MAX_DISPATCHED_BODY_BYTES + 1)), true);
-    expect(served).to.equal(1);
-    expect(asked).to.deep.equal([]);
+    expect(servedLocally).to.equal(1);
+    expect(called).to.deep.equal([]);
   });
 
-  it('are queued here where nodes do not outnumber the slots of a replica', () => {
+  it('needs no dispatchers unless nodes outnumber the slots of a replica', () => {
     expect(needsDispatchers(6, [6, 8])).to.equal(false);
     expect(needsDispatchers(7, [6, 8])).to.equal(true);
     expect(needsDispatchers(400, [])).to.equal(false);
--- a/test/coordination/service/dispatch/service-queue.test.ts
+++ b/test/coordination/service/dispatch/service-queue.test.ts
@@ -1,4 +1,4 @@
-/** The queue of a service at its dispatcher, one failure a test, without a network. */
+/** Tests of the queue of a service, without a network. */
 import { setImmediate as turn } from 'node:timers/promises';
 import { expect } from 'chai';
 import { monotonicMs } from '../../../../src/common/clock.js';
@@ -24,7 +24,7 @@
 };
 const FULL: AttemptOutcome = { kind: 'declined', reason: 'status 503', isFull: true };
 
-/** An attempt that a replica has; `end` gives its outcome. */
+/** A running attempt at a replica. `end` resolves it with an outcome. */
 interface OpenAttempt {
   readonly id: string;
   readonly replica: string;
@@ -32,7 +32,7 @@
   readonly end: (outcome?: AttemptOutcome) => void;
 }
 
-describe('the queue of a service', () => {
+describe('ServiceQueue', () => {
   let directory: ReplicaDirectory;
   let queue: ServiceQueue;
   let open: OpenAttempt[];
@@ -77,9 +77,9 @@
 
   let calls = 0;
 
-  function call(fields: Partial<DispatchCall> & { leftMs?: number; id?: string } = {}): DispatchCall {
+  function call(fields: Partial<DispatchCall> & { remainingMs?: number; id?: string } = {}): DispatchCall {
     calls += 1;
-    const { leftMs = 5_000, id = `call-${calls}`, ...rest } = fields;
+    const { remainingMs = 5_000, id = `call-${calls}`, ...rest } = fields;
     return {
       service: 's',
       workKind: 'lookup',
@@ -88,7 +88,7 @@
       flow: 'p',
       isBackground: false,
       targetAtMs: monotonicMs() + 1_000,
-      deadlineMs: monotonicMs() + leftMs,
+      deadlineMs: monotonicMs() + remainingMs,
       isHedge: false,
       isRetry: false,
       excluded: new Set(),
@@ -98,7 +98,6 @@
     };
   }
 
-  /** Fills both slots. */
   async function fill(): Promise<Promise<DispatchResult>[]> {
     const filling = [queue.dispatch(call()), queue.dispatch(call())];
     await turn();
@@ -106,14 +105,14 @@
     return filling;
   }
 
-  it('sends at once while a slot is free, and queues afterwards', async () => {
+  it('sends requests immediately while a slot is free, and queues them otherwise', async () => {
     await fill();
     const waiting = queue.dispatch(call({ id: 'third' }));
     await turn();
     expect(open).to.have.length(SLOTS);
     expect(queue.capacity).to.deep.equal({ free: 0, slots: SLOTS, waiting: 1 });
     open[0]?.end();
-    await until('it is sent', () => open.some(({ id }) => id === 'third'));
+    await until('the request is sent', () => open.some(({ id }) => id === 'third'));
     open.at(-1)?.end();
     expect((await waiting).outcome.kind).to.equal('answered');
     expect((await waiting).replica?.id).to.equal('r1');
@@ -124,77 +123,77 @@
     void queue.dispatch(call({ id: 'low', priority: 4 }));
     void queue.dispatch(call({ id: 'high', priority: 0 }));
     open[0]?.end();
-    await until('one is sent', () => open.length > SLOTS);
+    await until('a queued request is sent', () => open.length > SLOTS);
     expect(open.at(-1)?.id).to.equal('high');
   });
 
-  it('rejects on arrival what cannot meet its deadline, with Retry-After, and has not sent it', async () => {
+  it('rejects on arrival a request that cannot meet its deadline, with Retry-After and without sending it', async () => {
     await fill();
     const startedAt = monotonicMs();
-    const refused = await queue.dispatch(call({ id: 'short', leftMs: 10 }));
+    const rejected = await queue.dispatch(call({ id: 'short', remainingMs: 10 }));
     expect(monotonicMs() - startedAt).to.be.lessThan(20);
-    expect(refused.outcome.kind).to.equal('declined');
-    expect(refused.retryAfterMs).to.be.greaterThan(0);
+    expect(rejected.outcome.kind).to.equal('declined');
+    expect(rejected.retryAfterMs).to.be.greaterThan(0);
     expect(open.some(({ id }) => id === 'short')).to.equal(false);
     const [line] = lines;
     expect(line).to.include({ event: 'request-refused', requestId: 'short', free: 0, slots: SLOTS });
   });
 
-  it('rejects what was queued until its deadline, and never sends it', async () => {
+  it('rejects a request that is queued until its deadline, and never sends it', async () => {
     await fill();
-    const refused = await queue.dispatch(call({ id: 'waited', leftMs: 120 }));
-    expect(refused.outcome.kind).to.equal('declined');
+    const rejected = await queue.dispatch(call({ id: 'waited', remainingMs: 120 }));
+    expect(rejected.outcome.kind).to.equal('declined');
     open[0]?.end();
     await turn();
     expect(open.some(({ id }) => id === 'waited')).to.equal(false);
   });
 
-  it('rejects a queued request before its deadline, in time for the node of the caller', async () => {
+  it('rejects a queued request before its deadline, so that the calling node gets the rejection in time', async () => {
     await fill();
     const deadlineMs = monotonicMs() + 300;
     const handedOver: boolean[] = [];
     const waiting = call({ deadlineMs, onHandOver: (mayRun) => handedOver.push(mayRun) });
-    const refused = await queue.dispatch(waiting);
-    expect(refused.outcome.kind).to.equal('declined');
-    expect(refused.retryAfterMs).to.be.greaterThan(0);
+    const rejected = await queue.dispatch(waiting);
+    expect(rejected.outcome.kind).to.equal('declined');
+    expect(rejected.retryAfterMs).to.be.greaterThan(0);
     expect(deadlineMs - monotonicMs()).to.be.greaterThan(0);
     expect(handedOver).to.deep.equal([]);
   });
 
-  it('rejects on arrival what has less time than every replica has spent on its requests', async () => {
+  it('rejects a request with less remaining time than all replicas have spent on their running requests', async () => {
     await fill();
     const filledAtMs = monotonicMs();
-    await until('they have run for long', () => monotonicMs() - filledAtMs > 150);
+    await until('the requests have run for long', () => monotonicMs() - filledAtMs > 150);
     const startedAt = monotonicMs();
-    const refused = await queue.dispatch(call({ leftMs: 120 }));
+    const rejected = await queue.dispatch(call({ remainingMs: 120 }));
     expect(monotonicMs() - startedAt).to.be.lessThan(15);
-    expect(refused.outcome.kind).to.equal('declined');
-    expect(refused.retryAfterMs).to.be.greaterThan(0);
+    expect(rejected.outcome.kind).to.equal('declined');
+    expect(rejected.retryAfterMs).to.be.greaterThan(0);
   });
 
-  it('reports when a request is handed to a replica, and when a declined one is queued again', async () => {
+  it('reports when a request is passed to a replica and when it is requeued after a decline', async () => {
     const handedOver: boolean[] = [];
     void queue.dispatch(call({ onHandOver: (mayRun) => handedOver.push(mayRun) }));
     await turn();
     expect(handedOver).to.deep.equal([true]);
     open[0]?.end(FULL);
-    await until('it is sent again', () => open.length === 2);
+    await until('the request is sent again', () => open.length === 2);
     expect(handedOver).to.deep.equal([true, false, true]);
   });
 
-  it('removes a cancelled request from the queue at once', async () => {
+  it('removes a cancelled request from the queue immediately', async () => {
     await fill();
-    const leaving = new AbortController();
-    const gone = queue.dispatch(call({ id: 'gone', signal: leaving.signal }));
-    leaving.abort();
-    expect((await gone).outcome.kind).to.equal('cancelled');
+    const controller = new AbortController();
+    const cancelled = queue.dispatch(call({ id: 'gone', signal: controller.signal }));
+    controller.abort();
+    expect((await cancelled).outcome.kind).to.equal('cancelled');
     expect(queue.queuedCount).to.equal(0);
     open[0]?.end();
     await turn();
     expect(open.some(({ id }) => id === 'gone')).to.equal(false);
   });
 
-  it('checks a queued request again: without a route it is rejected, not sent', async () => {
+  it('rejects a queued request whose route was removed', async () => {
     await fill();
     const waiting = queue.dispatch(call({ id: 'dropped' }));
     isAllowed = false;
@@ -203,36 +202,36 @@
     expect(open.some(({ id }) => id === 'dropped')).to.equal(false);
   });
 
-  it('drops the last in order when the queue is full', async () => {
+  it('drops the last request in order when the queue is full', async () => {
     await fill();
     const waiting = [4, 3, 2, 2, 0].map((priority) => queue.dispatch(call({ priority })));
-    const refused = await (waiting[0] as Promise<DispatchResult>);
-    expect(refused.outcome.kind).to.equal('declined');
+    const rejected = await (waiting[0] as Promise<DispatchResult>);
+    expect(rejected.outcome.kind).to.equal('declined');
     expect(queue.queuedCount).to.equal(4);
   });
 
-  it('queues a declined request again and sends it to another replica', async () => {
+  it('requeues a declined request and sends it to another replica', async () => {
     directory.set(replicaWith({ id: 'r2', slots: SLOTS }));
     const served = queue.dispatch(call());
     await turn();
     const [first] = open as [OpenAttempt];
     first.end(FULL);
-    await until('it is sent again', () => open.length === 2);
+    await until('the request is sent again', () => open.length === 2);
     expect(open[1]?.replica).to.not.equal(first.replica);
     open[1]?.end();
     expect((await served).outcome.kind).to.equal('answered');
   });
 
-  it('waits for a replica that was full rather than reject before the deadline', async () => {
+  it('waits for the back-off of a full replica instead of rejecting the request', async () => {
     const served = queue.dispatch(call());
     await turn();
     open[0]?.end(FULL);
-    await until('it is sent again after the back-off', () => open.length === 2);
+    await until('the request is sent again after the back-off', () => open.length === 2);
     open[1]?.end();
     expect((await served).outcome.kind).to.equal('answered');
   });
 
-  it('sends a hedge only to a free slot at another replica', async () => {
+  it('sends a hedge only to a free slot of another replica', async () => {
     directory.set(replicaWith({ id: 'r2', slots: SLOTS }));
     void queue.dispatch(call({ id: 'twice' }));
     await turn();
@@ -255,7 +254,7 @@
     expect(declined).to.be.at.least(28);
   });
 
-  it('rejects queued requests when its node leaves, and finishes what runs', async () => {
+  it('rejects queued requests and finishes running ones when it is closed', async () => {
     const [running] = await fill();
     const waiting = queue.dispatch(call());
     queue.close();
@@ -264,21 +263,21 @@
     expect((await running)?.outcome.kind).to.equal('answered');
   });
 
-  it('limits a replica in slow start to its requests per second, and queues the rest', async () => {
+  it('limits the request rate of a replica in slow start and queues the rest', async () => {
     directory.set(replicaWith({ slots: 100, slowStartMs: 60_000 }));
     for (let count = 0; count < 4; count += 1) void queue.dispatch(call());
     await turn();
     expect(open).to.have.length(2);
     expect(queue.queuedCount).to.equal(2);
-    await until('the next second has begun', () => open.length === 4);
+    await until('the next second has started', () => open.length === 4);
   });
 
-  it('rejects on arrival where no replica is known', async () => {
+  it('rejects a request if no replica is known', async () => {
     directory.remove('r1');
     expect((await queue.dispatch(call())).outcome.kind).to.equal('declined');
   });
 
-  it('reports a crash of the replica that ran a request, but not a planned end', async () => {
+  it('reports a crash of the replica that ran a request, but not a planned shutdown', async () => {
     const first = queue.dispatch(call());
     const second = queue.dispatch(call());
     await turn();
