--- a/src/coordination/service/dispatch/remote-dispatch.ts
+++ b/src/coordination/service/dispatch/remote-dispatch.ts
@@ -1,7 +1,7 @@
 /**
  * Client side of remote dispatch: forwards a request to a dispatcher of its service, so that the queue and
- * the load of a replica are known at few nodes. If the dispatcher fails, it is ejected, and the request goes
- * to the fallback in this node's zone, then to this node's own queue.
+ * the load of a replica are known at few nodes. A failing dispatcher is ejected. Requests that it has not
+ * accepted go to the fallback in this node's zone, then to this node's own queue.
  */
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
@@ -115,10 +115,7 @@
     return { outcome: { kind: 'unknown', reason }, hasCrashedReplica: false, via: dispatcher.name };
   }
 
-  /**
-   * Converts an outcome to a result; `undefined` if the dispatcher cannot serve the call but another node
-   * may.
-   */
+  /** Converts an outcome to a result; `undefined` if only another node may serve the call. */
   private resultOf(
     outcome: Framed<DispatchOutcomeMessage>,
     { name }: FleetMember,
--- a/src/state/service/admission/fair-queue.ts
+++ b/src/state/service/admission/fair-queue.ts
@@ -31,9 +31,9 @@
   readonly bytes: number;
 }
 
-/** Every n-th slot goes to the oldest request of another priority. */
+/** One in this many slots goes to the oldest request of another priority. */
 const OTHER_PRIORITY_INTERVAL = 25;
-/** Every n-th slot goes to the oldest background request of the same priority. */
+/** One in this many slots goes to the oldest background request of the same priority. */
 const BACKGROUND_INTERVAL = 4;
 
 export class FairQueue<W extends QueuedRequest> {
