--- a/src/node/service/node-feeds.ts
+++ b/src/node/service/node-feeds.ts
@@ -23,8 +23,8 @@
 } from '../../coordination/service/membership/index.js';
 import type { RequestQuarantine } from '../../coordination/service/requests/index.js';
 import { CRASH_PARTITION } from '../../state/service/replicas/index.js';
+import type { NodeContext } from './node-context.js';
 import { isConfigurationFresh, isFeedCurrent, pollDelayMs } from './readiness.js';
-import type { NodeContext } from './service-node-parts.js';
 
 /** Who takes what the feeds bring, and what sets their pace. */
 export interface NodeFeedDependencies {
--- a/src/node/service/job-parts.ts
+++ b/src/node/service/node-jobs.ts
@@ -13,7 +13,7 @@
 import type { RequestQuarantine, ServiceRelay } from '../../coordination/service/requests/index.js';
 import type { TargetSplitter } from '../../state/service/configuration/index.js';
 import { JobRepository, ResultCache } from '../../state/service/jobs/index.js';
-import type { NodeContext } from './service-node-parts.js';
+import type { NodeContext } from './node-context.js';
 import type { SessionRole } from './session-roles.js';
 
 /** Share of the process's memory that cached results may take. Chosen, not measured. */
--- a/src/node/service/peer-exchange.ts
+++ b/src/node/service/peer-exchange.ts
@@ -11,8 +11,8 @@
 import { CrashReportExchange, type RequestQuarantine } from '../../coordination/service/requests/index.js';
 import type { PeerConfigurationAnswer } from '../../protocol/service/configuration-peer.js';
 import type { CrashReportMessage, CrashReportsAnswer } from '../../protocol/service/crash-report-peer.js';
+import type { NodeContext } from './node-context.js';
 import type { NodeFeeds } from './node-feeds.js';
-import type { NodeContext } from './service-node-parts.js';
 
 /** What is exchanged, and with whom. */
 export interface PeerExchangeDependencies {
@@ -31,16 +31,16 @@
     private readonly context: NodeContext,
     private readonly services: PeerExchangeDependencies,
   ) {
-    const { store, logger, fetchPeerConfiguration: askForConfiguration, exchangeCrashReports } = context;
+    const { store, logger, fetchPeerConfiguration, exchangeCrashReports } = context;
     const { ownership, quarantine, peers, feeds } = services;
     const isStoreAnswering = () => store.isAnswering();
-    const likeliestPeers = (count: number) => peers.rankedPeerAddresses(count);
+    const rankedPeers = (count: number) => peers.rankedPeerAddresses(count);
     this.configuration = new PeerConfiguration({
       isStoreAnswering,
       isFeedCurrent: () => feeds.isConfigurationFresh,
-      peers: likeliestPeers,
+      peers: rankedPeers,
       version: () => this.version,
-      fetch: askForConfiguration,
+      fetch: fetchPeerConfiguration,
       apply: (value) => feeds.operators.applyConfiguration(value),
       onRejectedByStore: () => ownership.cancelRuns(),
       logger,
@@ -48,7 +48,7 @@
     this.crashReports = new CrashReportExchange({
       quarantine,
       isStoreAnswering,
-      peers: likeliestPeers,
+      peers: rankedPeers,
       exchange: exchangeCrashReports,
     });
   }
--- a/src/node/service/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -23,16 +23,16 @@
   Framed,
 } from '../../protocol/service/dispatch-peer.js';
 import { type RoutingTable, TargetSplitter } from '../../state/service/configuration/index.js';
-import { NodeDispatch } from './dispatch-parts.js';
 import { drainDeadlines, waitUntil } from './drain.js';
-import { NodeJobs } from './job-parts.js';
-import { createLoadCommander } from './load-parts.js';
+import { createNodeContext, type NodeContext, type ServiceNodeDependencies } from './node-context.js';
+import { NodeDispatch } from './node-dispatch.js';
 import { NodeFeeds } from './node-feeds.js';
+import { NodeJobs } from './node-jobs.js';
 import { PeerExchange } from './peer-exchange.js';
 import { isReady } from './readiness.js';
-import { createNodeContext, type NodeContext, type ServiceNodeDependencies } from './service-node-parts.js';
 import { CombinedSessionRoles } from './session-roles.js';
 import { SingletonTasks } from './singleton-tasks.js';
+import { createLoadScheduler } from './weight-loading.js';
 
 /** Parts of a node that run, are measured, or are drained. */
 interface Subsystems {
@@ -44,7 +44,7 @@
   readonly jobs: NodeJobs;
   readonly feeds: NodeFeeds;
   readonly peerExchange: PeerExchange;
-  readonly loadCommander: LoadScheduler;
+  readonly loadScheduler: LoadScheduler;
 }
 
 /** One node. */
@@ -83,7 +83,7 @@
     sessions.onPoll((records) => tasks.observe(records, !this.isDraining));
     const feeds = new NodeFeeds(context, { fleet: dispatch.fleet, ownership, quarantine, sessions, peers });
     const peerExchange = new PeerExchange(context, { ownership, quarantine, peers, feeds });
-    const loadCommander = createLoadCommander(context, tasks.loadLease, ownership);
+    const loadScheduler = createLoadScheduler(context, tasks.loadLease, ownership);
     this.subsystems = {
       peers,
       sessions,
@@ -93,7 +93,7 @@
       jobs,
       feeds,
       peerExchange,
-      loadCommander,
+      loadScheduler,
     };
     this.context = context;
     this.routing = routing;
@@ -107,7 +107,7 @@
    */
   start(address: string, peerAddress?: string): void {
     const { signal } = this.controller;
-    const { peers, sessions, quarantine, tasks, feeds, peerExchange, loadCommander } = this.subsystems;
+    const { peers, sessions, quarantine, tasks, feeds, peerExchange, loadScheduler } = this.subsystems;
     this.startedAtMs = monotonicMs();
     void peers.run(address, signal, peerAddress);
     peerExchange.run(signal);
@@ -115,7 +115,7 @@
     void tasks.usage?.run(signal);
     feeds.run(signal);
     void sessions.run(signal);
-    void loadCommander.run(signal);
+    void loadScheduler.run(signal);
   }
 
   /** Whether new callers may be sent here (`isReady` of readiness.ts says why not). */
@@ -135,7 +135,7 @@
    * Whether a change of the configuration would be known here. While it is false, a key or a route that is
    * unknown here may exist: a caller that shows one gets 503 rather than 401 or 404.
    */
-  get isConfigurationCertain(): boolean {
+  get isConfigurationCurrent(): boolean {
     const { feeds, peerExchange } = this.subsystems;
     return feeds.isConfigurationFresh || peerExchange.isConfigurationConfirmed;
   }
--- a/src/node/service/singleton-tasks.ts
+++ b/src/node/service/singleton-tasks.ts
@@ -13,7 +13,7 @@
 import type { StoredRecord } from '../../protocol/record-store.js';
 import type { UsageSettings } from '../../protocol/service/service-settings.js';
 import type { OwnerReference } from '../../state/service/jobs/index.js';
-import type { NodeContext } from './service-node-parts.js';
+import type { NodeContext } from './node-context.js';
 import type { SessionRole } from './session-roles.js';
 
 /** Names of the tasks in stored keys and logs: commanding loads, and reporting usage. */
--- a/src/node/service/load-parts.ts
+++ b/src/node/service/weight-loading.ts
@@ -2,10 +2,10 @@
 import type { JobOwnership } from '../../coordination/service/jobs/index.js';
 import type { LeaderLease } from '../../coordination/service/leadership/index.js';
 import { LoadScheduler } from '../../coordination/service/weights/index.js';
-import type { NodeContext } from './service-node-parts.js';
+import type { NodeContext } from './node-context.js';
 
 /** `ownership` knows what the jobs of each model have lately required. */
-export function createLoadCommander(
+export function createLoadScheduler(
   context: NodeContext,
   lease: LeaderLease,
   ownership: JobOwnership,
--- a/test/platform/platform-parsers.test.ts
+++ b/test/platform/platform-parsers.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { parseSubmission } from '../../platform/job-bodies.js';
-import { parseConfiguration, parseNamedVersion } from '../../platform/operator-rows.js';
+import { parseConfiguration, parseWeightVersion } from '../../platform/operator-rows.js';
 import { parseReport } from '../../platform/replica-wire.js';
 import { parseSettingsFile } from '../../platform/settings-file.js';
 import {
@@ -74,7 +74,7 @@
   it('reads or refuses a named version', () => {
     fc.assert(
       fc.property(bytes, (value) => {
-        const named = parseNamedVersion('version/model-a', value);
+        const named = parseWeightVersion('version/model-a', value);
         if (named) expect(Number.isInteger(named.version)).to.equal(true);
       }),
       options,
