--- a/src/node/service/drain.ts
+++ b/src/node/service/drain.ts
@@ -1,25 +1,23 @@
-/** When the steps of a node's drain end. All times in milliseconds on the monotonic clock. */
+/** Deadlines for the steps of a drain, milliseconds on the monotonic clock. */
 import { monotonicMs, sleep } from '../../common/clock.js';
 
-/** Shares of the time until the process is killed. Chosen, not measured: time is left to hand jobs over. */
+/** Fractions of the stop grace period; the rest is left for handing over jobs and flushing usage. */
 const FINISH_JOBS_FRACTION = 0.5;
 const FINISH_REQUESTS_FRACTION = 0.9;
-/** Time until load balancers have seen that a node is not ready. Chosen, not measured. */
+/** Time until load balancers have noticed that the node is not ready. */
 const READINESS_PROPAGATION_MS = 3_000;
-/** Interval of checks whether a step is over. Chosen, not measured. */
 const DRAIN_POLL_MS = 50;
 
-/** Ends of the steps. */
 export interface DrainDeadlines {
-  /** Owned jobs may finish here until then; the rest is handed over. */
+  /** Jobs that are still owned are handed over. */
   readonly finishJobsAtMs: number;
-  /** Callers have moved to other nodes by then. */
+  /** Load balancers send new requests to other nodes by then. */
   readonly trafficMovedAtMs: number;
-  /** Open requests may finish until then. */
+  /** The node stops waiting for open requests. */
   readonly finishRequestsAtMs: number;
 }
 
-/** `stopGraceMs` is the time from the signal to stop until the process is killed. */
+/** `stopGraceMs` is the time from the stop signal until the process is killed. */
 export function drainDeadlines(startedAtMs: number, stopGraceMs: number): DrainDeadlines {
   return {
     finishJobsAtMs: startedAtMs + stopGraceMs * FINISH_JOBS_FRACTION,
@@ -28,7 +26,7 @@
   };
 }
 
-/** Resolves once `condition` holds, at the deadline at the latest. */
+/** Resolves when `condition` holds or the deadline passes. */
 export async function waitUntil(condition: () => boolean, deadlineMs: number): Promise<void> {
   while (!condition() && monotonicMs() < deadlineMs) await sleep(DRAIN_POLL_MS);
 }
--- a/src/node/service/node-context.ts
+++ b/src/node/service/node-context.ts
@@ -1,4 +1,4 @@
-/** What an adapter supplies to a node, and what the node's subsystems share. */
+/** Dependencies that an adapter supplies to a node, and the context that its subsystems share. */
 import type { DecisionLogger } from '../../common/decision-logger.js';
 import { uniqueId } from '../../common/identifier.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
@@ -16,18 +16,17 @@
 import type { OwnerReference } from '../../state/service/jobs/index.js';
 import { ReplicaDirectory, WeightVersions } from '../../state/service/replicas/index.js';
 
-/** What an adapter supplies. */
 export interface ServiceNodeDependencies {
-  /** The settings in force; they may be reloaded while the node runs. */
+  /** Current settings; they may be reloaded while the node runs. */
   readonly settings: () => ServiceSettings;
   readonly store: RecordStore;
   readonly client: ReplicaClient;
   readonly peer: JobPeer;
   readonly format: AnnouncementFormat;
   readonly parseSubmission: SubmissionParser;
-  /** Creates the client of the usage collector; called only where usage is reported. */
+  /** Creates the client of the usage collector; called only if usage is reported. */
   readonly createUsageSink: (settings: UsageSettings) => UsageSink;
-  /** Asks another node for a configuration newer than a version. */
+  /** Requests a configuration newer than `version` from another node. */
   readonly fetchPeerConfiguration: (address: string, version: number) => Promise<PeerConfigurationAnswer>;
   /** Exchanges crash reports with another node; `undefined` when it does not answer. */
   readonly exchangeCrashReports: (
@@ -40,16 +39,16 @@
   readonly logger: DecisionLogger;
 }
 
-/** What all subsystems of one node may use. */
+/** Shared by all subsystems of one node. */
 export interface NodeContext extends ServiceNodeDependencies {
-  /** This process: the node's name and its incarnation. */
+  /** The node's name and the incarnation of this process. */
   readonly self: OwnerReference;
   readonly routing: RoutingTable;
   readonly directory: ReplicaDirectory;
   readonly versions: WeightVersions;
 }
 
-/** Begins a new incarnation of the node, which knows nothing yet. */
+/** Creates the context of a new incarnation, with empty tables. */
 export function createNodeContext(parts: ServiceNodeDependencies): NodeContext {
   return {
     ...parts,
--- a/src/node/service/node-dispatch.ts
+++ b/src/node/service/node-dispatch.ts
@@ -1,4 +1,4 @@
-/** Composition of dispatch at one node: its queues, remote dispatch, and the fleet. */
+/** Composes request dispatch of one node: its queues, forwarding to dispatchers, and the member list. */
 import type { DecisionLogger } from '../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../common/service-metrics.js';
 import {
@@ -21,10 +21,10 @@
 import type { RoutingTable } from '../../state/service/configuration/index.js';
 import type { ReplicaDirectory, ReplicaState } from '../../state/service/replicas/index.js';
 
-/** Limits of a queue: requests, and bodies as a share of the node's memory. Chosen, not measured. */
+/** Limits of each queue: number of requests, and total body size as a fraction of the memory limit. */
 const MAX_QUEUED = 2_000;
 const QUEUED_MEMORY_FRACTION = 0.05;
-/** Load added to replicas of other zones: used once the own zone is half full. Chosen, not measured. */
+/** Added to the load of replicas in other zones: they are used once the local zone is half full. */
 const OTHER_ZONE_PENALTY = 0.5;
 
 export interface NodeDispatchDependencies {
@@ -72,7 +72,7 @@
     directory.onChange(() => this.remote.invalidateSelections());
   }
 
-  /** Queues another node's call; `undefined` when this node is leaving, or only that one has the store. */
+  /** Queues a request from a peer; `undefined` while draining, or while only the peer reaches the store. */
   dispatchForPeer(
     framed: Framed<DispatchMessage>,
     signal: AbortSignal,
@@ -82,12 +82,12 @@
     return this.queues.dispatch(toCall(framed, signal)).then(toOutcomeMessage);
   }
 
-  /** Stops dispatching: queued requests are rejected, and sent to other nodes. */
+  /** Stops dispatching: queued requests are rejected and retried at other nodes. */
   close(): void {
     this.queues.close();
   }
 
-  /** Updates the gauges. */
+  /** Sets the gauges. */
   measure(): void {
     const { metrics } = this.services;
     for (const [service, queue] of this.queues.all) {
@@ -101,21 +101,21 @@
     return this.services.routing.current?.slotsOf(state.replica) ?? state.replica.slots;
   }
 
-  /** A dispatcher serves callers of all zones, so that its own is not nearer to them. */
+  /** None at a dispatcher: it serves callers of all zones, so no zone is local. */
   private zonePenalty({ replica }: ReplicaState): number {
     const { settings } = this.services;
     const isLocal = replica.zone === settings.zone || this.remote.hasDispatchers(replica.service);
     return isLocal ? 0 : OTHER_ZONE_PENALTY;
   }
 
-  /** A dispatcher sends nearly all that a replica gets; without dispatchers each node sends its share. */
+  /** A dispatcher sends nearly all requests of a replica; without dispatchers the nodes share the rate. */
   private slowStartPerSecond(service: string): number | undefined {
     const perSecond = this.services.routing.current?.slowStartPerSecondOf(service);
     if (perSecond === undefined || this.remote.isDispatcher(service)) return perSecond;
     return perSecond / Math.max(1, this.fleet.members.length);
   }
 
-  /** Whether a queued request still has a route to its service, if a newer configuration is in force here. */
+  /** Whether a queued request still has a route to its service under the current configuration. */
   private isAllowed({ service, request, configVersion }: DispatchCall): boolean {
     const snapshot = this.services.routing.current;
     if (!snapshot || snapshot.version <= configVersion) return true;
--- a/src/node/service/node-feeds.ts
+++ b/src/node/service/node-feeds.ts
@@ -1,9 +1,7 @@
 /**
- * The tables of the store that a node follows: operators' records, replicas, the fleet, and jobs with crash
- * reports.
- *
- * Owns: one feed per table, and how fresh each is. Relies on: the store's long polls. While they fail, the
- * feeds age and `isConfigurationFollowed` becomes false; each feed retries by itself.
+ * Change feeds of the store's tables that a node follows: operators' records, replicas, fleet members, and
+ * jobs with crash reports. While long polls fail, the feeds age, `isConfigurationFresh` becomes false, and
+ * each feed retries independently.
  */
 import { MILLISECONDS_PER_SECOND } from '../../common/clock.js';
 import type { DecisionLogger } from '../../common/decision-logger.js';
@@ -26,7 +24,7 @@
 import type { NodeContext } from './node-context.js';
 import { isConfigurationFresh, isFeedCurrent, pollDelayMs } from './readiness.js';
 
-/** Who takes what the feeds bring, and what sets their pace. */
+/** Handlers of the feeds, and what determines the delay between long polls. */
 export interface NodeFeedDependencies {
   readonly fleet: FleetDirectory;
   readonly ownership: JobOwnership;
@@ -35,7 +33,7 @@
   readonly peers: PeerAddresses;
 }
 
-/** Logs whole reads and losses of history. */
+/** Logs full reads of a table and gaps in its change history. */
 function feedObserver(logger: DecisionLogger): FeedObserver {
   return {
     changed: (name, change, version) =>
@@ -43,7 +41,6 @@
   };
 }
 
-/** The feeds of one node. */
 export class NodeFeeds {
   readonly operators: OperatorAnnouncements;
   private readonly operatorFeed: RecordFeed<unknown>;
@@ -59,7 +56,7 @@
       services.sessions.pauseUnlessHolder(pollDelayMs(services.peers.fleetSize), signal);
     const createFeed = <T>(handler: FeedHandler<T>) =>
       new RecordFeed(store, handler, observer, pause) as RecordFeed<unknown>;
-    // A cycle: the handler asks how fresh its own feed is, but not before that feed has brought a record.
+    // Cyclic reference: the handler reads the freshness of its own feed, but not before the first record.
     const replicas = new ReplicaAnnouncements({
       ...context,
       heartbeatMs: () => settings().replicaHeartbeatMs,
@@ -80,12 +77,12 @@
     for (const feed of this.feeds) void feed.run(signal);
   }
 
-  /** Age of the operators' feed, milliseconds; infinite before its first answer about changes. */
+  /** Infinite before the operators' feed has answered its first long poll. */
   get operatorFeedAgeMs(): number {
     return this.operatorFeed.ageMs;
   }
 
-  /** Whether a change of the configuration that is unknown here is within the operator's bound. */
+  /** Whether the configuration is stale by at most the configured bound. */
   get isConfigurationFresh(): boolean {
     return isConfigurationFresh(
       this.freshnessOf(this.operatorFeed),
--- a/src/node/service/node-jobs.ts
+++ b/src/node/service/node-jobs.ts
@@ -1,8 +1,6 @@
 /**
- * Batch jobs of one node: the calls about them, their ownership, and the placement of their samples.
- *
- * Relies on: the store (jobs and results), the session monitor (loss of an owner), the relay (scoring calls).
- * Without the store calls are forwarded to nodes that reach it, and owned jobs are cancelled here once others
+ * Composes the batch jobs of one node: API calls, job ownership and sample placement. While the store does
+ * not answer, calls are forwarded to nodes that reach it, and owned jobs are cancelled here once other nodes
  * are known to reach it.
  */
 import { MILLISECONDS_PER_SECOND } from '../../common/clock.js';
@@ -16,10 +14,9 @@
 import type { NodeContext } from './node-context.js';
 import type { SessionRole } from './session-roles.js';
 
-/** Share of the process's memory that cached results may take. Chosen, not measured. */
+/** Fraction of the memory limit for cached results. */
 const RESULT_CACHE_FRACTION = 0.05;
 
-/** What jobs work with. */
 export interface NodeJobsDependencies {
   readonly splitter: TargetSplitter;
   readonly crashCheck: CrashCheck;
@@ -29,7 +26,6 @@
   readonly peers: PeerAddresses;
 }
 
-/** The jobs of one node. */
 export class NodeJobs {
   readonly ownership: JobOwnership;
   readonly calls: JobCalls;
@@ -60,7 +56,7 @@
     });
   }
 
-  /** Why this process takes part in sessions on account of jobs. */
+  /** Whether owned jobs require heartbeats, and whose heartbeats to watch. */
   get sessionRole(): SessionRole {
     return {
       isHolder: () => this.ownership.isRecentOwner,
--- a/src/node/service/peer-endpoint.ts
+++ b/src/node/service/peer-endpoint.ts
@@ -1,4 +1,4 @@
-/** HTTP endpoint for peers, on a port of their own: forwarded requests, configuration, crash reports. */
+/** HTTP endpoints for other nodes, on a separate port: forwarded requests, configuration, crash reports. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { setImmediate } from 'node:timers/promises';
 import { CONFIGURATION_PATH, NEWER_THAN_PARAMETER } from '../../protocol/service/configuration-peer.js';
@@ -17,10 +17,9 @@
 import type { ServiceNode } from './service-node.js';
 
 /**
- * Turns of the event loop between reading a peer's request and dispatching it. After a process pause the
- * request may have waited in the socket buffer, followed by the end of its connection, which is read in the
- * next turn: its caller has left, and it must not be sent. Two were enough in 6 of 6 runs of the test; one
- * more is a spare. Costs well below a millisecond.
+ * Event loop turns between reading a peer's request and dispatching it. After a process pause, the request
+ * may have waited in the socket buffer together with the end of its connection, which is read in a later
+ * turn. Such a request must not be sent to a replica.
  */
 const EVENT_LOOP_TURNS_BEFORE_DISPATCH = 3;
 
@@ -28,7 +27,6 @@
   for (let turns = 0; turns < count; turns += 1) await setImmediate();
 }
 
-/** Answers peers on behalf of one node. */
 export class PeerEndpoint {
   constructor(private readonly node: ServiceNode) {}
 
@@ -58,16 +56,16 @@
     const body = await readRequestBody(request, MAX_MESSAGE_BYTES);
     const reports = body && parseCrashReports(body);
     if (reports) sendJson(response, 200, this.node.exchangeCrashReports(reports));
-    else sendJson(response, 400, { error: 'no reports' });
+    else sendJson(response, 400, { error: 'malformed crash reports' });
   }
 
-  /** The head of the answer acknowledges the request, long before its outcome follows as the body. */
+  /** The response head acknowledges the request; the body follows with the outcome. */
   private async dispatch(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    // A body that ends early means that the peer has left; nothing was accepted, and nobody reads the 400.
+    // A truncated body means that the peer has disconnected: nothing was accepted, and the 400 is not read.
     const body = await readRequestBody(request, MAX_DISPATCH_BYTES).catch(() => undefined);
     const framed = body && parseDispatch(body);
     if (!framed) {
-      sendJson(response, 400, { error: 'no request' });
+      sendJson(response, 400, { error: 'malformed dispatch request' });
       return;
     }
     const disconnected = disconnectSignal(response);
--- a/src/node/service/peer-exchange.ts
+++ b/src/node/service/peer-exchange.ts
@@ -1,10 +1,7 @@
 /**
- * What nodes ask each other while the store does not answer one of them: the newest configuration, and crash
- * reports.
- *
- * Owns: both directions, the periodic questions and the answers to other nodes. Relies on: the addresses of
- * peers read earlier. Where no peer reaches the store either, the node goes on with its last known
- * configuration.
+ * Exchanges the configuration and crash reports with other nodes while the store does not answer one of them.
+ * The addresses of peers are from earlier reads. When no peer reaches the store either, the node keeps using
+ * its last known configuration.
  */
 import type { JobOwnership } from '../../coordination/service/jobs/index.js';
 import { type PeerAddresses, PeerConfiguration } from '../../coordination/service/membership/index.js';
@@ -14,7 +11,6 @@
 import type { NodeContext } from './node-context.js';
 import type { NodeFeeds } from './node-feeds.js';
 
-/** What is exchanged, and with whom. */
 export interface PeerExchangeDependencies {
   readonly ownership: JobOwnership;
   readonly quarantine: RequestQuarantine;
@@ -22,7 +18,6 @@
   readonly feeds: NodeFeeds;
 }
 
-/** The exchange of one node with its peers. */
 export class PeerExchange {
   private readonly configuration: PeerConfiguration;
   private readonly crashReports: CrashReportExchange;
@@ -53,18 +48,18 @@
     });
   }
 
-  /** Asks peers while the store does not answer, until `signal` is aborted. */
+  /** Polls peers while the store does not answer, until `signal` is aborted. */
   run(signal: AbortSignal): void {
     void this.configuration.run(signal);
     void this.crashReports.run(signal);
   }
 
-  /** Whether a peer that reaches the store has just confirmed that the configuration here is the newest. */
+  /** Whether a peer that reaches the store has recently confirmed the configuration of this node. */
   get isConfigurationConfirmed(): boolean {
     return this.configuration.isConfirmed;
   }
 
-  /** Answers a peer that asks for a configuration newer than `version`. */
+  /** Answers a peer's request for a configuration newer than `version`. */
   configurationFor(version: number): PeerConfigurationAnswer {
     const { feeds } = this.services;
     const { configuration } = feeds.operators;
@@ -72,7 +67,7 @@
     return this.version > version ? { kind: 'newer', value: configuration } : { kind: 'same' };
   }
 
-  /** Takes a peer's crash reports; answers with those known here before. */
+  /** Adds a peer's crash reports; returns those known here before. */
   exchangeCrashReports(reports: readonly CrashReportMessage[]): CrashReportsAnswer {
     const { quarantine } = this.services;
     const knownReports = quarantine.reports.recent;
@@ -80,7 +75,7 @@
     return { isServed: this.context.store.isAnswering(), reports: [...knownReports] };
   }
 
-  /** Version of the configuration in force; 0 while none is known. */
+  /** 0 without a configuration. */
   private get version(): number {
     return this.context.routing.current?.version ?? 0;
   }
--- a/src/node/service/service-node.ts
+++ b/src/node/service/service-node.ts
@@ -1,8 +1,7 @@
 /**
- * A node that serves routes and batch jobs over a record store: the composition of its subsystems, its start
- * and its drain. An adapter supplies the store, the replicas' wire format and the operators' records
- * (`ServiceNodeParts`), and translates callers' requests into the calls below. Each subsystem says in its own
- * module what happens when what it relies on fails.
+ * A node that serves routes and batch jobs over a record store: composes its subsystems, starts and drains
+ * them. An adapter supplies the store, the wire format of replicas and the operators' records
+ * (`ServiceNodeDependencies`), and translates callers' requests into the calls below.
  */
 import { setMaxListeners } from 'node:events';
 import { monotonicMs, SYSTEM_CLOCK } from '../../common/clock.js';
@@ -34,7 +33,7 @@
 import { SingletonTasks } from './singleton-tasks.js';
 import { createLoadScheduler } from './weight-loading.js';
 
-/** Parts of a node that run, are measured, or are drained. */
+/** Subsystems that are started, measured or drained. */
 interface Subsystems {
   readonly peers: PeerAddresses;
   readonly sessions: SessionMonitor;
@@ -47,7 +46,6 @@
   readonly loadScheduler: LoadScheduler;
 }
 
-/** One node. */
 export class ServiceNode {
   readonly routing: RoutingTable;
   readonly relay: ServiceRelay;
@@ -102,8 +100,8 @@
   }
 
   /**
-   * Starts following the store, running jobs and taking part in singleton tasks. `address` (`IP:PORT`) serves
-   * callers, `peerAddress` other nodes; without it this node is asked nothing by its peers.
+   * Starts all subsystems. `address` (`IP:PORT`) serves callers, `peerAddress` other nodes; without it peers
+   * send no requests to this node.
    */
   start(address: string, peerAddress?: string): void {
     const { signal } = this.controller;
@@ -118,7 +116,7 @@
     void loadScheduler.run(signal);
   }
 
-  /** Whether new callers may be sent here (`isReady` of readiness.ts says why not). */
+  /** Whether load balancers may send requests here; see `readiness.ts` for the rule. */
   get isReady(): boolean {
     return isReady({
       isDraining: this.isDraining,
@@ -132,20 +130,20 @@
   }
 
   /**
-   * Whether a change of the configuration would be known here. While it is false, a key or a route that is
-   * unknown here may exist: a caller that shows one gets 503 rather than 401 or 404.
+   * Whether the configuration is up to date. Otherwise a newer one may have keys and routes that are unknown
+   * here, and callers that use them get 503 instead of 401 or 404.
    */
   get isConfigurationCurrent(): boolean {
     const { feeds, peerExchange } = this.subsystems;
     return feeds.isConfigurationFresh || peerExchange.isConfigurationConfirmed;
   }
 
-  /** Answers a peer that asks for a configuration newer than `version`. */
+  /** Answers a peer's request for a configuration newer than `version`. */
   configurationFor(version: number): PeerConfigurationAnswer {
     return this.subsystems.peerExchange.configurationFor(version);
   }
 
-  /** Takes a peer's crash reports and answers with this node's. */
+  /** Adds a peer's crash reports; returns this node's. */
   exchangeCrashReports(reports: readonly CrashReportMessage[]): CrashReportsAnswer {
     return this.subsystems.peerExchange.exchangeCrashReports(reports);
   }
@@ -179,12 +177,12 @@
     for (const part of [jobs, tasks, quarantine, dispatch, feeds]) part.measure();
   }
 
-  /** Stops all tasks at once, as a crash would. For nodes that share a process. */
+  /** Stops all tasks immediately, without draining; for nodes that share a process. */
   stopNow(): void {
     this.controller.abort();
   }
 
-  /** Finishes or hands over what is open. Resolves when the process may end; a second call at once. */
+  /** Finishes or hands over open work. Resolves when the process may exit; a second call resolves at once. */
   async drain(): Promise<void> {
     if (this.isDraining) return;
     this.isDraining = true;
--- a/src/node/service/service-process.ts
+++ b/src/node/service/service-process.ts
@@ -1,8 +1,7 @@
 /**
- * The process of a serving node: its listeners, its signals, and what it measures of itself.
- *
- * Relies on: the node for everything else. A request that fails within the node is answered 500 and logged;
- * an uncaught exception is logged and ends the process, SIGTERM and SIGINT drain the node first.
+ * The process of a serving node: its listeners, signals and process metrics. A request whose handler fails is
+ * answered 500 and logged; an uncaught exception is logged and ends the process; SIGTERM and SIGINT drain the
+ * node first.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { MILLISECONDS_PER_SECOND, monotonicMs } from '../../common/clock.js';
@@ -13,44 +12,40 @@
 import { PeerEndpoint } from './peer-endpoint.js';
 import type { ServiceNode } from './service-node.js';
 
-/** Limits of the callers' listener. Chosen, not measured. */
+/** Limits of the callers' listener. */
 const MAX_HEADER_BYTES = 64 * 1024;
 const REQUEST_TIMEOUT_MS = 60_000;
-/** Interval of measurements of the event loop's delay, milliseconds. Chosen, not measured. */
 const LOOP_DELAY_INTERVAL_MS = 500;
-/** Delay of a measurement above which a process pause is logged, milliseconds. Chosen, not measured. */
+/** Longer delays of the event loop are logged as a process pause. */
 const LOGGED_LOOP_DELAY_MS = 400;
-/** Kept longer than callers may reuse an idle connection, milliseconds. Chosen, not measured. */
+/** Idle connections stay open this much longer than callers may reuse them. */
 const KEEP_ALIVE_MARGIN_MS = 1_000;
-/** Time for which an idle connection of a peer is kept: longer than peers keep theirs (45 s). */
+/** Longer than the keep-alive of the peers' clients (45 s), so that a connection they reuse is still open. */
 const PEER_KEEP_ALIVE_MS = 60_000;
 
-/** What the process works with. */
 export interface ServiceProcessDependencies {
   readonly node: ServiceNode;
   readonly settings: () => ServiceSettings;
   readonly metrics: ServiceMetrics;
   readonly logger: StandardOutputLogger;
-  /** Path of the readiness check. */
   readonly readyPath: string;
-  /** Port of the metrics; none are served without it. */
+  /** Metrics are not served without it. */
   readonly metricsPort: number | undefined;
   readonly serve: (request: IncomingMessage, response: ServerResponse) => Promise<void>;
-  /** Reloads the settings and puts them in force; throws when they are invalid. */
+  /** Reloads and applies the settings; throws when they are invalid. */
   readonly reload: () => { settings: ServiceSettings; unusedFields: number };
 }
 
-/** Settings that take effect while the process runs. */
+/** Settings that take effect without a restart. */
 const RELOADABLE_SETTINGS = ['stopGraceMs', 'configurationBoundMs', 'leaseMs', 'resultRetentionMs'] as const;
 
-/** What a reload has changed, one text per setting. */
+/** Describes each reloadable setting that differs. */
 function describeChanges(before: ServiceSettings, after: ServiceSettings): string[] {
   return RELOADABLE_SETTINGS.filter((name) => before[name] !== after[name]).map(
     (name) => `${name} ${before[name]} to ${after[name]}`,
   );
 }
 
-/** Runs a node in this process. */
 export class ServiceProcess {
   private readonly callers: HttpServer;
   private readonly readiness: HttpServer;
@@ -81,7 +76,7 @@
     new PeerEndpoint(dependencies.node).register(this.peers);
   }
 
-  /** Listens and serves until a signal ends the process. */
+  /** Serves until a signal ends the process; `detail` is logged at the start. */
   async run(detail: string): Promise<void> {
     const { node, logger, metricsPort } = this.dependencies;
     this.handleSignals();
@@ -115,7 +110,7 @@
     const detail = cause instanceof Error ? (cause.stack ?? cause.message) : String(cause);
     this.dependencies.logger.record({
       event: 'process-changed',
-      change: 'a request failed within the node',
+      change: 'request handler failed',
       detail,
     });
     if (!response.headersSent) sendJson(response, 500, { error: 'internal error' });
@@ -181,7 +176,7 @@
       const detail = [...describeChanges(before, settings), `${unusedFields} unused fields`].join(', ');
       this.dependencies.logger.record({ event: 'process-changed', change: 'settings read again', detail });
     } catch (cause) {
-      this.logFailure('settings are wrong, the old ones stay', cause);
+      this.logFailure('invalid settings, previous ones kept', cause);
     }
   }
 
--- a/src/node/service/singleton-tasks.ts
+++ b/src/node/service/singleton-tasks.ts
@@ -1,10 +1,7 @@
 /**
- * Tasks that one node does for the whole fleet: commanding weight loads, and reporting usage where that is
- * configured.
- *
- * Owns: a leader lease per task, and usage accounting. Relies on: the session monitor (loss of a leader), the
- * store (leases). Without the store no lease is confirmed and neither task acts; usage is counted on in
- * memory.
+ * Tasks that one node performs for the whole fleet, each under a leader lease: commanding weight loads and,
+ * if configured, reporting usage. Without the store no lease is confirmed and neither task acts; usage is
+ * still counted in memory.
  */
 import { sleep } from '../../common/clock.js';
 import { LeaderLease } from '../../coordination/service/leadership/index.js';
@@ -16,16 +13,14 @@
 import type { NodeContext } from './node-context.js';
 import type { SessionRole } from './session-roles.js';
 
-/** Names of the tasks in stored keys and logs: commanding loads, and reporting usage. */
+/** Names of the tasks in stored keys and logs. */
 const LOAD_COMMANDS_TASK = 'weight-orders';
 const USAGE_TASK = 'usage';
-/** Longest final attempt to store counted usage. Chosen, not measured. */
 const FLUSH_TIMEOUT_MS = 1_500;
 
-/** The singleton tasks as one node takes part in them. */
 export class SingletonTasks implements SessionRole {
   readonly loadLease: LeaderLease;
-  /** `undefined` where no usage is reported. */
+  /** `undefined` if usage is not reported. */
   readonly usage: UsageAccounting | undefined;
 
   constructor(
@@ -50,23 +45,22 @@
     return this.leases.flatMap((lease) => lease.holder ?? []);
   }
 
-  /** Takes the lease records that were read; acquires free leases if `mayLead`. */
+  /** Processes lease records read from the store; acquires free leases if `mayLead`. */
   observe(records: readonly StoredRecord[], mayLead: boolean): void {
     this.loadLease.observe(records, this.hasModels && mayLead);
     this.usage?.observe(records, mayLead);
   }
 
-  /** Counts a request of `tenant` that is sent now. Call what is returned if it turns out not to have run. */
+  /** Counts a request of `tenant` that is being sent; the returned function undoes it if it did not run. */
   countRequest(tenant: string): () => void {
     return this.usage?.counter.countRequest(tenant) ?? (() => {});
   }
 
-  /** Releases all leases that are held. */
   async releaseLeases(): Promise<void> {
     await Promise.all(this.leases.map((lease) => lease.release()));
   }
 
-  /** Stores counted usage before the process ends; gives up after `FLUSH_MS`. */
+  /** Stores counted usage before the process exits, within `FLUSH_TIMEOUT_MS`. */
   async flushUsage(): Promise<void> {
     if (this.usage)
       await Promise.race([this.usage.flush(AbortSignal.timeout(FLUSH_TIMEOUT_MS)), sleep(FLUSH_TIMEOUT_MS)]);
--- a/src/node/service/weight-loading.ts
+++ b/src/node/service/weight-loading.ts
@@ -1,10 +1,10 @@
-/** Builds the commander of weight loads: it acts while this node holds the lease of that task. */
+/** Creates the scheduler of weight loads, which is active while this node holds its leader lease. */
 import type { JobOwnership } from '../../coordination/service/jobs/index.js';
 import type { LeaderLease } from '../../coordination/service/leadership/index.js';
 import { LoadScheduler } from '../../coordination/service/weights/index.js';
 import type { NodeContext } from './node-context.js';
 
-/** `ownership` knows what the jobs of each model have lately required. */
+/** `ownership` supplies the recent demand of each model's jobs. */
 export function createLoadScheduler(
   context: NodeContext,
   lease: LeaderLease,
