--- a/test/platform/platform-parsers.test.ts
+++ b/test/platform/platform-parsers.test.ts
@@ -1,4 +1,4 @@
-/** Bytes from outside, whatever they are: every parser answers or refuses, none throws, none makes something up. */
+/** Parsers must accept or reject arbitrary bytes from other processes without throwing. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { parseSubmission } from '../../platform/job-bodies.js';
@@ -17,7 +17,7 @@
 const SEED = 20_261_202;
 const options = { numRuns: RUNS, seed: SEED };
 
-/** Any bytes, and any JSON, also with the names that the parsers look for. */
+/** Arbitrary bytes and JSON, including the names that the parsers look for. */
 const keys = fc.constantFrom(
   'version',
   'routes',
@@ -43,7 +43,7 @@
   json.map((value) => Buffer.from(JSON.stringify(value), 'utf8')),
 );
 
-/** A valid configuration in which one place is replaced by another value. */
+/** A valid configuration with one value replaced. */
 const damagedConfiguration = fc.tuple(json, fc.nat(30)).map(([value, place]) => {
   const configuration = JSON.parse(JSON.stringify(usualConfiguration(1))) as Record<string, unknown>;
   const places: [object: Record<string, unknown>, key: string][] = [];
@@ -60,8 +60,8 @@
   return Buffer.from(JSON.stringify(configuration), 'utf8');
 });
 
-describe('parsers of bytes from outside', () => {
-  it('reads or refuses a configuration, and what it reads can be matched', () => {
+describe('platform parsers', () => {
+  it('accepts or rejects a configuration, and an accepted one can be matched', () => {
     fc.assert(
       fc.property(fc.oneof(bytes, damagedConfiguration), (value) => {
         const configuration = parseConfiguration(value);
@@ -71,7 +71,7 @@
     );
   });
 
-  it('reads or refuses a named version', () => {
+  it('accepts or rejects a named version', () => {
     fc.assert(
       fc.property(bytes, (value) => {
         const named = parseWeightVersion('version/model-a', value);
@@ -81,7 +81,7 @@
     );
   });
 
-  it('reads or refuses a submission, naming the field', () => {
+  it('accepts a submission or names its malformed field', () => {
     fc.assert(
       fc.property(bytes, (value) => {
         const parsed = parseSubmission(value);
@@ -91,7 +91,7 @@
     );
   });
 
-  it('reads or refuses the report of a replica', () => {
+  it('accepts or rejects the report of a replica', () => {
     fc.assert(
       fc.property(bytes, (value) => {
         const report = parseReport(value);
@@ -103,7 +103,7 @@
     );
   });
 
-  it('reads or refuses a settings file, naming the field', () => {
+  it('accepts a settings file or names its malformed field', () => {
     const line = fc.tuple(
       fc.constantFrom('node', 'zone', 'listen.front', 'listen.ready', 'platform.addr', 'bounds.graceS', 'x'),
       fc.constantFrom('', '=', '=a', '=127.0.0.1:80', '=:', '=-1', '=9e99', '=1=2'),
@@ -117,7 +117,7 @@
     );
   });
 
-  it('gives the same events wherever a stream is cut', () => {
+  it('parses the same events wherever a stream is split into chunks', () => {
     const event = fc.tuple(fc.nat(99), fc.string(), fc.constantFrom('\n', '\r\n'));
     fc.assert(
       fc.property(
@@ -143,7 +143,7 @@
     );
   });
 
-  it('throws nothing but its own error at bytes that are no events, and keeps them bounded', () => {
+  it('throws only EventStreamError for bytes that are not events, and bounds its buffer', () => {
     fc.assert(
       fc.property(fc.array(fc.uint8Array({ maxLength: 100 }), { maxLength: 5 }), (chunks) => {
         const parser = new EventStreamParser();
--- a/test/platform/replica-rows.test.ts
+++ b/test/platform/replica-rows.test.ts
@@ -1,4 +1,4 @@
-/** Rows of replicas, whoever wrote them: a row that is not wholly as described names no replica. */
+/** A row of a replica with any malformed field must be rejected as a whole. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { parseReplica } from '../../platform/replica-rows.js';
@@ -33,8 +33,8 @@
   ),
 })).value;
 
-describe('rows of replicas', () => {
-  it('are read as described, with and without the moment of the start', () => {
+describe('parseReplica', () => {
+  it('parses a valid row, with and without a start time', () => {
     const replica = parse(VALID_ROW)._unsafeUnwrap();
     expect(replica).to.deep.equal({
       id: 'r1',
@@ -53,7 +53,7 @@
   });
 
   for (const field of REQUIRED)
-    it(`name no replica without ${field}`, () => {
+    it(`rejects a row without ${field}`, () => {
       const { [field]: _, ...rest } = VALID_ROW;
       expect(parse(rest)._unsafeUnwrapErr()).to.contain(field);
     });
@@ -79,18 +79,18 @@
     ['models', 7],
   ];
   for (const [field, value] of wrong)
-    it(`name no replica with ${field} ${JSON.stringify(value)}`, () => {
+    it(`rejects a row with ${field} ${JSON.stringify(value)}`, () => {
       expect(parse({ ...VALID_ROW, [field]: value })._unsafeUnwrapErr()).to.contain(field);
     });
 
-  it('name no replica when their bytes cannot be read', () => {
+  it('rejects bytes that are not a JSON object in UTF-8', () => {
     const broken = Buffer.from(JSON.stringify({ ...VALID_ROW, zone: 'zone-?' }), 'utf8');
     broken[broken.indexOf(0x3f)] = 0xff;
     for (const bytes of [broken, Buffer.from([]), Buffer.from('['.repeat(50_000)), Buffer.from('null')])
       expect(parseReplica('r1', bytes).isErr()).to.equal(true);
   });
 
-  it('are read or refused, whatever stands in them, and never read with a field of another kind', () => {
+  it('accepts or rejects arbitrary rows, and never returns a field of the wrong type', () => {
     const damaged = fc.tuple(fc.constantFrom(...FIELDS), arbitraryValue).map(([field, value]) => ({
       ...VALID_ROW,
       [field]: value,
