--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,11 +1,11 @@
 /**
- * Time helpers. Durations and ages are always measured on the monotonic clock, because wall clocks
- * of different machines disagree; wall time is used only in records that people read.
+ * Time helpers. Durations and ages use the monotonic clock, because wall clocks of different machines
+ * disagree; wall time is only for records that people read.
  */
 
 export const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Milliseconds on this process's monotonic clock. The origin has no meaning across processes. */
+/** Monotonic time, milliseconds; not comparable between processes. */
 export function monotonicMs(): number {
   return performance.now();
 }
@@ -32,15 +32,14 @@
   });
 }
 
-/** Time and randomness of a task; tests bring their own, so that a run takes no time and is repeatable. */
+/** Time and randomness of a task; replaced in tests to make them fast and repeatable. */
 export interface Clock {
   /** Monotonic time, milliseconds. */
   now(): number;
   /** Resolves after `ms` milliseconds, or at once when `signal` is aborted. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
-  /** A number from 0 up to 1. */
+  /** A uniform number in `[0, 1)`. */
   random(): number;
 }
 
-/** The clock of this process. */
 export const SYSTEM_CLOCK: Clock = { now: monotonicMs, sleep, random: Math.random };
--- a/src/common/collections.ts
+++ b/src/common/collections.ts
@@ -1,6 +1,6 @@
-/** Helpers for collections that the runtime lacks. */
+/** Collection helpers missing from the runtime. */
 
-/** The entries of a list by key; keys and entries keep their order. */
+/** Groups entries by key; keys and entries keep their order. */
 export function groupBy<Entry, Key>(
   entries: readonly Entry[],
   keyOf: (entry: Entry) => Key,
--- a/src/common/condition-variable.ts
+++ b/src/common/condition-variable.ts
@@ -1,7 +1,7 @@
-/** Waiting of one asynchronous task for another within a process. */
+/** Synchronization of asynchronous tasks within a process. */
 import { type Clock, SYSTEM_CLOCK } from './clock.js';
 
-/** A condition variable: tasks wait until another one notifies them that their condition may hold now. */
+/** Tasks wait until another task notifies them that their condition may hold. */
 export class ConditionVariable {
   private readonly waiters = new Set<() => void>();
 
@@ -19,7 +19,7 @@
     });
   }
 
-  /** Like `wait`, but resolves after `ms` milliseconds at the latest. */
+  /** Like `wait`, with a timeout of `ms` milliseconds. */
   async waitWithTimeout(ms: number, signal: AbortSignal, clock: Clock = SYSTEM_CLOCK): Promise<void> {
     const controller = new AbortController();
     const abort = () => controller.abort();
@@ -30,7 +30,6 @@
     controller.abort();
   }
 
-  /** Wakes all waiting tasks. */
   notifyAll(): void {
     for (const wake of [...this.waiters]) wake();
   }
--- a/src/common/decision-logger.ts
+++ b/src/common/decision-logger.ts
@@ -1,7 +1,7 @@
 /**
- * Writes decision records as roarr JSON lines to standard output, rate-limited by event. Lines beyond the
- * limit are counted, and the counts are written once a second. A slow reader never delays the node: its lines
- * are dropped and counted.
+ * Writes decision records as roarr JSON lines to standard output, with a rate limit per event. Lines above
+ * the limit are counted, and the counts are written every second. A slow reader never delays the node: lines
+ * that it does not read in time are dropped and counted.
  */
 import { MILLISECONDS_PER_SECOND } from './clock.js';
 import './roarr-environment.js';
@@ -11,29 +11,27 @@
 import { TokenBucket } from './token-bucket.js';
 
 /**
- * Lines of one event per second in the long run, and in a burst. The busiest second measured had 148 lines of
- * all events (docs/design/logging.md), so that only an overload exceeds the burst.
+ * Rate limit of each event: sustained lines per second, and burst. Only an overload exceeds the burst
+ * (docs/design/logging.md).
  */
 const LINES_PER_SECOND = 100;
 const BURST_LINES = 400;
-/** Longest wait for the reader at the end, milliseconds. Chosen, not measured: below the grace of a stop. */
+/** Limits the final flush to less than the stop grace period. */
 const FLUSH_TIMEOUT_MS = 200;
 
-/** Takes decision records. */
 export interface DecisionLogger {
   record(record: DecisionRecord): void;
 }
 
-/** A logger that drops everything: for tests and the demo. */
+/** Drops all records; for tests and the demo. */
 export const silentDecisionLogger: DecisionLogger = { record: () => {} };
 
 interface RateLimit {
   readonly bucket: TokenBucket;
-  /** Lines not written since the last summary. */
+  /** Lines above the limit since the last report. */
   suppressed: number;
 }
 
-/** The logger of a process. */
 export class StandardOutputLogger implements DecisionLogger {
   private readonly limits = new Map<string, RateLimit>();
   private readonly log;
@@ -51,7 +49,7 @@
     this.reportTimer.unref();
   }
 
-  /** Lines dropped because the reader was too slow. */
+  /** Lines dropped because of a slow reader. */
   get droppedLines(): number {
     return this.writer.dropped;
   }
@@ -66,7 +64,7 @@
     else limit.suppressed += 1;
   }
 
-  /** Writes what is left before the process ends. */
+  /** Flushes buffered lines before the process exits. */
   async close(): Promise<void> {
     clearInterval(this.reportTimer);
     this.reportSuppressed();
--- a/src/common/identifier.ts
+++ b/src/common/identifier.ts
@@ -1,19 +1,17 @@
 /**
- * Identifiers. A request ID is `{nodeId}~{ulid}`: it names the node that made the decisions and, through
- * the ULID, the time, so that `explain` knows whom to ask.
+ * Identifiers. A request ID is `{nodeId}~{ulid}`: it tells `explain` which node made the decisions, and when.
  */
 import { createHash, randomFillSync } from 'node:crypto';
 import { decodeTime, ulid } from 'ulid';
 
 const SEPARATOR = '~';
 
-/** One system call for so many random bytes: 256 identifiers of 16 characters. */
+/** Random bytes are read in pools, since a system call per character would dominate the cost of an ID. */
 const RANDOM_POOL_BYTES = 4_096;
 const BYTE_VALUES = 256;
 const randomPool = Buffer.alloc(RANDOM_POOL_BYTES);
 let randomPoolUsed = RANDOM_POOL_BYTES;
 
-/** A random fraction from a pool: a system call for each character costs more than the rest of an ID. */
 function pooledFraction(): number {
   if (randomPoolUsed >= RANDOM_POOL_BYTES) {
     randomFillSync(randomPool);
@@ -26,31 +24,29 @@
 
 const newUlid = () => ulid(undefined, pooledFraction);
 
-/** A new identifier that no other call returns, sortable by time. */
+/** A new unique identifier, sortable by time. */
 export function uniqueId(): string {
   return newUlid();
 }
 
-/** A new request ID issued by `nodeId`. */
 export function newRequestId(nodeId: string): string {
   return `${nodeId}${SEPARATOR}${newUlid()}`;
 }
 
-/** What a request ID encodes. */
 export interface RequestIdParts {
   readonly nodeId: string;
-  /** Wall time of issue, milliseconds since the epoch. */
+  /** Wall time, milliseconds since the epoch. */
   readonly issuedAtMs: number;
 }
 
-/** The parts of a request ID, or `undefined` when the text, which comes from a caller, is not one. */
+/** The parts of a request ID; `undefined` for any other text, since IDs come from callers. */
 export function parseRequestId(text: string): RequestIdParts | undefined {
   const separatorIndex = text.lastIndexOf(SEPARATOR);
   if (separatorIndex <= 0) return undefined;
   try {
     return { nodeId: text.slice(0, separatorIndex), issuedAtMs: decodeTime(text.slice(separatorIndex + 1)) };
   } catch {
-    // `decodeTime` throws on any text that is no ULID.
+    // `decodeTime` throws if the text is not a ULID.
     return undefined;
   }
 }
--- a/src/common/lifecycle.ts
+++ b/src/common/lifecycle.ts
@@ -1,19 +1,18 @@
 /**
- * The lifecycle of a long-lived thing (node, peer, back end, lease, swap): a robot3 state machine inside the
- * task that owns it. The task awaits, then sends an event. An event that the current state does not accept is
- * a defect: it is counted, and the state stays. Each change of state writes one log line.
+ * Lifecycle of a long-lived object (node, peer, back end, lease, swap): a robot3 state machine within the
+ * task that owns it. An event that the current state does not accept is a defect: it is counted, and the
+ * state stays. Each change of state is logged.
  */
 import { createMachine, interpret, type Machine, state, transition } from 'robot3';
 import type { Logger } from './logging.js';
 import type { Metrics } from './metrics.js';
 import type { NodeMetrics } from './node-metrics.js';
 
-/** For each state, the events it accepts and the state that each one leads to. */
+/** For each state, the accepted events and their target states. */
 export type LifecycleTable<State extends string, Event extends string> = Readonly<
   Record<State, Readonly<Partial<Record<Event, State>>>>
 >;
 
-/** Builds the robot3 machine for a table of transitions. */
 function buildMachine<State extends string, Event extends string>(
   initial: State,
   table: LifecycleTable<State, Event>,
@@ -26,19 +25,19 @@
   return createMachine(initial as never, states as never) as unknown as Machine;
 }
 
-/** Logs and metrics of the parts of a node. */
+/** Logger and metrics of a node. */
 export interface LifecycleObserver {
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** The part of them that a lifecycle needs. */
+/** The subset that a lifecycle uses. */
 export interface LifecycleSink {
   readonly logger: Pick<Logger, 'info'>;
   readonly metrics: Pick<NodeMetrics, 'lifecycleDefects' | 'transitions'>;
 }
 
-/** One running lifecycle. `kind` names the class of things, `subject` the single thing. */
+/** `kind` names the type of object, `subject` the single object. */
 export class Lifecycle<State extends string, Event extends string> {
   private readonly service;
 
@@ -52,12 +51,11 @@
     this.service = interpret(buildMachine(initial, table), () => {});
   }
 
-  /** The current state. */
   get current(): State {
     return this.service.machine.current as State;
   }
 
-  /** Applies an event. Returns false, and counts a defect, when the current state does not accept it. */
+  /** Applies an event. Returns false and counts a defect if the current state does not accept it. */
   send(event: Event, reason = ''): boolean {
     const before = this.current;
     if (this.table[before][event] === undefined) {
@@ -69,7 +67,7 @@
     return true;
   }
 
-  /** Applies an event only when the current state accepts it: for signals that may come in any state. */
+  /** Applies an event if the current state accepts it; for events that may occur in any state. */
   sendIfAccepted(event: Event, reason = ''): boolean {
     return this.table[this.current][event] === undefined ? false : this.send(event, reason);
   }
--- a/src/common/line-writer.ts
+++ b/src/common/line-writer.ts
@@ -1,16 +1,14 @@
 /**
- * Writes lines to a stream and never waits for its reader: unread lines are buffered up to a bound, further
- * ones are dropped and counted. Lines of one turn of the event loop share a write.
+ * Writes lines to a stream without waiting for its reader: unread lines are buffered up to a limit, further
+ * ones are dropped and counted. Lines of one event loop turn share a write.
  */
 import type { Writable } from 'node:stream';
 import { sleep } from './clock.js';
 
-/** Bound of the buffer, bytes. Chosen, not measured: seconds of the busiest node (docs/design/logging.md). */
+/** Several seconds of logs of a busy node (docs/design/logging.md). */
 const DEFAULT_BUFFER_BYTES = 256 * 1024;
-/** Chosen, not measured: short against the limit of a flush. */
 const FLUSH_POLL_MS = 10;
 
-/** A bounded writer of lines. */
 export class LineWriter {
   private batch: string[] = [];
   private batchBytes = 0;
@@ -21,12 +19,11 @@
     private readonly bufferBytes = DEFAULT_BUFFER_BYTES,
   ) {}
 
-  /** Lines dropped so far. */
   get dropped(): number {
     return this.droppedLines;
   }
 
-  /** Writes one line, given without its line feed. Returns false when it was dropped. */
+  /** `line` has no line feed. Returns false if it was dropped. */
   write(line: string): boolean {
     if (this.bufferedBytes + line.length > this.bufferBytes) {
       this.droppedLines += 1;
@@ -38,7 +35,7 @@
     return true;
   }
 
-  /** Waits until the reader has read everything, at most `limitMs`. */
+  /** Waits until the reader has read everything, or for `timeoutMs` milliseconds. */
   async flush(timeoutMs: number): Promise<void> {
     this.writeBatch();
     for (let waitedMs = 0; this.stream.writableLength > 0 && waitedMs < timeoutMs; waitedMs += FLUSH_POLL_MS)
--- a/src/common/logging.ts
+++ b/src/common/logging.ts
@@ -1,14 +1,13 @@
 /**
- * Structured logs of nodes of the product's own interface: roarr JSON lines on standard error, for changes of
- * state only. Requests are counted (`metrics.ts`), not logged.
+ * Structured logs of nodes with the product's own interface: roarr JSON lines on standard error, for changes
+ * of state only. Requests are counted (`metrics.ts`), not logged.
  */
 import './roarr-environment.js';
 import { ROARR, Roarr } from 'roarr';
 
-/** Fields of a log line: plain JSON values. */
+/** JSON values of a log line. */
 export type LogFields = Record<string, string | number | boolean | null>;
 
-/** Where log lines go. */
 export type LogSink = 'stderr' | 'silent';
 
 /** Directs all log lines of this process to `sink`. */
@@ -16,7 +15,6 @@
   ROARR.write = sink === 'stderr' ? (line: string) => process.stderr.write(`${line}\n`) : () => {};
 }
 
-/** Logs of one component. */
 export interface Logger {
   /** A change of state in normal operation. */
   info(message: string, fields?: LogFields): void;
@@ -24,7 +22,7 @@
   warn(message: string, fields?: LogFields): void;
 }
 
-/** A logger whose lines carry `context`. */
+/** Creates a logger that adds `context` to each line. */
 export function createLogger(context: LogFields): Logger {
   const log = Roarr.child(context);
   return {
--- a/src/common/metric-set.ts
+++ b/src/common/metric-set.ts
@@ -1,7 +1,7 @@
-/** Makes metrics in a registry of their own; several nodes may share a process. */
+/** Creates metrics in a registry of their own, since several nodes may share a process. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-/** The base of a set of metrics. Names follow the Prometheus conventions. */
+/** Base class of a set of metrics. Names follow the Prometheus conventions. */
 export class MetricSet {
   readonly registry = new Registry();
 
@@ -23,7 +23,7 @@
     return new Gauge({ name, help, labelNames: [...labelNames], registers: [this.registry] });
   }
 
-  /** A histogram of times, in seconds. */
+  /** A histogram of durations, in seconds. */
   protected histogram<Label extends string>(
     name: string,
     help: string,
--- a/src/common/metrics.ts
+++ b/src/common/metrics.ts
@@ -1,13 +1,12 @@
-/** Metrics of a node of the product's own interface, in its own registry: nodes may share a process. */
+/** Metrics of a node with the product's own interface. */
 import { collectDefaultMetrics } from 'prom-client';
 import { NodeMetrics } from './node-metrics.js';
 
-/** Upper bounds, seconds: from a relayed request to a long rollout. Chosen, not measured. */
+/** From a relayed request to a long rollout. */
 const LATENCY_BUCKETS_SECONDS = [
   0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 120,
 ];
 
-/** The metrics of a node; the help text of each says what it counts. */
 export class Metrics extends NodeMetrics {
   readonly requests = this.counter('thymecove_requests_total', 'Answers to callers by route and status', [
     'route',
@@ -29,7 +28,7 @@
     ['route'],
   );
 
-  /** `processMetrics` adds processor time and memory of the process; one node of a process takes it. */
+  /** `processMetrics` adds processor time and memory of the process; set for one node of a process. */
   constructor(processMetrics: boolean) {
     super(LATENCY_BUCKETS_SECONDS);
     if (processMetrics) collectDefaultMetrics({ register: this.registry });
--- a/src/common/node-metrics.ts
+++ b/src/common/node-metrics.ts
@@ -1,7 +1,6 @@
-/** Metrics that every kind of node has. */
+/** Metrics common to all kinds of nodes. */
 import { MetricSet } from './metric-set.js';
 
-/** The base of a node's metrics. */
 export class NodeMetrics extends MetricSet {
   readonly attempts = this.counter(
     'thymecove_attempts_total',
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -1,11 +1,10 @@
-/** Seeded pseudo-random numbers, so that a run can be repeated. Backed by `pure-rand`. */
+/** Seeded pseudo-random numbers for repeatable runs, backed by `pure-rand`. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Steps of a fraction: the largest 31-bit integer. */
+/** Number of distinct fractions: the largest 31-bit integer. */
 const RESOLUTION = 0x7fffffff;
 
-/** A seeded generator of uniform numbers. */
 export class Random {
   private readonly generator;
 
@@ -28,7 +27,7 @@
     return items[this.integer(items.length)] as T;
   }
 
-  /** Up to `count` different elements, in random order. */
+  /** Up to `count` distinct elements, in random order. */
   sample<T>(items: readonly T[], count: number): T[] {
     const remaining = [...items];
     const chosen: T[] = [];
--- a/src/common/roarr-environment.ts
+++ b/src/common/roarr-environment.ts
@@ -1,2 +1,2 @@
-/** roarr reads this variable when it is loaded, and drops all lines without it: import before roarr. */
+/** Must be imported before roarr, which reads this variable when loaded and drops all lines without it. */
 process.env.ROARR_LOG ??= 'true';
--- a/src/common/service-metrics.ts
+++ b/src/common/service-metrics.ts
@@ -1,13 +1,12 @@
 /**
- * Metrics of a node that serves routes and jobs. Dashboards read names and labels, which stay. Label sets are
- * bounded: routes and services of the configuration, and fixed outcomes.
+ * Metrics of a node that serves routes and jobs. Dashboards read names and labels, so they keep their names.
+ * Label values are bounded: routes and services of the configuration, and fixed outcomes.
  */
 import { NodeMetrics } from './node-metrics.js';
 
-/** Upper bounds, seconds: from a lookup's milliseconds to the longest stream. Chosen, not measured. */
+/** From a lookup to a long stream. */
 const LATENCY_BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30];
 
-/** The metrics of a node; the help text of each says what it counts. */
 export class ServiceMetrics extends NodeMetrics {
   constructor() {
     super(LATENCY_BUCKETS_SECONDS);
--- a/src/common/statistics.ts
+++ b/src/common/statistics.ts
@@ -1,6 +1,4 @@
-/** Statistics of lists of numbers. */
-
-/** The median; NaN of an empty list. */
+/** NaN for an empty list. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   const middle = Math.floor(sorted.length / 2);
--- a/src/common/token-bucket.ts
+++ b/src/common/token-bucket.ts
@@ -1,7 +1,7 @@
-/** A token bucket: a rate limit with a bounded burst, on the monotonic clock. */
+/** Rate limit with a bounded burst, on the monotonic clock. */
 import { MILLISECONDS_PER_SECOND, monotonicMs } from './clock.js';
 
-/** Grants `ratePerSecond` tokens in the long run, at most `burst` at once. */
+/** Grants `ratePerSecond` tokens on average, at most `burst` at once. */
 export class TokenBucket {
   private tokens: number;
   private updatedAtMs = monotonicMs();
@@ -13,7 +13,7 @@
     this.tokens = burst;
   }
 
-  /** Takes a token and returns 0, or returns the wait until the next one, milliseconds. */
+  /** Takes a token and returns 0, or returns the time until the next one, milliseconds. */
   take(): number {
     this.refill();
     if (this.tokens >= 1) {
--- a/test/common/elapsed-time.test.ts
+++ b/test/common/elapsed-time.test.ts
@@ -1,8 +1,8 @@
-/** Time that passes on a machine that may be suspended, and whose time of day may be set. */
+/** A lease must not outlive its validity when the machine is suspended or its wall clock is set. */
 import { expect } from 'chai';
 import { startStopwatch } from '../../src/common/elapsed-time.js';
 
-describe('time that a right takes as passed', () => {
+describe('startStopwatch', () => {
   const clocks = { monotonic: 0, timeOfDay: 0 };
   const start = () =>
     startStopwatch({ monotonicMs: () => clocks.monotonic, timeOfDayMs: () => clocks.timeOfDay });
@@ -11,19 +11,19 @@
     clocks.timeOfDay += timeOfDay;
   };
 
-  it('is what both clocks show while nothing happens', () => {
+  it('returns the elapsed time while both clocks agree', () => {
     const elapsed = start();
     advance(100, 99);
     expect(elapsed()).to.equal(100);
   });
 
-  it('counts a suspension, which the monotonic clock does not', () => {
+  it('includes the time of a suspension, which the monotonic clock omits', () => {
     const elapsed = start();
     advance(10, 3_010);
     expect(elapsed()).to.equal(3_010);
   });
 
-  it('is in doubt after the time of day was set back, and longer after it was set forward', () => {
+  it('returns infinity after the wall clock was set back, and the longer time after it was set forward', () => {
     const back = start();
     advance(100, -2_400);
     expect(back()).to.equal(Number.POSITIVE_INFINITY);
--- a/test/common/logging.test.ts
+++ b/test/common/logging.test.ts
@@ -1,4 +1,4 @@
-/** Logs stay bounded and never hold a process up; accounts of a request can be drawn from them. */
+/** Logs must stay bounded and never block the process; traces of requests are built from them. */
 import { Writable } from 'node:stream';
 import { expect } from 'chai';
 import { parseLogLine, renderTrace, traceOf } from '../../src/cli/trace.js';
@@ -7,7 +7,7 @@
 import { LOOKUP_PATH, ServiceSystem } from '../support/service-system.js';
 import { until } from '../support/wait.js';
 
-/** A stream whose reader takes nothing until it is told to. */
+/** A stream that accepts no data until `unblock` is called. */
 class BlockedStream extends Writable {
   readonly written: string[] = [];
   private release: (() => void) | undefined;
@@ -19,7 +19,6 @@
     else done();
   }
 
-  /** Takes everything from now on. */
   unblock(): void {
     this.isBlocked = false;
     this.release?.();
@@ -38,22 +37,22 @@
   ageMs: 1,
 });
 
-describe('logs', () => {
-  it('of a reader that takes nothing are dropped and counted, and the rest comes when it reads again', async () => {
+describe('StandardOutputLogger and LineWriter', () => {
+  it('drops and counts lines while the reader is blocked, and writes the rest when it reads again', async () => {
     const stream = new BlockedStream();
     const writer = new LineWriter(stream, 10_000);
     for (let index = 0; index < 1_000; index += 1) writer.write(`${'x'.repeat(95)}${index}`);
     expect(writer.dropped).to.be.greaterThan(800);
     const before = writer.dropped;
     stream.unblock();
-    await until('the reader has taken all', () => stream.writableLength === 0);
+    await until('the reader has read everything', () => stream.writableLength === 0);
     expect(writer.write('later')).to.equal(true);
     await writer.flush(1_000);
     expect(stream.written.join('')).to.contain('later');
     expect(stream.written.join('').trim().split('\n').length).to.equal(1_000 - before + 1);
   });
 
-  it('over the budget of their kind are left out and counted, other kinds go on', async () => {
+  it('suppresses and counts lines above the rate limit of their event, but not those of other events', async () => {
     const stream = new BlockedStream();
     stream.unblock();
     const logger = new StandardOutputLogger('node', new LineWriter(stream, 100_000_000));
@@ -68,7 +67,7 @@
     expect(Number(summary?.fields.count) + written).to.equal(5_000);
   });
 
-  it('do not hold up a node whose reader has stopped', async () => {
+  it('does not delay a node whose log reader has stopped', async () => {
     const system = await ServiceSystem.start();
     try {
       await system.addApplication({ slots: 50 });
@@ -80,14 +79,14 @@
         expect(answer?.status).to.equal(200);
       }
       node.child.kill('SIGTERM');
-      await until('the process has ended', () => node.child.exitCode === 0);
+      await until('the process has exited', () => node.child.exitCode === 0);
     } finally {
       await system.stop();
     }
   });
 });
 
-describe('an account from logs', () => {
+describe('traceOf', () => {
   const line = (timeMs: number, node: string, event: string, fields: object, sequence = 0) =>
     `  ${timeMs / 1000} ${node} ${JSON.stringify({
       time: timeMs,
@@ -96,7 +95,7 @@
       context: { node, logLevel: 30, ...fields },
     })}`;
 
-  it('joins the lines of an item with the ownership of its job, in order, and says where logs have gaps', () => {
+  it('combines the lines of an item with the ownership changes of its job in order, and reports gaps', () => {
     const texts = [
       line(30, 'node-b', 'item-changed', { requestId: 'item', jobId: 'job', change: 'completed' }),
       line(10, 'node-a', 'job-changed', { jobId: 'job', change: 'running' }),
