--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,10 +1,8 @@
 /**
- * Pooled HTTP client on undici. Never retries and never rejects: each failure is a `TransportError` that
- * tells whether the request may have reached the other side, and the layers above decide whether a repeat is
- * safe.
- *
- * Owns its connections. Corrects two behaviours of undici: a reset counts as a failure, not as the end of an
- * answer without a length; an aborted exchange does not open another connection.
+ * Pooled HTTP client on undici. Never retries and never rejects: a `TransportError` tells whether the request
+ * may have been received, so that callers can decide whether a retry is safe. Corrects two behaviours of
+ * undici: a reset is a failure, not the end of a response without a length; an aborted exchange does not open
+ * another connection.
  */
 import type { Socket } from 'node:net';
 import type { Readable } from 'node:stream';
@@ -15,65 +13,61 @@
 /** Header names are in lower case. */
 export type HeaderMap = Record<string, string | string[]>;
 
-/** A request to send. */
 export interface OutgoingRequest {
   readonly method: string;
   readonly url: string;
   readonly headers?: HeaderMap;
   readonly body?: string | Buffer;
-  /** Cancels the exchange, also while the body is read. */
+  /** Cancels the exchange, including the response body. */
   readonly signal?: AbortSignal;
-  /** Longest wait for the head of the response, milliseconds. Default 30,000. */
+  /** Maximum time until the response head, milliseconds. Default 30,000. */
   readonly headTimeoutMs?: number;
-  /** Longest silence between two chunks of the body, milliseconds. Default 60,000. */
+  /** Maximum time between two chunks of the body, milliseconds. Default 60,000. */
   readonly idleTimeoutMs?: number;
   /**
-   * Sends on a connection opened for this request alone. A kept-alive connection may be closed by the other
-   * side at the moment of writing, which would leave open whether the request ran. Default false.
+   * Uses a new connection for this request. The server may close a kept-alive connection during the write,
+   * which leaves open whether the request was executed. Default false.
    */
   readonly freshConnection?: boolean;
-  /** Longest time for the whole exchange, milliseconds; `send` ignores it. Default: none. */
+  /** Maximum time of the whole exchange, milliseconds; ignored by `send`. Default: none. */
   readonly totalTimeoutMs?: number;
   /**
-   * A header that identifies the request which a response answers. A response with another value fails the
-   * exchange and closes its connection, since the right response may still follow on it. Default: none.
+   * A header that identifies the request of a response. A response with another value fails the exchange and
+   * closes its connection, since the right response may still follow on it. Default: none.
    */
   readonly echoedHeader?: EchoedHeader;
 }
 
-/** A header (in lower case) that the other side copies into its response. */
+/** A header (in lower case) that the server copies into its response. */
 export interface EchoedHeader {
   readonly name: string;
   readonly value: string;
 }
 
-/** The head of a response and its body, still to be read or destroyed. */
+/** A response whose body must be read or destroyed. */
 export interface IncomingResponse {
   readonly status: number;
   readonly headers: Record<string, string | string[] | undefined>;
   readonly body: Readable;
 }
 
-/** A response with its whole body. */
 export interface BufferedResponse {
   readonly status: number;
   readonly headers: Record<string, string | string[] | undefined>;
   readonly body: Buffer;
 }
 
-/** How a client connects. */
 export interface HttpClientOptions {
-  /** Most connections to each origin; further requests queue. Default 256. */
+  /** Maximum connections to each origin; further requests queue. Default 256. */
   readonly connectionsPerOrigin?: number;
-  /** Local IP address of connections. Default: chosen by the system. */
+  /** Local IP address of connections. Default: selected by the system. */
   readonly localAddress?: string;
-  /** Longest time to open a connection, milliseconds. Default 2,000. */
+  /** Maximum time to open a connection, milliseconds. Default 2,000. */
   readonly connectTimeoutMs?: number;
-  /** Lifetime of an idle connection unless the other side names another, milliseconds. Default 4,000. */
+  /** Lifetime of an idle connection unless the server specifies one, milliseconds. Default 4,000. */
   readonly keepAliveMs?: number;
 }
 
-/** Defaults of the options above. Chosen, not measured: callers that depend on one of them pass their own. */
 const DEFAULT_CONNECTIONS_PER_ORIGIN = 256;
 const DEFAULT_HEAD_TIMEOUT_MS = 30_000;
 const DEFAULT_IDLE_TIMEOUT_MS = 60_000;
@@ -81,7 +75,7 @@
 const KEEP_ALIVE_MS = 4_000;
 const DEFAULT_BODY_LIMIT_BYTES = 32 * 1024 * 1024;
 
-/** Buffers a stream of at most `limitBytes`. Fails when it ends before its declared end. */
+/** Buffers a stream of at most `limitBytes`. Fails if it is truncated. */
 export async function readFully(body: Readable, limitBytes: number): Promise<Result<Buffer, TransportError>> {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -100,10 +94,10 @@
   return ok(Buffer.concat(chunks));
 }
 
-/** The methods of the base class, which its type leaves out. */
+/** The methods of the base class, which its type omits. */
 const baseHandler = DecoratorHandler.prototype as Dispatcher.DispatchHandler;
 
-/** Fails an exchange whose response carries another value of the echoed header. */
+/** Fails an exchange whose response has another value of the echoed header. */
 class EchoCheck extends DecoratorHandler {
   constructor(
     private readonly echoed: EchoedHeader,
@@ -120,28 +114,28 @@
   ): void {
     const value = headers[this.echoed.name];
     if (statusCode >= 200 && value !== undefined && value !== this.echoed.value)
-      controller.abort(new TransportError('wrong-answer', true, `the response answers ${String(value)}`));
+      controller.abort(new TransportError('wrong-answer', true, `response is for request ${String(value)}`));
     else baseHandler.onResponseStart?.call(this, controller, statusCode, headers, statusMessage);
   }
 }
 
-/** Options of one dispatch, with the input of `EchoCheck`. */
+/** Options of a request, with the input of `EchoCheck`. */
 type CheckedOptions = Dispatcher.DispatchOptions & { readonly echoedHeader?: EchoedHeader };
 
-/** Adds the echo check to the exchanges that ask for it. */
+/** Adds the echo check to requests with an echoed header. */
 const checkEcho: Dispatcher.DispatcherComposeInterceptor = (dispatch) => (options, handler) => {
   const { echoedHeader } = options as CheckedOptions;
   return dispatch(options, echoedHeader ? new EchoCheck(echoedHeader, handler) : handler);
 };
 
-/** Code of a reset connection, and the code that replaces it. */
+/** Error code of a reset connection, and its replacement. */
 const RESET_CODE = 'ECONNRESET';
 const RESET_REPLACEMENT_CODE = 'CONNECTION_RESET';
 
 /**
- * Makes every reset of a connection a failure. undici treats `ECONNRESET` as the end of an answer that has no
- * length, so the error gets a code without that exception. When the last bytes and the reset arrive together,
- * Node reports an orderly end; a reset connection is then recognized by its missing peer address.
+ * Makes every connection reset a failure. undici treats `ECONNRESET` as the end of a response without a
+ * length, so the error gets another code. If the last bytes and the reset arrive together, Node reports an
+ * orderly end; the reset is then recognized by the missing peer address.
  */
 function failOnReset(socket: Socket): void {
   socket.prependListener('error', (error: NodeJS.ErrnoException) => {
@@ -155,14 +149,13 @@
   };
 }
 
-/** Code of errors that undici raises itself, and the code that replaces it when an exchange is aborted. */
+/** Code of internal errors of undici, and its replacement when an exchange is aborted. */
 const UNDICI_INTERNAL_CODE = 'UND_ERR_INFO';
 const ABORTED_CODE = 'EXCHANGE_ABORTED';
 
 /**
- * Keeps undici from connecting again for an aborted exchange. It does so when the socket ends with an
- * internal error, since the request is still in its queue; with any other error code it drops the request
- * first.
+ * Keeps undici from reconnecting for an aborted exchange. It does so if the socket ends with an internal
+ * error, since the request is still queued; with any other error code it removes the request first.
  */
 function avoidReconnectAfterAbort(socket: Socket): void {
   const destroy = socket.destroy.bind(socket);
@@ -172,7 +165,7 @@
   };
 }
 
-/** Opens connections with both corrections. */
+/** Opens connections with both corrections of undici. */
 function createConnector(timeoutMs: number, localAddress: string | undefined): buildConnector.connector {
   const connect = buildConnector({ timeout: timeoutMs, ...(localAddress ? { localAddress } : {}) });
   return (options, callback) =>
@@ -185,13 +178,13 @@
     });
 }
 
-/** Splits an `http://` address into origin and path. */
+/** Splits an `http://` URL into origin and path. */
 function splitUrl(url: string): { origin: string; path: string } {
   const slash = url.indexOf('/', url.indexOf('//') + 2);
   return slash < 0 ? { origin: url, path: '/' } : { origin: url.slice(0, slash), path: url.slice(slash) };
 }
 
-/** A signal that aborts after `timeoutMs` or with `signal`; `release` must be called at the end. */
+/** A signal that aborts after `timeoutMs` or with `signal`; `release` must be called when done. */
 function timeoutSignal(
   timeoutMs: number,
   signal?: AbortSignal,
@@ -208,7 +201,7 @@
   return { signal: controller.signal, release };
 }
 
-/** A client with its connection pool; call `close` when done. */
+/** A client with a connection pool; call `close` when done. */
 export class HttpClient {
   private readonly pooledAgent: Agent;
   private readonly pooled: Dispatcher;
@@ -224,7 +217,7 @@
     this.freshAgent = new Agent({ ...shared, pipelining: 0 });
   }
 
-  /** Sends a request; resolves at the head of the response. The caller reads or destroys the body. */
+  /** Sends a request; resolves with the response head. The caller must read or destroy the body. */
   async send(outgoing: OutgoingRequest): Promise<Result<IncomingResponse, TransportError>> {
     try {
       const dispatcher = outgoing.freshConnection ? this.freshAgent : this.pooled;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,40 +1,40 @@
 /**
- * HTTP server on polka, with limits on heads, connections and slow senders; helpers for answers.
- * A handler that rejects is answered by the server's `failed`; nothing here retries.
+ * HTTP server on polka with limits on headers, connections and slow clients, and helpers for responses.
+ * `failed` of the server answers requests whose handler rejects.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import polka from 'polka';
 
-/** Limits on clients. Times are in milliseconds. */
+/** Limits on clients, times in milliseconds. */
 export interface HttpServerOptions {
   /** Default 16 KiB. */
   readonly maxHeaderBytes?: number;
-  /** Longest time for a whole request. Default 30,000. */
+  /** Maximum time to receive a request. Default 30,000. */
   readonly requestTimeoutMs?: number;
   /** Lifetime of an idle connection. Default 8,000. */
   readonly keepAliveTimeoutMs?: number;
 }
 
-/** Limits; chosen, not measured. A platform's configuration replaces the timeouts of its nodes. */
+/** Defaults; the configuration of a platform replaces the timeouts. */
 const MAX_HEADER_BYTES = 16 * 1024;
 const HEADERS_TIMEOUT_MS = 5_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 const KEEP_ALIVE_TIMEOUT_MS = 8_000;
-/** How often Node checks the two timeouts of a request, which it overruns by as much. */
+/** Interval at which Node checks the timeouts of requests, which may be exceeded by as much. */
 const CONNECTION_CHECK_INTERVAL_MS = 500;
 const MAX_CONNECTIONS = 20_000;
 
-/** Handles one request; it must answer. A rejection is answered by `ServerFallbacks.failed`. */
+/** Handles and answers a request. `ServerFallbacks.failed` answers if it rejects. */
 export type Handler = (request: IncomingMessage, response: ServerResponse) => Promise<void>;
 
-/** Answers requests without a route, and those whose handler failed. */
+/** Handlers for requests without a route, and after a handler has failed. */
 export interface ServerFallbacks {
   readonly notFound: Handler;
   readonly failed: (cause: unknown, request: IncomingMessage, response: ServerResponse) => void;
 }
 
-/** One listening server. Routes are matched by method and the first path segments. */
+/** Routes are matched by method and path pattern. */
 export class HttpServer {
   private readonly app;
   private readonly server: Server;
@@ -74,7 +74,7 @@
     else this.app.add(method, pattern, run as never);
   }
 
-  /** Starts listening; port 0 takes a free one. Resolves to the port. */
+  /** Starts listening; port 0 selects a free one. Resolves to the port. */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -82,20 +82,20 @@
     });
   }
 
-  /** Changes the lifetime of idle connections and the longest time for a head, from now on. */
+  /** Changes the keep-alive and header timeouts for all connections. */
   setTimeouts(keepAliveTimeoutMs: number, headersTimeoutMs: number): void {
     this.server.keepAliveTimeout = keepAliveTimeoutMs;
     this.server.headersTimeout = headersTimeoutMs;
   }
 
-  /** Stops accepting connections and resolves when the open exchanges have ended. */
+  /** Stops accepting connections; resolves when open requests have ended. */
   async closeGracefully(): Promise<void> {
     const closed = new Promise<void>((resolve) => this.server.close(() => resolve()));
     this.server.closeIdleConnections();
     await closed;
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   destroy(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
@@ -115,7 +115,7 @@
   }
 }
 
-/** Aborts when the caller's connection closes before the answer was sent. */
+/** Aborts when the connection closes before the response was sent. */
 export function disconnectSignal(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   response.once('close', () => {
@@ -124,7 +124,7 @@
   return controller.signal;
 }
 
-/** Buffers a request's body; `undefined` when it exceeds `limitBytes`. Rejects when the caller leaves. */
+/** Buffers a request body; `undefined` if it exceeds `limitBytes`. Rejects if the caller disconnects. */
 export async function readRequestBody(
   request: IncomingMessage,
   limitBytes: number,
@@ -140,8 +140,8 @@
 }
 
 /**
- * Writes the head of an answer that ends with its connection. For an answer that was received in this form:
- * it may have been truncated, and a length would hide that.
+ * Writes the head of a response that ends with its connection. Used for responses received in this form: they
+ * may be truncated, which a content length would hide.
  */
 export function writeUnframedHead(
   response: ServerResponse,
@@ -153,7 +153,6 @@
   response.writeHead(status, { ...headers, connection: 'close' });
 }
 
-/** Sends a JSON answer. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/src/transport/listener-probe.ts
+++ b/src/transport/listener-probe.ts
@@ -1,10 +1,10 @@
-/** Probes whether a process listens at an address, by opening a connection and closing it without a byte. */
+/** Checks whether a process listens at an address, by opening and closing a connection. */
 import { connect } from 'node:net';
 
-/** `refused`: the machine answers and nothing listens. `unknown`: no answer in time, or another error. */
+/** `refused`: the host answers, but nothing listens. `unknown`: timeout or another error. */
 export type ListenerState = 'listening' | 'refused' | 'unknown';
 
-/** Probes `address` (`IP:PORT`) for at most `timeoutMs` milliseconds. Never rejects. */
+/** Probes `address` (`IP:PORT`) for at most `timeoutMs`. Never rejects. */
 export function probeListener(address: string, timeoutMs: number): Promise<ListenerState> {
   const colon = address.lastIndexOf(':');
   return new Promise((resolve) => {
--- a/src/transport/stream-write.ts
+++ b/src/transport/stream-write.ts
@@ -1,10 +1,10 @@
-/** Writing a stream to a caller with back-pressure. A caller that leaves is no error: writing stops. */
+/** Writes streams to callers with back-pressure. A disconnected caller is no error: writing stops. */
 import { once } from 'node:events';
 import type { Readable, Writable } from 'node:stream';
 import { err, ok, type Result } from 'neverthrow';
 import { type TransportError, toTransportError } from './transport-error.js';
 
-/** Writes a chunk and waits until the receiver accepts more. False when the receiver has left. */
+/** Writes a chunk and waits for back-pressure. Returns false if the receiver has disconnected. */
 export async function writeChunk(sink: Writable, chunk: Buffer | string): Promise<boolean> {
   if (sink.destroyed) return false;
   if (sink.write(chunk)) return true;
@@ -15,14 +15,14 @@
     await once(sink, 'drain', { signal: closed.signal });
     return true;
   } catch {
-    // Closed or failed while it was waiting to drain: nobody is left to report to.
+    // Closed or failed while waiting to drain.
     return false;
   } finally {
     sink.off('close', onClose);
   }
 }
 
-/** Copies a body to a sink without ending the sink. Fails when the source ends before its declared end. */
+/** Copies a body to a sink without ending the sink. Fails if the source is truncated. */
 export async function copyBody(source: Readable, sink: Writable): Promise<Result<number, TransportError>> {
   let bytes = 0;
   try {
--- a/src/transport/transport-error.ts
+++ b/src/transport/transport-error.ts
@@ -1,19 +1,15 @@
-/** Failures of the transport layer: what failed, and whether the request may have reached the other side. */
+/** Failures of the transport layer, and whether the request may have been received. */
 
-/** How an exchange failed. */
 export type TransportFailure =
   | 'connect-failed'
   | 'timed-out'
   | 'connection-lost'
   | 'cancelled'
   | 'body-too-large'
-  /** The response belongs to another request. */
+  /** The response is for another request. */
   | 'wrong-answer';
 
-/**
- * An HTTP exchange that failed. `requestSent` is false only when it is certain that no byte of the
- * request reached the other side; when in doubt it is true.
- */
+/** An HTTP exchange that failed. `requestSent` is false only if it is certain that no byte was sent. */
 export class TransportError extends Error {
   override readonly name = 'TransportError';
 
@@ -26,7 +22,7 @@
   }
 }
 
-/** Codes raised before a connection exists: no byte of the request was sent. */
+/** Codes raised before a connection exists, so that no byte was sent. */
 const CONNECT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
--- a/test/transport/http-client.test.ts
+++ b/test/transport/http-client.test.ts
@@ -1,4 +1,4 @@
-/** Answers without a length: an orderly end makes them whole, a reset of the connection never does. */
+/** A response without a length must not count as complete after a connection reset. */
 
 import type { AddressInfo } from 'node:net';
 import { createServer, type Server, type Socket } from 'node:net';
@@ -8,11 +8,11 @@
 const HEAD = 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n';
 const BODY = 'answer';
 const BODY_LIMIT = 1_000;
-/** Many at once, so that the last bytes and the reset often arrive together. */
+/** Many concurrent requests, so that the last bytes and the reset often arrive together. */
 const CONCURRENT_REQUESTS = 20;
 const ROUNDS = 20;
 
-describe('answers that end with their connection', () => {
+describe('HttpClient, for responses that end with their connection', () => {
   let server: Server;
   let client: HttpClient;
   let finish: (socket: Socket) => void;
@@ -50,12 +50,12 @@
     return answers;
   }
 
-  it('are whole after an orderly end', async () => {
+  it('returns the complete body after an orderly end', async () => {
     finish = (socket) => socket.end();
     expect([...(await requestRepeatedly())]).to.deep.equal([BODY]);
   });
 
-  it('are never whole after a reset, also one that arrives together with the last bytes', async () => {
+  it('fails after a reset, including one that arrives together with the last bytes', async () => {
     finish = (socket) => socket.resetAndDestroy();
     expect([...(await requestRepeatedly())]).to.deep.equal([undefined]);
   });
--- a/test/transport/whole-answers.test.ts
+++ b/test/transport/whole-answers.test.ts
@@ -1,4 +1,4 @@
-/** Every caller receives the whole answer to its own request, or an error that says otherwise. */
+/** Every caller must receive the complete response to its own request, or an error. */
 import { expect } from 'chai';
 import { versionsInText } from '../../emulator/clients/trainer-loop.js';
 import { EMULATOR_TOKENS } from '../../emulator/cluster.js';
@@ -10,7 +10,7 @@
 
 const TOKEN_COUNT = 400;
 
-describe('answers', () => {
+describe('responses to callers', () => {
   const system = new TestSystem({ nodes: 1, engines: 2, applications: 1, stepMs: 8, medianTokens: 100_000 });
   let node: SystemNode;
 
@@ -53,7 +53,7 @@
       .join('');
   }
 
-  /** Engine that runs a sequence now. */
+  /** An engine that is running a sequence. */
   async function busyEngine(): Promise<SystemBackend> {
     return until('an engine is busy', async () => {
       const status = (await system.operator(node).status())._unsafeUnwrap();
@@ -62,7 +62,7 @@
     });
   }
 
-  it('are resumed at the token reached when the engine cuts the stream', async () => {
+  it('resumes a stream after the last token when the engine cuts it', async () => {
     let isCut = false;
     const events = await stream((count) => {
       if (count < 5 || isCut) return;
@@ -78,7 +78,7 @@
     expect(places).to.deep.equal(Array.from({ length: TOKEN_COUNT }, (_, index) => index));
   });
 
-  it('of an application that are cut in the middle break the connection instead of ending it', async () => {
+  it('breaks the connection when an application truncates its response', async () => {
     const [backend] = system.applications as [SystemBackend];
     await system.control(backend.direct, '/control/faults', { cutAnswers: 1 });
     const answer = await system.callApplication(node, uniqueId());
@@ -88,7 +88,7 @@
     expect(whole.json.workId).to.equal(next);
   });
 
-  it('that cannot be finished end in an error event, never silently', async () => {
+  it('ends a stream that cannot be completed with an error event', async () => {
     let killing: Promise<unknown> | undefined;
     const events = await stream((count) => {
       if (count >= 5 && !killing)
