--- a/src/common/decision-records.ts
+++ b/src/common/decision-records.ts
@@ -161,7 +161,7 @@
   readonly source: 'here' | 'another node';
   /** `held`: quarantined. */
   readonly verdict: 'clear' | 'suspected' | 'held';
-  /** Known replica crashes under the request, remaining quarantine, and time since the crash. */
+  /** Known replica crashes during the request, remaining quarantine, and time since the crash. */
   readonly ends: number;
   readonly holdMs: number;
   readonly ageMs: number;
