--- a/src/node/service/peer-exchange.ts
+++ b/src/node/service/peer-exchange.ts
@@ -1,20 +1,16 @@
 /**
- * What nodes ask each other while the store does not answer one of them: the newest configuration, and crash
- * reports.
- *
- * Owns: both directions, the periodic questions and the answers to other nodes. Relies on: the addresses of
- * peers read earlier. Where no peer reaches the store either, the node goes on with its last known
- * configuration.
+ * Exchanges the configuration and crash reports with other nodes while the store does not answer one of them.
+ * The addresses of peers are from earlier reads. When no peer reaches the store either, the node keeps using
+ * its last known configuration.
  */
 import type { JobOwnership } from '../../coordination/service/jobs/index.js';
 import { type PeerAddresses, PeerConfiguration } from '../../coordination/service/membership/index.js';
 import { CrashReportExchange, type RequestQuarantine } from '../../coordination/service/requests/index.js';
 import type { PeerConfigurationAnswer } from '../../protocol/service/configuration-peer.js';
 import type { CrashReportMessage, CrashReportsAnswer } from '../../protocol/service/crash-report-peer.js';
+import type { NodeContext } from './node-context.js';
 import type { NodeFeeds } from './node-feeds.js';
-import type { NodeContext } from './service-node-parts.js';
 
-/** What is exchanged, and with whom. */
 export interface PeerExchangeDependencies {
   readonly ownership: JobOwnership;
   readonly quarantine: RequestQuarantine;
@@ -22,7 +18,6 @@
   readonly feeds: NodeFeeds;
 }
 
-/** The exchange of one node with its peers. */
 export class PeerExchange {
   private readonly configuration: PeerConfiguration;
   private readonly crashReports: CrashReportExchange;
@@ -31,16 +26,16 @@
     private readonly context: NodeContext,
     private readonly services: PeerExchangeDependencies,
   ) {
-    const { store, logger, fetchPeerConfiguration: askForConfiguration, exchangeCrashReports } = context;
+    const { store, logger, fetchPeerConfiguration, exchangeCrashReports } = context;
     const { ownership, quarantine, peers, feeds } = services;
     const isStoreAnswering = () => store.isAnswering();
-    const likeliestPeers = (count: number) => peers.rankedPeerAddresses(count);
+    const rankedPeers = (count: number) => peers.rankedPeerAddresses(count);
     this.configuration = new PeerConfiguration({
       isStoreAnswering,
       isFeedCurrent: () => feeds.isConfigurationFresh,
-      peers: likeliestPeers,
+      peers: rankedPeers,
       version: () => this.version,
-      fetch: askForConfiguration,
+      fetch: fetchPeerConfiguration,
       apply: (value) => feeds.operators.applyConfiguration(value),
       onRejectedByStore: () => ownership.cancelRuns(),
       logger,
@@ -48,23 +43,23 @@
     this.crashReports = new CrashReportExchange({
       quarantine,
       isStoreAnswering,
-      peers: likeliestPeers,
+      peers: rankedPeers,
       exchange: exchangeCrashReports,
     });
   }
 
-  /** Asks peers while the store does not answer, until `signal` is aborted. */
+  /** Polls peers while the store does not answer, until `signal` is aborted. */
   run(signal: AbortSignal): void {
     void this.configuration.run(signal);
     void this.crashReports.run(signal);
   }
 
-  /** Whether a peer that reaches the store has just confirmed that the configuration here is the newest. */
+  /** Whether a peer that reaches the store has recently confirmed the configuration of this node. */
   get isConfigurationConfirmed(): boolean {
     return this.configuration.isConfirmed;
   }
 
-  /** Answers a peer that asks for a configuration newer than `version`. */
+  /** Answers a peer's request for a configuration newer than `version`. */
   configurationFor(version: number): PeerConfigurationAnswer {
     const { feeds } = this.services;
     const { configuration } = feeds.operators;
@@ -72,7 +67,7 @@
     return this.version > version ? { kind: 'newer', value: configuration } : { kind: 'same' };
   }
 
-  /** Takes a peer's crash reports; answers with those known here before. */
+  /** Adds a peer's crash reports; returns those known here before. */
   exchangeCrashReports(reports: readonly CrashReportMessage[]): CrashReportsAnswer {
     const { quarantine } = this.services;
     const knownReports = quarantine.reports.recent;
@@ -80,7 +75,7 @@
     return { isServed: this.context.store.isAnswering(), reports: [...knownReports] };
   }
 
-  /** Version of the configuration in force; 0 while none is known. */
+  /** 0 without a configuration. */
   private get version(): number {
     return this.context.routing.current?.version ?? 0;
   }
