--- a/src/coordination/service/membership/announcements.ts
+++ b/src/coordination/service/membership/announcements.ts
@@ -1,9 +1,7 @@
 /**
- * Takes over what operators and trainers announce through the store: the configuration, the newest weight
+ * Applies what operators and trainers announce through the store: the configuration, the newest weight
  * version of each model, and evacuated zones, whose replicas get no requests. An adapter parses the records.
- *
- * Owns: the configuration's record as the operator wrote it. Relies on: the feed of the operators' table. An
- * unreadable configuration is logged and the one in force stays.
+ * A configuration that cannot be parsed is logged and ignored.
  */
 import type { Result } from 'neverthrow';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -20,31 +18,29 @@
 import type { ReplicaDirectory, WeightVersions } from '../../../state/service/replicas/index.js';
 import { type FeedHandler, readPartition } from '../../feeds/index.js';
 
-/** How an adapter reads the records of operators and replicas. */
+/** Tables, keys and parsers of the records that operators and replicas write. */
 export interface AnnouncementFormat {
   readonly operatorTable: string;
   readonly replicaTable: string;
   readonly configurationKey: string;
-  /** Key of the newest named version of a model. */
+  /** Key of the record that holds the newest announced weight version of a model. */
   weightVersionKey(model: string): string;
   parseConfiguration(value: Buffer): RoutingConfiguration | undefined;
   parseWeightVersion(key: string, value: Buffer): { model: string; version: number } | undefined;
-  /** The zone that a record evacuates while it exists; `undefined` when the record is of another kind. */
+  /** The zone that is evacuated while a record with this key exists; `undefined` for other keys. */
   evacuatedZoneOf(key: string): string | undefined;
   evacuationKey(zone: string): string;
-  /** The replica in a record, or what is wrong with the record. */
+  /** Returns the replica, or what is wrong with the record. */
   parseReplica(id: string, value: Buffer): Result<Replica, string>;
 }
 
-/** Records of a whole read. */
+/** All records of an announcement table. */
 export type AnnouncementRecords = StoredRecord[];
 
-/** Partition of all announcements. */
 export const ANNOUNCEMENT_PARTITION = '';
-/** Whole reads may be older than other answers; the feed drops those older than what it has applied. */
+/** Table reads may be stale: the feed ignores those that are older than what it has applied. */
 export const ALLOW_STALE = true;
 
-/** The announcements of operators and trainers. */
 export class OperatorAnnouncements implements FeedHandler<AnnouncementRecords> {
   private configurationRecord: Buffer | undefined;
 
@@ -66,7 +62,7 @@
     return readPartition(this.store, this.table, ANNOUNCEMENT_PARTITION, ALLOW_STALE);
   }
 
-  /** Records of the configuration, of each known model's version, and of each known zone's evacuation. */
+  /** Addresses of the configuration, of each known model's version, and of each known zone's evacuation. */
   knownAddresses(): RecordAddress[] {
     const services = this.routing.current?.configuration.services ?? [];
     const models = new Set([...services.flatMap((service) => service.models), ...this.versions.models]);
@@ -93,12 +89,12 @@
     else this.applyWeightVersion(change.key, change.value);
   }
 
-  /** The record of the configuration in force, as the operator wrote it. */
+  /** The current configuration as the operator wrote it. */
   get configuration(): Buffer | undefined {
     return this.configurationRecord;
   }
 
-  /** Takes over the operator's record, from the store or a peer. Older versions are ignored. */
+  /** Applies a configuration record from the store or from a peer. Older versions are ignored. */
   applyConfiguration(value: Buffer): void {
     const configuration = this.format.parseConfiguration(value);
     if (!configuration) {
@@ -128,7 +124,7 @@
       event: 'belief-changed',
       subject: 'configuration',
       name: `${value.length} bytes`,
-      change: 'unreadable, the one in force stays',
+      change: 'unreadable; the one in force is kept',
       version: this.routing.current?.version ?? 0,
     });
   }
--- a/src/coordination/service/membership/fleet-directory.ts
+++ b/src/coordination/service/membership/fleet-directory.ts
@@ -1,7 +1,7 @@
 /**
- * All running nodes, from their announcements in the store. Each node follows the table, so a node that joins
- * or leaves is known to all within a second. One that crashed stays listed until its announcement expires;
- * calls to it fail until then.
+ * Directory of all running nodes, built from their announcements in the store. Each node follows the table,
+ * so joins and departures are visible within a second. A crashed node stays listed until its announcement
+ * expires; calls to it fail until then.
  */
 import type { ChangedRecord, RecordStore, StoredRecord } from '../../../protocol/record-store.js';
 import type { FleetMember } from '../../../state/service/replicas/index.js';
@@ -10,7 +10,6 @@
 
 const ALLOW_STALE = true;
 
-/** The fleet as one node knows it. */
 export class FleetDirectory implements FeedHandler<readonly StoredRecord[]> {
   readonly table = NODE_TABLE;
   private readonly announcements = new Map<string, NodeAnnouncement>();
@@ -18,12 +17,12 @@
 
   constructor(private readonly store: RecordStore) {}
 
-  /** Called after each change. */
+  /** Registers a listener that is called after each change. */
   onChange(listener: () => void): void {
     this.listeners.add(listener);
   }
 
-  /** Nodes that answer peers; this one among them once it has announced itself. */
+  /** Nodes with a peer address, including this one once it has announced itself. */
   get members(): FleetMember[] {
     const nowMs = this.store.nowMs();
     return [...this.announcements].flatMap(([name, announcement]) => {
--- a/src/coordination/service/membership/node-announcement.ts
+++ b/src/coordination/service/membership/node-announcement.ts
@@ -1,31 +1,31 @@
-/** The stored announcement of a node, for its peers. */
+/** The record by which a node announces its addresses to its peers. */
 
-/** Table of the announcements; their key is the node's name. */
+/** Table of the announcements; the key is the node's name. */
 export const NODE_TABLE = 'serving-nodes';
-/** Age at which an announcement expires, milliseconds: above three intervals of renewal (`ANNOUNCE_MS`). */
+/** Three renewal intervals (`ANNOUNCE_INTERVAL_MS`) and a margin. */
 const EXPIRY_MS = 200_000;
 
-/** Stored; the names of fields stay. Nodes of earlier builds leave out optional fields. */
+/** A stored record. Nodes of earlier builds leave out the optional fields. */
 export interface NodeAnnouncement {
-  /** Listener for callers, `IP:PORT`. */
+  /** Address for callers, `IP:PORT`. */
   readonly address: string;
-  /** Listener for peers, `IP:PORT`. */
+  /** Address for peers, `IP:PORT`. */
   readonly peerAddress?: string;
   readonly zone?: string;
-  /** Processor share, in cores. */
+  /** Processor cores. */
   readonly capacity?: number;
-  /** What the node's time of day adds to the store's clock, milliseconds. */
+  /** Offset of the node's time of day from the store's clock, milliseconds. */
   readonly timeOffsetMs?: number;
-  /** On the store's clock, milliseconds. */
+  /** Store clock, milliseconds. */
   readonly announcedAtMs: number;
 }
 
-/** The announcement in a record; nodes alone write the table. */
+/** Parses without validation: only nodes write the table. */
 export function parseAnnouncement(value: Buffer): NodeAnnouncement {
   return JSON.parse(value.toString('utf8')) as NodeAnnouncement;
 }
 
-/** Whether an announcement has expired at `nowMs` on the store's clock. */
+/** `nowMs` is the time on the store's clock. */
 export function isExpired({ announcedAtMs }: NodeAnnouncement, nowMs: number): boolean {
   return nowMs - announcedAtMs > EXPIRY_MS;
 }
--- a/src/coordination/service/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -1,9 +1,7 @@
 /**
- * Addresses of a few peers, and the size of the fleet. Each node announces its addresses in the store and
- * keeps those of a few nodes that follow it in the order of names, so that the cost per node does not grow
- * with the fleet. It counts all nodes now and then.
- *
- * Relies on: the store. While it does not answer, the addresses and the count stay as they were last read.
+ * Addresses of a few peers, and the number of running nodes. Each node announces its addresses in the store
+ * and reads those of the next nodes by name, so that the cost per node does not grow with the fleet; all nodes
+ * are counted less often. While the store does not answer, the last addresses and count remain.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -13,30 +11,28 @@
 import { isExpired, NODE_TABLE, type NodeAnnouncement, parseAnnouncement } from './node-announcement.js';
 
 const TABLE = NODE_TABLE;
-/** Reads between two counts of all nodes, which are large reads. Chosen, not measured. */
+/** Counting reads the whole table, so it is done less often than reading a few peers. */
 const READS_PER_NODE_COUNT = 12;
-/** Peers kept. Chosen, not measured: enough that one reaches the store when a zone is cut off. */
+/** Enough that one of them reaches the store when a zone is cut off. */
 const MAX_PEERS = 8;
-/** Interval of announcements, milliseconds. Chosen, not measured; a third of their expiry at most. */
+/** At most a third of the expiry of an announcement. */
 const ANNOUNCE_INTERVAL_MS = 60_000;
-/** Intervals of reads, shorter at first, while all nodes start. Chosen, not measured. */
 const READ_INTERVAL_MS = 10_000;
+/** For the first reads, while other nodes are still starting. */
 const STARTUP_READ_INTERVAL_MS = 1_500;
-/** Share of the interval over which reads are spread. Chosen, not measured. */
+/** Width of the random spread, as a fraction of the read interval. */
 const READ_JITTER = 0.2;
-/** Rank of a peer between one that carried out the last forwarded call (1) and one that failed to (0). */
+/** Rank of a peer without forwarded calls: between success of the last one (1) and failure (0). */
 const UNTRIED_RANK = 0.5;
 
-/** What a node announces besides its addresses. */
+/** Announced properties of a node besides its addresses. */
 export type NodeTraits = Pick<NodeAnnouncement, 'zone' | 'capacity'>;
 
-/** The addresses known to one node. */
 export class PeerAddresses {
-  /** Time of day as the fleet agrees on it. */
   readonly time: FleetTime;
   private peers: readonly NodeAnnouncement[] = [];
   private nodeCount = 1;
-  /** Whether a peer carried out the last call forwarded to it, by address. */
+  /** Whether the last call forwarded to a peer succeeded, by address. */
   private readonly lastCallSucceeded = new Map<string, boolean>();
   private isWithdrawn = false;
 
@@ -50,31 +46,31 @@
     this.time = new FleetTime(store);
   }
 
-  /** Up to `count` callers' addresses (`IP:PORT`): peers that served last time first, failed ones last. */
+  /** Up to `count` addresses for callers (`IP:PORT`): peers whose last call succeeded first, failed ones last. */
   rankedAddresses(count: number): string[] {
     return this.rankedPeers()
       .slice(0, count)
       .map(({ address }) => address);
   }
 
-  /** Like `likeliest`, but the peer addresses. */
+  /** Like `rankedAddresses`, but with addresses for peers. */
   rankedPeerAddresses(count: number): string[] {
     return this.rankedPeers()
       .flatMap(({ peerAddress }) => peerAddress ?? [])
       .slice(0, count);
   }
 
-  /** Running nodes by the last count; 1 before the first. */
+  /** Number of running nodes as last counted; 1 before the first count. */
   get fleetSize(): number {
     return this.nodeCount;
   }
 
-  /** Notes whether a peer carried out a call forwarded to it. */
+  /** Records whether a call forwarded to a peer succeeded. */
   recordOutcome(address: string, succeeded: boolean): void {
     this.lastCallSucceeded.set(address, succeeded);
   }
 
-  /** Removes this node's announcement, as it drains. If that fails, the announcement expires. */
+  /** Removes this node's announcement when it drains. If that fails, the announcement expires later. */
   async withdraw(): Promise<void> {
     this.isWithdrawn = true;
     await this.store.transact({ conditions: [], writes: [], removals: [recordAddress(this.nodeName)] });
@@ -86,7 +82,7 @@
     await Promise.all([this.announceLoop(address, peerAddress, signal), this.refreshLoop(signal)]);
   }
 
-  /** Before the first answer the store's clock is unknown, and an announcement would have a wrong time. */
+  /** Until the first answer the store's clock is unknown and the announcement would carry a wrong time. */
   private async waitForStore(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && (await this.scan(undefined)) === undefined)
       await this.clock.sleep(STARTUP_READ_INTERVAL_MS, signal);
@@ -140,7 +136,7 @@
     const following = await this.scan(`${this.nodeName}\0`);
     if (!following) return;
     const wrapsAround = following.length < MAX_PEERS;
-    // If the second scan fails, the nodes that follow in the order of names are enough until the next read.
+    // If the second scan fails, the peers found by the first are enough until the next read.
     const records = wrapsAround ? [...following, ...((await this.scan(undefined)) ?? [])] : following;
     const others = records.filter(({ key }) => key !== this.nodeName).slice(0, MAX_PEERS);
     const expired = others.filter((record) => this.isExpired(record));
@@ -152,7 +148,6 @@
     if (expired.length > 0) await this.removeExpired(expired);
   }
 
-  /** Kept peers, by rank. */
   private rankedPeers(): NodeAnnouncement[] {
     const rank = ({ address }: NodeAnnouncement) =>
       Number(this.lastCallSucceeded.get(address) ?? UNTRIED_RANK);
@@ -165,7 +160,7 @@
     this.peers = announcements;
     if (!hasChanged) return;
     const version = Math.max(0, ...records.map((record) => record.version));
-    this.report(`${announcements.length} known`, version);
+    this.report(`${announcements.length} peers known`, version);
   }
 
   private report(change: string, version: number): void {
@@ -181,7 +176,7 @@
     return isExpired(parse(record), this.store.nowMs());
   }
 
-  /** Removes announcements that crashed nodes left behind. */
+  /** Removes announcements of crashed nodes, unless they were renewed since the read. */
   private async removeExpired(records: readonly StoredRecord[]): Promise<void> {
     const conditions = records.map(({ key, version }) => ({ ...recordAddress(key), version }));
     const removals = records.map(({ key }) => recordAddress(key));
--- a/src/coordination/service/membership/peer-configuration.ts
+++ b/src/coordination/service/membership/peer-configuration.ts
@@ -1,45 +1,39 @@
 /**
- * Configuration from peers: what a node asks of others while the store reports no changes of the
- * configuration to it.
- *
- * Owns: since when a peer has confirmed the configuration here, and how often in a row a peer reached the
- * store when this node did not. Relies on: the addresses of peers. Versions only rise, whichever source they
- * come from. Where no peer reaches the store, the configuration stays as it is and is not confirmed.
+ * Fetches the configuration from peers while this node gets no changes from the store. A peer that reaches the
+ * store either confirms the current version or returns a newer one. When peers repeatedly reach the store and
+ * this node does not, the node counts as rejected by the store.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { PeerConfigurationAnswer } from '../../../protocol/service/configuration-peer.js';
 
-/** Interval of checks whether the store reports changes, milliseconds. Chosen, not measured. */
 const CHECK_INTERVAL_MS = 400;
-/** Peers asked in one round, one after the other, until one reaches the store. Chosen, not measured. */
+/** Peers are queried one after the other until one of them reaches the store. */
 const MAX_PEERS_PER_ROUND = 4;
 /**
- * Rounds in a row in which a peer reached the store and this node did not, after which this node counts as
- * rejected by the store: after a process pause it reaches the store again within the first.
+ * Consecutive rounds in which a peer reached the store and this node did not. One is not enough: after a
+ * process pause this node reaches the store again within the first.
  */
 const REJECTED_ROUNDS = 2;
-/** Time for which a peer's confirmation counts, milliseconds: two rounds. */
+/** About two rounds. */
 const CONFIRMATION_VALIDITY_MS = 2_500;
 
-/** What the task works with. */
 export interface PeerConfigurationServices {
   readonly isStoreAnswering: () => boolean;
-  /** Whether the store itself reports changes, within their bound. */
+  /** Whether changes from the store arrive within their bound. */
   readonly isFeedCurrent: () => boolean;
-  /** Addresses of peers, the likeliest to reach the store first. */
+  /** Addresses of up to `count` peers, those most likely to reach the store first. */
   readonly peers: (count: number) => readonly string[];
-  /** Version in force; 0 while none is known. */
+  /** Current version; 0 while none is known. */
   readonly version: () => number;
   readonly fetch: (address: string, version: number) => Promise<PeerConfigurationAnswer>;
-  /** Takes over the operator's record. */
+  /** Applies the configuration record as the operator wrote it. */
   readonly apply: (value: Buffer) => void;
-  /** Called in each round in which this node counts as rejected by the store. May be called repeatedly. */
+  /** Called in every round in which this node counts as rejected by the store. */
   readonly onRejectedByStore: () => void;
   readonly logger: DecisionLogger;
 }
 
-/** The task of one node. */
 export class PeerConfiguration {
   private confirmedAtMs = Number.NEGATIVE_INFINITY;
   private rejectedRounds = 0;
@@ -50,12 +44,12 @@
     private readonly clock: Clock = SYSTEM_CLOCK,
   ) {}
 
-  /** Whether a peer that reaches the store has just confirmed that the configuration here is the newest. */
+  /** Whether a peer that reaches the store has recently confirmed that the local version is the newest. */
   get isConfirmed(): boolean {
     return this.clock.now() - this.confirmedAtMs < CONFIRMATION_VALIDITY_MS;
   }
 
-  /** Asks peers while the store reports no changes, until `signal` is aborted. */
+  /** Queries peers while no changes arrive from the store, until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.services.isStoreAnswering()) this.rejectedRounds = 0;
@@ -98,7 +92,9 @@
       event: 'belief-changed',
       subject: 'configuration',
       name: 'changes',
-      change: isFeedCurrent ? 'followed again' : 'not followed within the bound',
+      change: isFeedCurrent
+        ? 'received from the store again'
+        : 'not received from the store within the bound',
       version: this.services.version(),
     });
   }
@@ -108,7 +104,7 @@
       event: 'belief-changed',
       subject: 'configuration',
       name: `from ${address}`,
-      change: 'received from another node',
+      change: 'received from a peer',
       version: this.services.version(),
     });
   }
--- a/src/coordination/service/membership/replica-announcements.ts
+++ b/src/coordination/service/membership/replica-announcements.ts
@@ -1,14 +1,8 @@
 /**
- * Takes over the replicas' announcements from the store.
- *
- * Owns: incarnations that are not confirmed yet. Relies on: the feed of the replicas' table and the interval
- * of their heartbeats. A record that is no announcement removes the replica known under its id until the next
- * valid record.
- *
- * A record may seem to be of an incarnation before the known one: a write that arrived late, or a replica
- * whose time of day was set back before it restarted. Until that is settled neither gets requests. A running
- * replica writes its record again within one heartbeat: after a late write the known incarnation is back by
- * then, and if the record stays, its incarnation is the one that runs.
+ * Applies the replicas' announcements from the store. An invalid record removes the replica until its next
+ * valid one. A record with an earlier start time than the known incarnation is either a delayed write or a
+ * replica whose clock was set back before a restart; the replica gets no requests until the record has stayed
+ * unchanged for a few heartbeats, in which a running incarnation would have overwritten it.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -24,25 +18,23 @@
   type AnnouncementRecords,
 } from './announcements.js';
 
-/** Heartbeats after which an unchanged record counts: one may be lost, and one under way. */
+/** Heartbeats without a change that confirm a record: one may be lost and one in transit. */
 const CONFIRMATION_HEARTBEATS = 3;
 
-/** What announcements are taken over with. */
 export interface ReplicaAnnouncementServices {
   readonly store: RecordStore;
   readonly format: AnnouncementFormat;
   readonly directory: ReplicaDirectory;
-  /** Interval at which a replica writes its record, milliseconds. */
+  /** Interval at which replicas rewrite their records, milliseconds. */
   readonly heartbeatMs: () => number;
-  /** Whether a change of these records would be known here by now. */
+  /** Whether changes of the table arrive within their bound. */
   readonly isFeedCurrent: () => boolean;
   readonly metrics: Pick<ServiceMetrics, 'unreadableReplicas'>;
   readonly logger: DecisionLogger;
 }
 
-/** The announcements of replicas. */
 export class ReplicaAnnouncements implements FeedHandler<AnnouncementRecords> {
-  /** Incarnations whose records seem to be earlier than the known ones, by replica id. */
+  /** Incarnations with an earlier start time than the known ones, by replica id. */
   private readonly unconfirmed = new Map<string, Replica>();
 
   constructor(
@@ -68,13 +60,14 @@
 
   replaceAll(content: AnnouncementRecords): void {
     const present = new Set(content.map((record) => record.key));
-    for (const id of this.services.directory.ids) if (!present.has(id)) this.remove(id, 'gone', 0);
+    for (const id of this.services.directory.ids)
+      if (!present.has(id)) this.remove(id, 'announcement removed', 0);
     for (const record of content) this.apply(record);
   }
 
   apply({ key, value, version }: ChangedRecord): void {
     if (value === undefined) {
-      this.remove(key, 'gone', version);
+      this.remove(key, 'announcement removed', version);
       return;
     }
     const parsed = this.services.format.parseReplica(key, value);
--- a/src/coordination/service/membership/session-monitor.ts
+++ b/src/coordination/service/membership/session-monitor.ts
@@ -1,14 +1,8 @@
 /**
- * Which processes run, as far as holders of jobs and leases are concerned: a holder writes heartbeats to the
- * store, and every node reads all heartbeats periodically. A holder is lost when its heartbeat has not
- * changed for `lossAfterMs` of observed time, in which this node could read the store without a gap.
- *
- * Owns: this process's heartbeats, the last heartbeat seen of each node, the observed time. Relies on: the
- * store. While it cannot be read, observed time stops, so an outage of the store or a pause of this process
- * costs no holder its jobs.
- *
- * Holders read often, and so do all nodes of a small fleet; in a large one idle nodes read less often, until
- * they find a suspect heartbeat.
+ * Failure detector for holders of jobs and leases: a holder writes heartbeats to the store, and every node
+ * polls all heartbeats. A holder is lost when its heartbeat has not changed for `lossTimeoutMs` of observed
+ * time, which stops while this node cannot read the store, so that an outage or a process pause expires
+ * nobody. In a large fleet idle nodes poll less often until they find a suspect heartbeat.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import { ConditionVariable } from '../../../common/condition-variable.js';
@@ -26,21 +20,21 @@
   RECENT_POLL_MS,
 } from './session-rules.js';
 
-/** Table of the heartbeats, and of whatever else every node reads together with them. */
+/** Table of the heartbeats and of other records that every node polls together with them. */
 export const SESSION_TABLE = 'sessions';
-/** Stored; stays. */
+/** Prefix of the stored keys of heartbeats. */
 const HEARTBEAT_PREFIX = 'beat/';
-/** Longest wait for a read that is needed now. Chosen, not measured: requests wait for it. */
+/** Requests wait for a refresh. */
 const REFRESH_TIMEOUT_MS = 200;
 
-/** A stored heartbeat; the names of its fields stay. */
+/** A stored record. */
 interface Heartbeat {
-  /** Incarnation of the process. */
+  /** Incarnation of the process: one run of it. */
   readonly life: string;
   readonly count: number;
-  /** Whether the process drains and accepts no new jobs. */
+  /** Whether the process is draining and accepts no new jobs. */
   readonly isLeaving: boolean;
-  /** When it was written, on the store's clock, milliseconds; nodes of version 0.1.0 leave it out. */
+  /** Time of the write on the store's clock, milliseconds; nodes of version 0.1.0 leave it out. */
   readonly atMs?: number;
 }
 
@@ -48,34 +42,33 @@
   version: number;
   life: string;
   isLeaving: boolean;
-  /** When the newest heartbeat was written, on the store's clock, milliseconds. */
+  /** Time of the newest heartbeat on the store's clock, milliseconds. */
   heartbeatAtMs: number;
   /** Observed time at which the heartbeat last changed, milliseconds. */
   changedAtMs: number;
 }
 
-/** Why this process takes part in sessions. */
+/** What this process holds, and what it needs to know about other holders. */
 export interface SessionRoles {
-  /** Whether this process holds a job or a lease, so that it must send heartbeats. */
+  /** Whether this process holds a job or a lease and therefore must send heartbeats. */
   readonly isHolder: () => boolean;
-  /** Whether others may hold something that this process could take over. */
+  /** Whether other processes may hold something that this one could take over. */
   readonly mustWatch: () => boolean;
-  /** Last known holders, whose loss would be acted upon. */
+  /** Last known holders, whose loss this process would act on. */
   readonly holders: () => readonly OwnerReference[];
   /** Approximate number of running nodes. */
   readonly fleetSize: () => number;
 }
 
-/** Heartbeats of this process and observation of all others. */
 export class SessionMonitor {
   private readonly sessions = new Map<string, ObservedSession>();
   private observedMs = 0;
-  /** Observed time of the last gap: after it every holder has the whole time again. */
+  /** Observed time of the last gap in the reads, at which the loss timeout restarts for all holders. */
   private lastGapAtMs = 0;
-  /** On the monotonic clock. */
+  /** Monotonic clock. */
   private lastReadMs = Number.NEGATIVE_INFINITY;
   private heartbeatCount = 0;
-  /** Heartbeats that the store has not answered yet. */
+  /** Number of heartbeats without an answer from the store. */
   private pendingHeartbeats = 0;
   private isLeaving = false;
   private readonly holdingStarted = new ConditionVariable();
@@ -88,24 +81,24 @@
     private readonly clock: Clock = SYSTEM_CLOCK,
   ) {}
 
-  /** Called after each read, with all records of the table, in the order of registration. */
+  /** Registers a listener that is called after each poll with all records of the table. */
   onPoll(listener: (records: readonly StoredRecord[]) => void): void {
     this.listeners.add(listener);
   }
 
-  /** This process has begun to hold something: heartbeats and frequent reads begin at once. */
+  /** Must be called when this process starts to hold something: starts heartbeats and frequent polls. */
   notifyHolding(): void {
     this.holdingStarted.notifyAll();
   }
 
-  /** Observed time now, milliseconds: it stops while the store cannot be read. */
+  /** Observed time, milliseconds; stops while the store cannot be read. */
   get observedTimeMs(): number {
     return this.observedMs;
   }
 
   /**
-   * Whether a holder counts as lost. `heldSinceMs` is the observed time at which this node first saw it as
-   * the holder: a process that held nothing before had no reason to send heartbeats.
+   * Whether a holder is lost. `heldSinceMs` is the observed time at which this node first saw it as the
+   * holder, since processes that hold nothing send no heartbeats.
    */
   isLost(holder: OwnerReference, heldSinceMs: number): boolean {
     const session = this.sessions.get(holder.node);
@@ -114,12 +107,12 @@
     return silentMs > lossTimeoutMs(this.store.averageLatencyMs());
   }
 
-  /** Resolves after `ms` milliseconds, at once while this process holds something, or when it begins to. */
+  /** Waits for `ms` milliseconds, but only until this process holds something. */
   async pauseUnlessHolder(ms: number, signal: AbortSignal): Promise<void> {
     if (!this.roles.isHolder()) await this.holdingStarted.waitWithTimeout(ms, signal, this.clock);
   }
 
-  /** Reads now unless the last read is recent. Resolves within `REFRESH_MS` whatever the store does. */
+  /** Polls now unless the last poll is recent. Resolves within `REFRESH_TIMEOUT_MS` in any case. */
   async refresh(): Promise<void> {
     if (this.clock.now() - this.lastReadMs <= RECENT_POLL_MS) return;
     const controller = new AbortController();
@@ -127,7 +120,7 @@
     controller.abort();
   }
 
-  /** Whether the last known heartbeat shows that this incarnation runs and accepts jobs. */
+  /** Whether a recent heartbeat shows that this incarnation is running and accepts jobs. */
   isFresh(owner: OwnerReference): boolean {
     const session = this.sessions.get(owner.node);
     if (session?.life !== owner.life || session.isLeaving) return false;
@@ -141,7 +134,7 @@
     if (this.roles.isHolder()) await this.sendHeartbeat();
   }
 
-  /** Sends heartbeats and watches until `signal` is aborted. */
+  /** Sends heartbeats and polls those of others until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this.heartbeatLoop(signal), this.pollLoop(signal)]);
   }
@@ -184,14 +177,14 @@
     }
   }
 
-  /** `pollMs` while reads must be frequent, else longer, until this process begins to hold something. */
+  /** Waits for `pollMs`, or longer while this process is idle in a large fleet. */
   private async waitForNextPoll(pollMs: number, signal: AbortSignal): Promise<void> {
     const factor = idlePollFactor(this.roles.fleetSize());
     if (factor === 1 || this.roles.isHolder() || this.hasSuspects()) await this.clock.sleep(pollMs, signal);
     else await this.holdingStarted.waitWithTimeout(pollMs * factor, signal, this.clock);
   }
 
-  /** Whether the newest heartbeat of another holder is suspect. */
+  /** Whether the newest heartbeat of another holder is overdue. */
   private hasSuspects(): boolean {
     const suspectMs = minSuspectAgeMs(this.store.averageLatencyMs());
     return this.roles.holders().some(({ node, life }) => {
--- a/test/coordination/service/membership/configuration-while-reads-are-old.test.ts
+++ b/test/coordination/service/membership/configuration-while-reads-are-old.test.ts
@@ -1,19 +1,6 @@
 /**
- * What users saw: nodes refused routes with 404 that the operator had added, and ran requests by routes that had moved,
- * for many seconds after the store had acknowledged the change.
- *
- * The order of events: the store drops the history of its tables, right after a change; every node must read the tables
- * whole; reads of ranges show the rows as they were some seconds before, while transactions and questions for changes
- * are answered from the newest rows.
- *
- * The cause: a whole read was the only way on, and it was taken only when it was as new as the newest answer that the
- * process had had, about whatever table. The first table that was read whole was followed again, its answers were new, and
- * from then on every read of the other tables was thrown away as too old. Meanwhile the node counted as in reach of the
- * store, so that it said 404 with certainty.
- *
- * The evidence: with 84 nodes and reads that were 6 s old for 13 s, the change was in force after 6.0 s on the nodes whose
- * question for the configuration was the first to be answered, and after 13.0 to 13.6 s on 13 to 23 others, until reads were
- * new again; three runs. With more frequent changes of other tables two nodes of three were late.
+ * Guards against routes that stay unknown, or outdated, while the store has lost its change history and its scans
+ * return rows from several seconds ago.
  */
 import { expect } from 'chai';
 import { TABLE } from '../../../../platform/names.js';
@@ -28,17 +15,17 @@
 import { until } from '../../../support/wait.js';
 
 const NODES = 6;
-/** The operator's bound for a change to be in force, milliseconds. */
+/** Bound within which a configuration change must be in force, milliseconds. */
 const BOUND_MS = 2_000;
-/** Reads show the rows as they were this much earlier, milliseconds: far beyond the bound. */
+/** Age of the rows that scans return, milliseconds: far beyond the bound. */
 const STALENESS_MS = 20_000;
-/** How far reads are behind while a node starts, milliseconds: they show the replicas, and not the change. */
+/** Staleness of scans while a node starts, milliseconds: they show the replicas but not the change. */
 const STARTUP_STALENESS_MS = 4_000;
 const STATUS_OK = 200;
 const STATUS_NOT_FOUND = 404;
 const STATUS_UNAVAILABLE = 503;
 
-describe('configuration while reads of the store are old', () => {
+describe('Configuration while scans of the store are stale', () => {
   let system: ServiceSystem;
   let requestCount = 0;
 
@@ -52,7 +39,7 @@
   });
   afterEach(() => system.stop());
 
-  /** Writes a configuration with one route that only it has. */
+  /** Writes a configuration with one additional route and returns its path. */
   function addRoute(version: number): string {
     const path = `/added-${version}/`;
     const base = usualConfiguration(version);
@@ -71,7 +58,7 @@
     await Promise.all(system.nodes.map((node) => until(`${node.name} serves`, () => isServed(node))));
   }
 
-  it('is in force within its bound on every node, whether it changed as the history was lost or later', async () => {
+  it('applies a change within the bound on every node, whether the history is lost at the change or before it', async () => {
     system.store.readsBehindMs = STALENESS_MS;
     for (const version of [2, 3]) {
       const path = addRoute(version);
@@ -82,17 +69,17 @@
     }
   });
 
-  it('is not denied by a node that starts meanwhile', async () => {
+  it('does not answer 404 for a new route from a node that starts while scans are stale', async () => {
     const versionBefore = system.store.rows.version;
     const readsShow = () =>
       system.store.rows.scanPast(TABLE.operator, '', '', undefined, STARTUP_STALENESS_MS);
-    await until('old reads show the replicas', () => readsShow().version >= versionBefore);
+    await until('stale scans show the replicas', () => readsShow().version >= versionBefore);
     system.store.readsBehindMs = STARTUP_STALENESS_MS;
     const path = addRoute(2);
     system.store.rows.forgetHistory();
     const newcomer = await system.addNode('newcomer');
     const statuses = new Set<number | undefined>();
-    await until('the newcomer serves', async () => {
+    await until('the new node serves the route', async () => {
       const status = await statusOf(newcomer, path);
       statuses.add(status);
       return status === STATUS_OK;
@@ -100,11 +87,11 @@
     expect([...statuses]).not.to.include(STATUS_NOT_FOUND);
   });
 
-  it('is not denied with certainty by a node whose long poll for it alone is not answered', async () => {
+  it('answers 503 instead of 404 when only the long poll for the configuration gets no answer', async () => {
     system.store.silentTable = TABLE.operator;
     const path = addRoute(2);
     const node = system.nodes[0] as ServiceNodeProcess;
-    await until('the node is not certain any more', async () => {
+    await until('the node answers 503', async () => {
       const status = await statusOf(node, path);
       return status === STATUS_UNAVAILABLE;
     });
--- a/test/coordination/service/membership/peer-addresses.test.ts
+++ b/test/coordination/service/membership/peer-addresses.test.ts
@@ -1,4 +1,3 @@
-/** Where nodes find each other: a few addresses each, none of nodes that are gone. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
 import type { DecisionLogger } from '../../../../src/common/decision-logger.js';
@@ -12,13 +11,13 @@
 import { ManualClock } from '../../../support/manual-clock.js';
 
 const NODES = 20;
-/** Addresses that one node remembers at most. */
+/** Most addresses that one node keeps. */
 const MAX_PEERS = 8;
 const LONG_MS = 600_000;
-/** By how much the store's clock is ahead of those of the nodes, milliseconds. */
+/** Offset of the store's clock from those of the nodes, milliseconds. */
 const STORE_AHEAD_MS = 3_600_000;
 
-/** One table in memory, in the order of its keys. */
+/** An in-memory table, sorted by key. */
 class Table {
   records: StoredRecord[] = [];
   version = 0;
@@ -33,7 +32,7 @@
     private readonly clock: ManualClock,
   ) {}
 
-  /** As a client estimates it: without an answer only its own clock is known. */
+  /** As a client estimates it: the local clock until the store has answered. */
   nowMs(): number {
     return this.clock.now() + (this.hasAnswered ? STORE_AHEAD_MS : 0);
   }
@@ -55,7 +54,7 @@
   }
 }
 
-describe('addresses of other nodes', () => {
+describe('PeerAddresses', () => {
   const name = (index: number) => `node-${String(index).padStart(2, '0')}`;
   const address = (index: number) => `10.0.0.${index}:80`;
   let clock: ManualClock;
@@ -84,27 +83,27 @@
     for (const controller of controllers) controller.abort();
   });
 
-  it('are those of a few nodes that follow in the order of names, and begin again at its end', () => {
+  it('keeps the addresses of the next nodes by name, wrapping around at the last', () => {
     const rankedBy = (index: number) => peers[index]?.rankedAddresses(NODES);
     expect(rankedBy(0)).to.deep.equal([1, 2, 3, 4, 5, 6, 7, 8].map(address));
     expect(rankedBy(17)).to.deep.equal([18, 19, 0, 1, 2, 3, 4, 5].map(address));
     expect(rankedBy(NODES - 1)).to.have.length(MAX_PEERS);
   });
 
-  it('are counted, so that each node knows how many there are', async () => {
+  it('counts the running nodes', async () => {
     expect(peers.map((own) => own.fleetSize)).to.deep.equal(peers.map(() => NODES));
     for (const controller of controllers.slice(1, 6)) controller.abort();
     await clock.advance(LONG_MS);
     expect(peers[0]?.fleetSize).to.equal(NODES - 5);
   });
 
-  it('are ranked: peers that served first, those that failed last', () => {
+  it('ranks peers whose last call succeeded first and those whose last call failed last', () => {
     peers[0]?.recordOutcome(address(1), false);
     peers[0]?.recordOutcome(address(3), true);
     expect(peers[0]?.rankedAddresses(3)).to.deep.equal([3, 2, 4].map(address));
   });
 
-  it('are forgotten when their nodes are gone, and removed', async () => {
+  it('drops and removes the announcements of stopped nodes', async () => {
     controllers[1]?.abort();
     await clock.advance(LONG_MS);
     expect(peers[0]?.rankedAddresses(NODES)).to.deep.equal([2, 3, 4, 5, 6, 7, 8, 9].map(address));
--- a/test/coordination/service/membership/peer-configuration.test.ts
+++ b/test/coordination/service/membership/peer-configuration.test.ts
@@ -1,4 +1,3 @@
-/** What a node that does not reach the store learns from others. */
 import { expect } from 'chai';
 import { PeerConfiguration } from '../../../../src/coordination/service/membership/peer-configuration.js';
 import type { PeerConfigurationAnswer } from '../../../../src/protocol/service/configuration-peer.js';
@@ -6,7 +5,7 @@
 
 const LONG_MS = 10_000;
 
-describe('a node that does not reach the store', () => {
+describe('PeerConfiguration', () => {
   let clock: ManualClock;
   let controller: AbortController;
   let isStoreAnswering: boolean;
@@ -53,7 +52,7 @@
     await clock.advance(ms);
   }
 
-  it('asks one peer after the other until one reaches the store, and is confirmed by it for a while', async () => {
+  it('queries peers one after the other until one reaches the store, whose confirmation expires', async () => {
     await run(0);
     expect(requested).to.deep.equal(['a', 'b']);
     expect(peer.isConfirmed).to.equal(true);
@@ -62,21 +61,21 @@
     expect(peer.isConfirmed).to.equal(false);
   });
 
-  it('takes over a newer configuration', async () => {
+  it('applies a newer configuration', async () => {
     answers = { a: { kind: 'newer', value: Buffer.from('record') }, b: { kind: 'same' } };
     await run(0);
     expect(applied).to.deep.equal(['record']);
     expect(requested).to.deep.equal(['a']);
   });
 
-  it('asks no peer while the store reports changes to it', async () => {
+  it('queries no peer while the store reports changes', async () => {
     isStoreAnswering = true;
     await run(LONG_MS);
     expect(requested).to.deep.equal([]);
     expect(peer.isConfirmed).to.equal(false);
   });
 
-  it('asks peers when the store answers and reports no changes, and does not count as rejected', async () => {
+  it('queries peers when the store answers without reporting changes, and does not count as rejected', async () => {
     isStoreAnswering = true;
     isFeedCurrent = false;
     answers = { a: { kind: 'newer', value: Buffer.from('record') } };
@@ -90,7 +89,7 @@
     expect(requested.length).to.equal(requestsBefore);
   });
 
-  it('counts as rejected in the second round, not after a process pause that ends before', async () => {
+  it('counts as rejected by the store in the second round, and not after a pause that ends before', async () => {
     await run(0);
     expect(rejections).to.equal(0);
     isStoreAnswering = true;
@@ -102,7 +101,7 @@
     expect(rejections).to.equal(1);
   });
 
-  it('never counts as rejected while no peer reaches the store', async () => {
+  it('never counts as rejected by the store while no peer reaches it', async () => {
     answers = { a: { kind: 'unavailable' }, b: { kind: 'unavailable' } };
     await run(LONG_MS);
     expect(rejections).to.equal(0);
--- a/test/coordination/service/membership/replica-announcements.test.ts
+++ b/test/coordination/service/membership/replica-announcements.test.ts
@@ -1,4 +1,3 @@
-/** Announcements: incarnations that follow each other under one id, and evacuated zones. */
 import { expect } from 'chai';
 import { err, ok, type Result } from 'neverthrow';
 import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
@@ -14,7 +13,7 @@
 const HEARTBEAT_MS = 1_000;
 const STARTED_AT_MS = 1_790_000_000_000;
 
-describe('announcements of replicas', () => {
+describe('ReplicaAnnouncements', () => {
   let directory: ReplicaDirectory;
   let announcements: ReplicaAnnouncements;
   let clock: ManualClock;
@@ -66,7 +65,7 @@
   const currentState = () => directory.get('r1') as ReplicaState;
   const isAvailable = () => directory.availableOf('s').length === 1;
 
-  it('keep the state of a replica while the same incarnation is announced again', () => {
+  it('keeps the state of a replica while the same incarnation is announced again', () => {
     announce();
     const state = currentState();
     state.recordSuccess(40);
@@ -75,7 +74,7 @@
     expect(state.averageMs).to.equal(40);
   });
 
-  it('keep the state of an incarnation whose announcement was absent for a while', () => {
+  it('keeps the state of an incarnation whose announcement was absent for a while', () => {
     announce();
     const state = currentState();
     state.inFlight = 2;
@@ -87,7 +86,7 @@
     expect(state.isLeaving).to.equal(false);
   });
 
-  it('end the state of an incarnation when a later one is announced, and what ran there', () => {
+  it('discards the state of an incarnation and ends its requests when a later one is announced', () => {
     announce({ modelVersions: new Map([['m', 3]]) });
     const previous = currentState();
     previous.recordSuccess(40);
@@ -108,7 +107,7 @@
     expect(logLines.at(-1)).to.contain('restarted, started at');
   });
 
-  it('end an absent incarnation when a later one is announced', () => {
+  it('marks an absent incarnation as restarted when a later one is announced', () => {
     announce();
     const previous = currentState();
     announceValue(undefined);
@@ -117,7 +116,7 @@
     expect(previous.hasRestarted).to.equal(true);
   });
 
-  it('are not undone by a late write of an earlier incarnation: the running one writes again within a heartbeat', async () => {
+  it('keeps the running incarnation after a delayed write of an earlier one, since it writes again', async () => {
     announce();
     announce({ startedAtMs: STARTED_AT_MS + 500, isDraining: true });
     const running = currentState();
@@ -131,11 +130,11 @@
     expect(isAvailable()).to.equal(false);
   });
 
-  it('replace the known incarnation by one with an earlier time of day once its record stays', async () => {
+  it('replaces the known incarnation by one with an earlier start time once its record has stayed', async () => {
     announce();
     const previous = currentState();
     announce({ startedAtMs: STARTED_AT_MS - 60_000 });
-    expect(isAvailable(), 'neither is used before it is settled').to.equal(false);
+    expect(isAvailable(), 'neither is available before the confirmation').to.equal(false);
     await clock.advance(2 * HEARTBEAT_MS);
     expect(isAvailable()).to.equal(false);
     await clock.advance(2 * HEARTBEAT_MS);
@@ -144,7 +143,7 @@
     expect(previous.hasRestarted).to.equal(true);
   });
 
-  it('settle nothing while changes would not be known', async () => {
+  it('confirms no incarnation while changes do not arrive', async () => {
     announce();
     isFeedCurrent = false;
     announce({ startedAtMs: STARTED_AT_MS - 60_000 });
@@ -155,7 +154,7 @@
     expect(isAvailable()).to.equal(true);
   });
 
-  it('that name no replica remove the known one, until its own next record', () => {
+  it('removes a replica after an invalid record until its next valid one', () => {
     announce();
     const state = currentState();
     announceValue(Buffer.from('bad'));
@@ -166,7 +165,7 @@
     expect(isAvailable()).to.equal(true);
   });
 
-  it('without the moment of a start name no replica where one was announced before', () => {
+  it('rejects a record without a start time where the known incarnation has one', () => {
     announce();
     announce({ startedAtMs: undefined });
     expect(isAvailable()).to.equal(false);
@@ -174,7 +173,7 @@
     expect(isAvailable()).to.equal(true);
   });
 
-  it('of replicas that never announce when they started are applied in order of arrival', () => {
+  it('applies records in order of arrival for replicas that never announce a start time', () => {
     announce({ startedAtMs: undefined });
     const state = currentState();
     announce({ startedAtMs: undefined, slots: 9 });
@@ -183,7 +182,7 @@
     expect(currentState()).to.not.equal(state);
   });
 
-  it('keep requests from replicas of an evacuated zone until the evacuation ends', () => {
+  it('keeps replicas of an evacuated zone unavailable until the evacuation ends', () => {
     announce();
     directory.setEvacuated('z', true);
     expect(isAvailable()).to.equal(false);
--- a/test/coordination/service/membership/session-monitor.test.ts
+++ b/test/coordination/service/membership/session-monitor.test.ts
@@ -1,4 +1,3 @@
-/** Beats of holders and their loss, on a store that answers late or not at all. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
 import { Random } from '../../../../src/common/random.js';
@@ -9,15 +8,14 @@
 
 const SELF = { node: 'node-1', life: 'life-1' };
 const HOLDER = { node: 'node-2', life: 'life-2' };
-/** Time after its last heartbeat in which a holder that stopped must count as lost, milliseconds. */
+/** Bound for the detection of a stopped holder after its last heartbeat, milliseconds. */
 const LOSS_MS = 1_600;
-/** Time between two beats, milliseconds. */
 const HEARTBEAT_INTERVAL_MS = 250;
-/** Time by which a heartbeat may be late while its holder runs, milliseconds. */
+/** Delay of a heartbeat that must not cause a loss, milliseconds. */
 const MAX_DELAY_MS = 700;
 const SEED = 481_340;
 
-/** What chance gives: it decides when nodes look. */
+/** Random sources, which decide when nodes poll. */
 const RANDOM_SOURCES: Readonly<Record<string, () => () => number>> = {
   'always early': () => () => 0,
   'always late': () => () => 0.999_999,
@@ -27,12 +25,12 @@
   },
 };
 
-/** A store with one heartbeat; transactions are counted and left without an answer. */
+/** A store with one heartbeat; transactions are recorded and never answered. */
 class HeartbeatStore {
   readonly transactions: RecordTransaction[] = [];
   writes = 1;
   reads = 0;
-  /** When the newest heartbeat was written, on the store's clock. */
+  /** Store clock, milliseconds. */
   private writtenAtMs = 0;
 
   averageLatencyMs = () => 0;
@@ -58,7 +56,7 @@
 }
 
 for (const [timing, createRandom] of Object.entries(RANDOM_SOURCES))
-  describe(`heartbeats of holders, reads ${timing}`, () => {
+  describe(`SessionMonitor, polling ${timing}`, () => {
     let clock: ManualClock;
     let store: HeartbeatStore;
     let controller: AbortController;
@@ -87,14 +85,14 @@
       }
     }
 
-    it('go on while earlier ones have no answer, a few at most', async () => {
+    it('sends heartbeats while a few earlier ones are unanswered', async () => {
       await clock.advance(HEARTBEAT_INTERVAL_MS * 3);
       expect(store.transactions.length).to.be.at.least(3);
       await clock.advance(2_000);
       expect(store.transactions.length).to.be.at.most(4);
     });
 
-    it('show a running holder, and its loss soon after they stop, whenever that is', async () => {
+    it('detects the loss of a holder within its bound, whenever the heartbeats stop', async () => {
       for (let workMs = 2_000; workMs < 2_500; workMs += 10) {
         await sendHeartbeatsFor(workMs);
         expect(monitor.isLost(HOLDER, 0)).to.equal(false);
@@ -103,7 +101,7 @@
       }
     });
 
-    it('show no loss when one comes late', async () => {
+    it('does not count a holder as lost when a heartbeat is late', async () => {
       for (let workMs = 2_000; workMs < 2_500; workMs += 10) {
         await sendHeartbeatsFor(workMs);
         await clock.advance(HEARTBEAT_INTERVAL_MS);
@@ -115,9 +113,9 @@
     });
   });
 
-describe('reads of heartbeats in a large fleet', () => {
+describe('SessionMonitor in a large fleet', () => {
   const FLEET_SIZE = 200;
-  /** Looks that all nodes together make in a second at most, whatever their number. */
+  /** Bound for the reads of all nodes together, whatever their number. */
   const MAX_FLEET_READS_PER_SECOND = 40;
   const LONG_MS = 60_000;
   let clock: ManualClock;
@@ -151,16 +149,16 @@
     }
   }
 
-  it('are few for each node while holders run', async () => {
+  it('polls rarely while holders run', async () => {
     await sendHeartbeatsFor(LONG_MS);
     expect(store.reads / (LONG_MS / 1000)).to.be.at.most(MAX_FLEET_READS_PER_SECOND / FLEET_SIZE);
     expect(monitor.isLost(HOLDER, 0)).to.equal(false);
   });
 
-  it('are frequent once a heartbeat is suspect, until the loss is certain', async () => {
+  it('polls frequently once a heartbeat is suspect, until the holder is lost', async () => {
     await sendHeartbeatsFor(LONG_MS);
     const readsBefore = store.reads;
-    await until('the old heartbeat is found', async () => {
+    await until('the suspect heartbeat is found', async () => {
       await clock.advance(HEARTBEAT_INTERVAL_MS);
       return store.reads > readsBefore;
     });
@@ -169,7 +167,7 @@
     expect(monitor.isLost(HOLDER, 0)).to.equal(true);
   });
 
-  it('are frequent as soon as this node holds something itself', async () => {
+  it('polls frequently as soon as this node holds something', async () => {
     await sendHeartbeatsFor(LONG_MS);
     const readsBefore = store.reads;
     isHolder = true;
@@ -178,7 +176,7 @@
     expect(store.reads - readsBefore).to.be.at.least(2);
   });
 
-  it('are made when a job is handed over, so that its owner is known to run', async () => {
+  it('polls on refresh, so that a running owner is recognized', async () => {
     await sendHeartbeatsFor(LONG_MS);
     await clock.advance(HEARTBEAT_INTERVAL_MS);
     store.writeHeartbeat(clock.now());
