--- a/src/state/service/configuration/routing-table.ts
+++ b/src/state/service/configuration/routing-table.ts
@@ -1,4 +1,4 @@
-/** The configuration in force, indexed by host and path prefix. Versions only rise. */
+/** The current configuration, indexed by host and path prefix. Versions only rise. */
 import type { Replica } from '../../../protocol/service/replica.js';
 import type {
   CallerLimits,
@@ -11,14 +11,14 @@
 
 /** Whether a caller may send a request. */
 export type AccessDecision =
-  /** `tenant` is `undefined` where callers are not identified. */
+  /** `tenant` is `undefined` for callers that are not identified. */
   | { readonly kind: 'granted'; readonly tenant: Tenant | undefined }
   | { readonly kind: 'denied'; readonly reason: string };
 
 const DENIED_MISSING_KEY: AccessDecision = { kind: 'denied', reason: 'a key is needed' };
 const DENIED_UNKNOWN_KEY: AccessDecision = { kind: 'denied', reason: 'the key is not known' };
 
-/** One configuration with its index. A request keeps the snapshot that it began with. */
+/** One configuration with its indexes. A request uses the same snapshot until it ends. */
 export class RoutingSnapshot {
   private readonly routesByHost = new Map<string, Map<string, Route>>();
   private readonly engineSlots = new Map<string, number>();
@@ -70,12 +70,12 @@
     return this.access(route.isPublic, authorization);
   }
 
-  /** Whether a caller may ask about jobs submitted under `host`; who owns a job is not checked here. */
+  /** Like `accessTo`, for reading jobs submitted under `host`; does not check who owns a job. */
   accessToJobs(host: string, authorization: string | undefined): AccessDecision {
     return this.access(this.publicJobHosts.has(hostName(host)), authorization);
   }
 
-  /** Slots of a replica: as the engine of its service is configured, else as it announces. */
+  /** Configured slots of the service's engine, or else those that the replica announces. */
   slotsOf(replica: Replica): number {
     return this.engineSlots.get(replica.service) || replica.slots;
   }
@@ -85,7 +85,7 @@
     return this.services.get(service)?.slowStartPerSecond;
   }
 
-  /** The share of one job owner in it: each model has one owner at a time. */
+  /** The share of one job owner in the slow start: each model has one owner at a time. */
   slowStartPerSecondPerOwner(service: string): number | undefined {
     const perSecond = this.slowStartPerSecondOf(service);
     const owners = Math.max(1, this.services.get(service)?.models.length ?? 1);
@@ -109,22 +109,22 @@
   }
 }
 
-/** Host of a `Host` header without the port. */
+/** The host of a `Host` header, in lower case and without the port. */
 function hostName(header: string): string {
   const colon = header.indexOf(':');
   return (colon < 0 ? header : header.slice(0, colon)).toLowerCase();
 }
 
-/** The newest configuration that this process has seen. */
+/** Holds the newest configuration that this process has received. */
 export class RoutingTable {
   private snapshot: RoutingSnapshot | undefined;
 
-  /** The configuration in force; `undefined` while none is known. */
+  /** The current configuration; `undefined` while none is known. */
   get current(): RoutingSnapshot | undefined {
     return this.snapshot;
   }
 
-  /** Installs a configuration that is newer than the one in force. Returns whether it did. */
+  /** Installs a configuration if it is newer than the current one. Returns whether it was installed. */
   install(configuration: RoutingConfiguration): boolean {
     if (this.snapshot && configuration.version <= this.snapshot.version) return false;
     this.snapshot = new RoutingSnapshot(configuration);
--- a/src/state/service/configuration/target-splitter.ts
+++ b/src/state/service/configuration/target-splitter.ts
@@ -1,13 +1,12 @@
 /**
- * Splits requests among the targets of a route by weight: smooth weighted round robin, so that shares hold
- * even over few requests. A route whose targets or weights change is split anew.
+ * Distributes requests among the targets of a route by smooth weighted round robin, which keeps the shares
+ * even over few requests. A route starts over when its targets or weights change.
  */
 import type { Route, RouteTarget } from '../../../protocol/service/routing-configuration.js';
 
-/** Most splits kept; beyond, all begin anew. Chosen, not measured. */
+/** Bounds the memory: beyond it the state of all routes is dropped. */
 const MAX_TRACKED_ROUTES = 1_000;
 
-/** The splits of one process. */
 export class TargetSplitter {
   private readonly credits = new Map<string, Map<string, number>>();
 
--- a/src/state/service/jobs/job-contents.ts
+++ b/src/state/service/jobs/job-contents.ts
@@ -1,6 +1,6 @@
 /**
- * Contents of jobs beside their heads: submissions, results by position, texts of running items. Whatever an
- * owner writes is conditional on the head's version, so that a replaced owner can write nothing.
+ * Storage for the contents of jobs: submissions, results by position, and texts of running items. All writes
+ * of an owner are conditional on the version of the job's head, so that a replaced owner cannot write.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { uniqueId } from '../../../common/identifier.js';
@@ -24,19 +24,16 @@
 } from './job-record.js';
 import type { SubmittedJob } from './submitted-job.js';
 
-/**
- * Share of a record that values fill, so that a record with its key stays under the store's limit. Chosen.
- */
+/** Leaves room for the key within the store's limit for a record. */
 const RECORD_FILL_RATIO = 0.9;
-/** Submissions up to this size are stored in records, in one transaction; larger ones in an object. Bytes. */
+/** Submissions up to this size are stored as records in one transaction, larger ones as an object. */
 const MAX_RECORD_SUBMISSION_BYTES = 500_000;
-/** Most bytes and records of a transaction. Chosen: below the store's 1 MB and 100 entries. */
+/** Below the store's limits of 1 MB and 100 entries for a transaction. */
 const MAX_TRANSACTION_BYTES = 600_000;
 const MAX_TRANSACTION_RECORDS = 80;
-/** Most records of results in a transaction: with a condition for each, and the head, below 100 entries. */
+/** With a condition for each record and one for the head, below the store's limit of 100 entries. */
 const MAX_RESULT_RECORDS = 48;
 
-/** Splits bytes into pieces of at most `size`. */
 function splitIntoChunks(bytes: Buffer, size: number): Buffer[] {
   const chunks: Buffer[] = [];
   for (let offset = 0; offset < bytes.length; offset += size)
@@ -44,7 +41,6 @@
   return chunks;
 }
 
-/** Access to the contents of jobs. */
 export class JobContents {
   private readonly chunkBytes: number;
 
@@ -52,7 +48,7 @@
     this.chunkBytes = Math.floor(store.limits.recordBytes * RECORD_FILL_RATIO);
   }
 
-  /** The records to write for a submission, or the name of the object that now holds it. */
+  /** Returns the records to write for a submission, or stores it as an object and returns its name. */
   async storeSubmission(
     job: SubmittedJob,
   ): Promise<Result<{ writes: RecordWrite[]; object?: string }, StateError>> {
@@ -71,10 +67,11 @@
   private async readSubmissionObject(name: string): Promise<Result<Buffer, StateError>> {
     const found = await this.store.getObject(name);
     if (found.isErr()) return err(new StateError('unavailable', 'none', found.error.message));
-    return found.value ? ok(found.value) : err(new StateError('not-found', 'none', `object ${name}`));
+    return found.value
+      ? ok(found.value)
+      : err(new StateError('not-found', 'none', `object ${name} does not exist`));
   }
 
-  /** The submission of a job. */
   async submission(head: JobHead): Promise<Result<Buffer, StateError>> {
     const { jobId, record } = head;
     if (record.object !== undefined) return this.readSubmissionObject(record.object);
@@ -82,14 +79,14 @@
     const records = await readRange(this.store, SUBMISSION_TABLE, partitionOf(jobId), from, rangeEnd(jobId));
     if (records.isErr()) return err(records.error);
     if (records.value.records.length !== record.chunks)
-      return err(new StateError('not-found', 'none', `submission of ${jobId} is not whole`));
+      return err(new StateError('not-found', 'none', `submission of ${jobId} is incomplete`));
     return ok(Buffer.concat(records.value.records.map((chunk) => chunk.value)));
   }
 
   /**
-   * Lists results from `firstPosition` on, under the owner's head. A retry is safe: it writes the same bytes
-   * at the same positions. After a lost answer only all records together prove that the transaction was
-   * applied: a successor lists results of the same bytes, but maybe in another order.
+   * Writes results from `firstPosition` on if the owner's head is unchanged. Safe to retry. After a lost
+   * answer the transaction counts as applied only if all records match: a later owner may have written the
+   * same results in another order.
    */
   async appendResults(
     head: JobHead,
@@ -121,7 +118,7 @@
     return outcome.map(() => undefined);
   }
 
-  /** How many of `results` fit into one transaction, at least one. */
+  /** Number of leading results that fit into one transaction, at least one. */
   countFittingResults(results: readonly string[]): number {
     let bytes = 0;
     let records = 0;
@@ -135,7 +132,7 @@
     return count;
   }
 
-  /** Results from `position` on, each as JSON text, as many as one page of the store holds. */
+  /** Returns results from `position` on, each as JSON text, as many as one page of the store holds. */
   async results(jobId: string, position: number): Promise<Result<string[], StateError>> {
     const page = await this.store.scan({
       table: RESULT_TABLE,
@@ -147,7 +144,6 @@
     return ok(assembleResults(page.value.records, position));
   }
 
-  /** All results of a job. */
   async allResults(jobId: string): Promise<Result<string[], StateError>> {
     const all: string[] = [];
     for (;;) {
@@ -158,7 +154,7 @@
     }
   }
 
-  /** Stores texts under the owner's head; the IDs of those stored. Others wait for the next call. */
+  /** Stores as many texts as fit if the owner's head is unchanged. Returns the IDs of the stored ones. */
   async saveTexts(
     head: JobHead,
     texts: ReadonlyMap<string, PartialText>,
@@ -181,7 +177,7 @@
     return err(new StateError(failure === 'conflict' ? 'lease-lost' : 'unavailable', effect, message));
   }
 
-  /** Stored texts by item ID. */
+  /** Returns the stored texts by item ID. */
   async texts(jobId: string): Promise<Result<Map<string, PartialText>, StateError>> {
     const records = await readRange(this.store, TEXT_TABLE, partitionOf(jobId), `${jobId}/`, rangeEnd(jobId));
     return records.map((found) => {
@@ -195,7 +191,7 @@
     });
   }
 
-  /** Removes everything but the head; false when that failed before all was removed. */
+  /** Removes everything but the head. Returns false if something may be left. */
   async removeAll({ jobId, record }: JobHead): Promise<boolean> {
     if (record.object !== undefined) await this.store.removeObject(record.object);
     for (const table of [TEXT_TABLE, SUBMISSION_TABLE, RESULT_TABLE]) {
@@ -219,13 +215,13 @@
   }
 }
 
-/** Whether each record has the value that was to be written. */
+/** Whether each record has the value to be written. */
 function areAllApplied(writes: readonly RecordWrite[], current: readonly StoredRecord[]): boolean {
   const values = new Map(current.map(({ key, value }) => [key, value]));
   return writes.every(({ key, value }) => values.get(key)?.equals(value) ?? false);
 }
 
-/** Joins the chunks of results; stops before the first position that is incomplete. */
+/** Joins the chunks of results, up to the first incomplete one. */
 function assembleResults(records: readonly StoredRecord[], firstPosition: number): string[] {
   const results: string[] = [];
   let chunks: Buffer[] = [];
--- a/src/state/service/jobs/job-repository.ts
+++ b/src/state/service/jobs/job-repository.ts
@@ -1,8 +1,7 @@
 /**
- * Heads of batch jobs in the record store: acceptance, ownership, end. Each change is one transaction
- * conditional on the head's version, so that of two writers one succeeds. A lost answer is settled by reading
- * whether the write was applied (`settle`); where that cannot be told by the deadline, the error's effect is
- * `unknown`.
+ * Stores batch jobs: acceptance, ownership and end. Each change is one transaction conditional on the version
+ * of the job's head, so that only one of two writers succeeds. Transactions without an answer are repeated
+ * until their outcome is known; if it is unknown at the deadline, the error's effect is `unknown`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
@@ -25,34 +24,31 @@
 
 const FIRST_EPOCH = 1;
 
-/** An accepted job; `isNew` is false where it had been accepted before. */
+/** `isNew` is false if the job had been accepted before. */
 export interface Acceptance {
   readonly head: JobHead;
   readonly isNew: boolean;
 }
 
-/** All heads, and the version of the store from which the feed of changes continues. */
+/** All heads, and the store version from which the change feed continues. */
 export interface JobListing {
   readonly heads: readonly JobHead[];
   readonly version: number;
 }
 
-/** Turns a stored head into a `JobHead`. */
 export function toJobHead(record: Pick<StoredRecord, 'key' | 'value' | 'version'>): JobHead | undefined {
   const parsed = parseJobRecord(record.value);
   return parsed && { jobId: record.key, record: parsed, version: record.version };
 }
 
-/** Access to jobs. */
 export class JobRepository {
-  /** Submissions, results and texts. */
   readonly contents: JobContents;
 
   constructor(private readonly store: RecordStore) {
     this.contents = new JobContents(store);
   }
 
-  /** Accepts a job once. A retry is safe; after an error with effect `unknown` it may be accepted. */
+  /** Accepts a job once. Safe to retry; after an error with effect `unknown` the job may be accepted. */
   async accept(
     job: SubmittedJob,
     owner: OwnerReference | null,
@@ -78,8 +74,8 @@
   }
 
   /**
-   * The head of a job, `undefined` when there is none. Scans may be stale, so the absence of a head is
-   * confirmed by a conditional transaction: another node may have accepted the job since.
+   * Returns the head of a job, `undefined` if there is none. Scans may be stale, so the absence of a head is
+   * confirmed by a conditional transaction.
    */
   async read(jobId: string): Promise<Result<JobHead | undefined, StateError>> {
     const page = await this.store.scan({ ...headAddress(jobId), from: jobId, limit: 1 });
@@ -89,7 +85,6 @@
     return record?.key === jobId ? ok(toJobHead(record)) : this.readCurrentHead(jobId);
   }
 
-  /** All jobs. */
   async list(): Promise<Result<JobListing, StateError>> {
     const heads: JobHead[] = [];
     let version = Number.POSITIVE_INFINITY;
@@ -105,19 +100,19 @@
     return ok({ heads, version });
   }
 
-  /** Makes `owner` the owner, if the head has not changed since. */
+  /** Makes `owner` the owner, unless the head has changed. */
   claim(head: JobHead, owner: OwnerReference, deadlineMs: number): Promise<Result<JobHead, StateError>> {
     return this.replaceHead(head, { ...head.record, owner, epoch: head.record.epoch + 1 }, deadlineMs);
   }
 
-  /** Hands a job back, so that any node may claim it at once. */
+  /** Removes the owner, so that any node may claim the job at once. */
   release(head: JobHead, deadlineMs: number): Promise<Result<JobHead, StateError>> {
     return this.replaceHead(head, { ...head.record, owner: null }, deadlineMs);
   }
 
   /**
-   * Ends a job of `tenant`; `undefined` when it is another's. An unknown job is marked as ended too: a
-   * submission of it may still be under way. A retry is safe.
+   * Ends a job of `tenant`; `undefined` if it belongs to another. An unknown job is marked as ended too, as
+   * its submission may still be in progress. Safe to retry.
    */
   async end(
     jobId: string,
@@ -130,7 +125,7 @@
     }
   }
 
-  /** Removes a job that need not be readable any more. After a failure the next process retries. */
+  /** Removes an expired job. After a failure its removal is only retried by a process that starts later. */
   async remove(head: JobHead): Promise<void> {
     if (!(await this.contents.removeAll(head))) return;
     const address = headAddress(head.jobId);
@@ -141,7 +136,7 @@
     });
   }
 
-  /** `retry` when the head could not be read before the deadline, or has changed since. */
+  /** Returns `retry` if the head could not be read and the deadline is not over, or if it has changed. */
   private async tryEnd(
     jobId: string,
     tenant: string | undefined,
@@ -180,14 +175,17 @@
     if (!(outcome.error instanceof ConflictError)) return err(outcome.error);
     const existing = outcome.error.current.find((row) => row.key === jobId);
     const head = existing && toJobHead(existing);
-    if (!head) return err(new StateError('unavailable', 'unknown', 'the job changed while it was accepted'));
+    if (!head)
+      return err(
+        new StateError('unavailable', 'unknown', 'the job was changed concurrently during its acceptance'),
+      );
     if (!belongsTo(head, record.tenant))
-      return err(new StateError('invalid', 'none', 'the identifier is that of another tenant'));
+      return err(new StateError('invalid', 'none', 'the job ID belongs to another tenant'));
     if (head.record.total > 0 || record.total === 0) return ok({ head, isNew: false });
     return this.addSubmissionToEnded(head, record, writes, deadlineMs);
   }
 
-  /** Adds the submission to a job that was ended before it was accepted; it stays ended. */
+  /** Stores the submission of a job that was ended before it arrived. The job stays ended. */
   private async addSubmissionToEnded(
     head: JobHead,
     record: JobRecord,
@@ -229,7 +227,9 @@
     };
     const inserted = await this.insert(jobId, record, [], deadlineMs);
     return inserted.andThen(({ head }) =>
-      head.record.state === 'ended' ? ok(head) : err(new StateError('conflict', 'none', 'the job appeared')),
+      head.record.state === 'ended'
+        ? ok(head)
+        : err(new StateError('conflict', 'none', 'the job was submitted concurrently')),
     );
   }
 
--- a/src/state/service/jobs/result-cache.ts
+++ b/src/state/service/jobs/result-cache.ts
@@ -1,15 +1,16 @@
-/** Cache of listed results, which never change, bounded in bytes. Wakes readers that wait for more. */
+/**
+ * In-memory cache for the results of jobs, bounded in bytes. Evicts the jobs without new results for the
+ * longest time. Notifies readers that wait for more results.
+ */
 
 interface JobResults {
-  /** Results from position 0 on. */
+  /** In order, from position 0. */
   readonly results: string[];
   bytes: number;
 }
 
-/** Wakes readers of one job. */
 type Listener = () => void;
 
-/** The cache of a node. */
 export class ResultCache {
   private readonly jobs = new Map<string, JobResults>();
   private readonly listeners = new Map<string, Set<Listener>>();
@@ -17,7 +18,7 @@
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Adds results that are listed from `position` on; ignored where they would leave a gap. */
+  /** Adds results from `position` on. Ignored if they would leave a gap. */
   append(jobId: string, position: number, results: readonly string[]): void {
     const entry = this.jobs.get(jobId) ?? { results: [], bytes: 0 };
     if (position > entry.results.length) return;
@@ -32,7 +33,7 @@
     for (const listener of this.listeners.get(jobId) ?? []) listener();
   }
 
-  /** Results from `position` on that are in memory, up to `maxBytes` but at least one. */
+  /** Returns cached results from `position` on: up to `maxBytes`, but at least one if there is any. */
   read(jobId: string, position: number, maxBytes: number): readonly string[] {
     const entry = this.jobs.get(jobId);
     if (!entry) return [];
@@ -46,7 +47,7 @@
     return page;
   }
 
-  /** Calls `listener` when results of the job are added; returns a function that stops this. */
+  /** Calls `listener` when results of the job are added. Returns a function that unsubscribes it. */
   subscribe(jobId: string, listener: Listener): () => void {
     const listeners = this.listeners.get(jobId) ?? new Set();
     listeners.add(listener);
--- a/test/state/service/jobs/job-contents.test.ts
+++ b/test/state/service/jobs/job-contents.test.ts
@@ -1,11 +1,6 @@
 /**
- * Results of a job, listed by an owner that was replaced meanwhile.
- *
- * What users would have seen: a result read at one node stands at another position at all others. The order of events: an owner
- * sends a batch and is left without an answer (it stood still, or the store did); its successor lists the same results, whose
- * bytes follow from the items alone, in another order; the first owner repeats its batch, fails on its condition, finds its first
- * result where it wanted it, and takes the whole batch for listed. The cause: one record was taken as proof of all. The evidence:
- * a soak with owners that stood still, in which two positions read at one node later held each other's results.
+ * Guards against an owner that treats its batch of results as written after a lost answer, although a later owner has
+ * written the same results in another order.
  */
 import { expect } from 'chai';
 import { err, ok, type Result } from 'neverthrow';
@@ -22,13 +17,13 @@
 const JOB = 'job-1';
 const TIMEOUT_MS = 5_000;
 
-/** Rows behind the interface of the store; `beforeNext` stands between a transaction that is lost and its repeat. */
+/** An in-memory store whose next answer can be lost, with or without executing the transaction. */
 class LossyStore {
   readonly limits = { recordBytes: 65_536, objectBytes: 8_388_608 };
   readonly rows = new RowStore();
-  /** Whether the next transaction is left without an answer, and whether it is done all the same. */
+  /** Loses the answer of the next transaction, which is executed or not. */
   loseNext: 'not done' | 'done' | undefined;
-  /** Called after a transaction was left without an answer. */
+  /** Called after a lost answer, before the transaction is repeated. */
   onLost: () => Promise<void> = async () => {};
 
   async transact(transaction: RecordTransaction): Promise<Result<number, RecordStoreError>> {
@@ -60,12 +55,12 @@
   }
 }
 
-describe('results of a job', () => {
+describe('JobContents', () => {
   let store: LossyStore;
   let contents: JobContents;
   let first: JobHead;
 
-  /** Writes a head as a claim does. */
+  /** Writes a new version of the head, as a claim does. */
   function claim(): JobHead {
     const { table, partition, key } = headAddress(JOB);
     return { jobId: JOB, record: {} as JobRecord, version: store.rows.put(table, key, {}, partition) };
@@ -86,7 +81,7 @@
     first = claim();
   });
 
-  it('are not taken for listed when a successor has listed them in another order', async () => {
+  it('rejects a repeated batch when a later owner has written the results in another order', async () => {
     store.loseNext = 'not done';
     store.onLost = async () => {
       const second = claim();
@@ -98,7 +93,7 @@
     expect((await contents.allResults(JOB))._unsafeUnwrap()).to.deep.equal(['a', 'c', 'b']);
   });
 
-  it('are taken for listed when the lost transaction was done, whoever owns the job by now', async () => {
+  it('accepts a repeated batch when the lost transaction was executed, whoever owns the job by then', async () => {
     store.loseNext = 'done';
     store.onLost = async () => {
       expect((await append(claim(), 3, ['d'])).isOk()).to.equal(true);
@@ -107,7 +102,7 @@
     expect((await contents.allResults(JOB))._unsafeUnwrap()).to.deep.equal(['a', 'b', 'c', 'd']);
   });
 
-  it('fit one transaction with a condition for each record', () => {
+  it('counts results that fit one transaction together with a condition for each record', () => {
     const results = Array.from({ length: 100 }, (_, index) => `result ${index}`);
     expect(contents.countFittingResults(results) * 2 + 1).to.be.within(3, 100);
   });
--- a/test/state/service/jobs/job-repository.test.ts
+++ b/test/state/service/jobs/job-repository.test.ts
@@ -1,12 +1,4 @@
-/**
- * Heads of jobs, read while reads of the store are old.
- *
- * What users would have seen: 404 for a job that had been accepted. The order of events: the store loses its history, and
- * reads show the rows as they were; a node accepts a job; another node, which does not know it yet, reads its head and finds
- * none. The cause: an old read was taken as proof that a record is not there, by a node that had had no newer answer. The
- * evidence: a soak of 84 nodes in which one answered 404 for a job 40 ms after another had accepted it, while the others said
- * that they could not be certain.
- */
+/** Guards against a 404 for an accepted job when a stale scan does not show its head. */
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
 import { Random } from '../../../../src/common/random.js';
@@ -32,7 +24,7 @@
   submission: Buffer.from('{}'),
 };
 
-/** Its reads of ranges show nothing, or fail as too old. */
+/** A store whose scans return nothing, or fail as stale. */
 class StaleScanStore extends FaultyStore {
   readonly isStalenessReported: boolean;
 
@@ -48,9 +40,9 @@
   }
 }
 
-describe('the head of a job while reads are old', () => {
+describe('JobRepository while scans are stale', () => {
   for (const isStalenessReported of [false, true])
-    it(`is found although it is not among the records read${isStalenessReported ? ', which are known to be old' : ''}`, async () => {
+    it(`finds the head of a job that a scan does not show${isStalenessReported ? ' because it fails as stale' : ''}`, async () => {
       const repository = new JobRepository(new StaleScanStore(isStalenessReported));
       (await repository.accept(SUBMITTED_JOB, OWNER, TIMEOUT_MS))._unsafeUnwrap();
       const head = (await repository.read(JOB))._unsafeUnwrap();
