--- a/src/state/service/store/followed-table.ts
+++ b/src/state/service/store/followed-table.ts
@@ -1,5 +1,5 @@
 /**
- * The table that every node follows for several kinds of records, each kind in partitions of its own: one
- * long poll serves all of them, so a further kind costs no call of the store while nothing changes.
+ * Table that every node follows. Several kinds of records share it, each in its own partitions, so that a
+ * single long poll covers all of them.
  */
 export const FOLLOWED_TABLE = 'jobs';
--- a/src/state/service/store/instrumented-store.ts
+++ b/src/state/service/store/instrumented-store.ts
@@ -1,9 +1,6 @@
 /**
- * The record store with metrics, and the belief whether it answers this process.
- *
- * Owns: the open calls, their latency, the logged state (answering, slow, silent). Relies on: the wrapped
- * store, to which calls are passed unchanged; calls whose answer is lost are aborted (`overdue-calls.ts`),
- * none is repeated here.
+ * Wraps a record store with metrics and a health state: answering, slow or silent. Calls are passed on
+ * unchanged and never repeated; those whose answer is lost are aborted (`overdue-calls.ts`).
  */
 import type { Result } from 'neverthrow';
 import { MILLISECONDS_PER_SECOND, monotonicMs } from '../../../common/clock.js';
@@ -30,32 +27,27 @@
   silent: { answered: 'answering', answeredLate: 'slow', failed: 'silent' },
 } as const;
 
-/** Usual time of an answer above which the store is logged as slow, milliseconds. Chosen, not measured. */
+/** Average latency above which the store is logged as slow. */
 const SLOW_LATENCY_MS = 100;
 
-/**
- * The store counts as not answering after this time without an answer, milliseconds, or this many usual
- * answers if that is longer. Chosen, not measured.
- */
+/** The store is silent after this time without an answer, or after this many average latencies if longer. */
 const SILENCE_TIMEOUT_MS = 1_000;
 const SILENCE_LATENCY_FACTOR = 4;
 
-/** A minimal scan, to learn whether the store answers. */
+/** A minimal scan that checks whether the store answers. */
 const PROBE: RecordRange = { table: 'probe', partition: '', limit: 1 };
 
-/** Failures by which the store has not served the call: it was unreachable, or rejected the call unread. */
+/** Failures in which the store did not process the call. */
 const UNSERVED_FAILURES: ReadonlySet<RecordStoreFailure> = new Set(['unavailable', 'rate-limited']);
 
 function wasServed(answer: Result<unknown, RecordStoreError>): boolean {
   return answer.isOk() || !UNSERVED_FAILURES.has(answer.error.failure);
 }
 
-/** Whether a store that was silent for `silentMs` still counts as answering; both in milliseconds. */
 function countsAsAnswering(silentMs: number, averageLatencyMs: number): boolean {
   return silentMs < Math.max(SILENCE_TIMEOUT_MS, averageLatencyMs * SILENCE_LATENCY_FACTOR);
 }
 
-/** Wraps a store; passes every call through unchanged. */
 export class InstrumentedStore implements RecordStore {
   private readonly health: Lifecycle<Health, HealthEvent>;
   private readonly calls = new OverdueCalls(() => void this.scan(PROBE));
@@ -143,7 +135,7 @@
     return answer;
   }
 
-  /** A failure while other calls are answered changes nothing: a partition may be down, an answer lost. */
+  /** A failed call changes nothing while others are answered: it may concern one partition or one answer. */
   private updateHealth(failure: string | undefined): void {
     const latencyMs = this.averageLatencyMs();
     if (!this.isAnswering()) this.health.sendIfAccepted('failed', failure ?? 'no answer');
--- a/src/state/service/store/overdue-calls.ts
+++ b/src/state/service/store/overdue-calls.ts
@@ -1,67 +1,58 @@
 /**
- * The open calls of the store: how long answers take, for how long none has come, and which calls are aborted
- * because their answer is lost. A missing answer alone proves nothing, since the store may be slow. But when
- * a later call has been answered, and the earlier one has waited many times as long as answers take now, its
- * answer is lost, and waiting only delays the repeat. While calls wait, a minimal scan probes the store now
- * and then, so that there is something to be answered.
+ * Tracks the pending calls to the store: average latency, time without an answer, and lost answers. A call is
+ * aborted when a later call has been answered and its own wait exceeds a multiple of the average latency; a
+ * missing answer alone may only mean a slow store. While calls are late, probes provide later calls.
  */
 import { monotonicMs } from '../../../common/clock.js';
 
-/**
- * Wait after which an overtaken call is aborted: this many usual answers, at least the shortest wait,
- * milliseconds. Chosen, not measured: a call aborted too early is repeated and costs another, one aborted too
- * late delays its caller.
- */
+/** A call is aborted after this multiple of the average latency, but not before the minimum. */
 const OVERDUE_LATENCY_FACTOR = 8;
 const MIN_OVERDUE_MS = 150;
-/** Weight of the newest answer in the moving average of answer times. Chosen, not measured. */
+/** Weight of the newest answer in the moving average of the latency. */
 const AVERAGE_WEIGHT = 0.25;
-/** Wait after which a call is late, and the interval of checks from then on. Chosen, not measured. */
+/** Wait after which a call is late, and interval of the checks from then on. */
 const CHECK_INTERVAL_MS = 100;
-/** Interval of probes while calls are late. Chosen, not measured. */
 const PROBE_INTERVAL_MS = 200;
 
-/** A call under way. */
 export interface OpenCall {
-  /** Aborted when the answer counts as lost, or by the caller. */
+  /** Aborted when the answer counts as lost, or when the caller aborts. */
   readonly signal: AbortSignal;
-  /** Must be called once the call has ended. */
+  /** Must be called when the call ends. */
   close(isAnswered: boolean): void;
 }
 
 interface PendingCall {
   readonly startedAtMs: number;
-  /** Time for which the store may hold the answer (long poll), milliseconds. */
+  /** Time for which the store may delay the answer, milliseconds; 0 for calls that are no long polls. */
   readonly longPollMs: number;
   readonly controller: AbortController;
 }
 
-/** The open calls of a process. */
 export class OverdueCalls {
   private readonly pending = new Set<PendingCall>();
-  /** Moving average of answer times, milliseconds; 0 before the first answer. */
+  /** Moving average of the latency without long polls, milliseconds; 0 before the first answer. */
   private averageMs = 0;
-  /** Start of the latest call that has been answered. */
+  /** Start of the latest answered call, on the monotonic clock. */
   private lastAnsweredStartMs = Number.NEGATIVE_INFINITY;
   private lastAnswerAtMs = Number.NEGATIVE_INFINITY;
-  /** When the first call that failed since the last answer was due; `undefined` without one. */
+  /** Due time of the first call that failed since the last answer; `undefined` without one. */
   private failingSinceMs: number | undefined;
   private lastProbeAtMs = Number.NEGATIVE_INFINITY;
   private timer: NodeJS.Timeout | undefined;
-  /** When the timer fires; infinite while there is none. */
+  /** Time of the next check; infinite without a timer. */
   private nextCheckAtMs = Number.POSITIVE_INFINITY;
 
-  /** `probe` makes a minimal call, which is opened and closed here like any other. */
+  /** `probe` makes a minimal call, which must be opened and closed here like any other. */
   constructor(private readonly probe: () => void) {}
 
-  /** How long an answer usually takes now, milliseconds; 0 before the first. */
+  /** Moving average, milliseconds; 0 before the first answer. */
   get averageLatencyMs(): number {
     return this.averageMs;
   }
 
   /**
-   * Time for which no call was answered although some were open, milliseconds: since the first one due that
-   * failed or waits, at most since the last answer. Long polls are due once their wait has passed.
+   * Time for which calls have been due without any answer, milliseconds, at most since the last answer. Long
+   * polls are due once their wait has passed.
    */
   get silentMs(): number {
     const now = monotonicMs();
@@ -70,7 +61,7 @@
     return Math.min(now - overdueSinceMs, now - this.lastAnswerAtMs);
   }
 
-  /** Opens a call; the caller may abort it by `outer`. */
+  /** Registers a call. `waitMs` is the wait of a long poll, else 0; `outer` aborts the call. */
   open(waitMs: number, outer?: AbortSignal): OpenCall {
     const call = { startedAtMs: monotonicMs(), longPollMs: waitMs, controller: new AbortController() };
     this.pending.add(call);
@@ -104,7 +95,7 @@
     this.abortOverdue();
   }
 
-  /** Checks the waiting calls at `timeMs` or before. */
+  /** Schedules a check at `timeMs`, unless an earlier one is scheduled. */
   private scheduleCheck(timeMs: number): void {
     if (timeMs >= this.nextCheckAtMs) return;
     clearTimeout(this.timer);
@@ -136,7 +127,7 @@
   }
 }
 
-/** Time from which an answer is missing. */
+/** Time at which the answer is due. */
 function dueAtMs({ startedAtMs, longPollMs }: PendingCall): number {
   return startedAtMs + longPollMs;
 }
--- a/src/state/service/store/settled-transaction.ts
+++ b/src/state/service/store/settled-transaction.ts
@@ -1,7 +1,7 @@
 /**
- * Settles transactions whose answers may be lost. A transaction without an answer may have been executed, or
- * may be later as long as its conditions hold. It is therefore repeated unchanged until an answer shows its
- * outcome: the conditions let at most one of the repeats through, so each repeat is safe.
+ * Retries transactions whose answers may be lost. A transaction without an answer may have been executed, or
+ * may still be executed later; it is repeated unchanged until an answer shows its outcome. Repeats are safe,
+ * since the conditions hold for at most one of them.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { monotonicMs, sleep } from '../../../common/clock.js';
@@ -13,33 +13,32 @@
 } from '../../../protocol/record-store.js';
 import { StateError } from '../../state-error.js';
 
-/** Back-off between repeats, doubled each time and spread by half. Chosen, not measured. */
+/** Exponential back-off with jitter. */
 const MIN_BACKOFF_MS = 20;
 const MAX_BACKOFF_MS = 300;
 
-/** How long and under what condition a transaction is repeated. */
 export interface RetryOptions {
-  /** Time on the monotonic clock at which the effort ends, milliseconds. */
+  /** Time of the last attempt on the monotonic clock, milliseconds. */
   readonly deadlineMs: number;
   /**
-   * Whether the records, as a failed condition shows them, prove that an earlier repeat of this transaction
-   * was executed. Asked only when a repeat had no answer.
+   * Whether the current records prove that an earlier attempt was executed. Called after a failed condition
+   * if an earlier attempt had no answer.
    */
   readonly isApplied: (current: readonly StoredRecord[]) => boolean;
-  /** Ends the effort early. */
+  /** Stops further attempts. */
   readonly signal?: AbortSignal;
 }
 
 /** A transaction that was not executed because a condition did not hold. */
 export class ConflictError extends StateError {
   constructor(readonly current: readonly StoredRecord[]) {
-    super('conflict', 'none', 'another writer was first');
+    super('conflict', 'none', 'a concurrent transaction changed the records first');
   }
 }
 
 /**
- * Resolves once the outcome is certain, or at the deadline, then with `unavailable` and whether the
- * transaction may have been executed. The version is 0 when the records alone prove the execution.
+ * Resolves to the version of the transaction, or 0 if only the records prove its execution. At the deadline
+ * fails with `unavailable`; the effect tells whether the transaction may have been executed.
  */
 export async function transactWithRetry(
   store: RecordStore,
@@ -62,7 +61,7 @@
   }
 }
 
-/** The outcome that a failed repeat makes certain; `undefined` when it must be repeated. */
+/** The final outcome after a failed attempt; `undefined` if the transaction must be repeated. */
 function finalOutcomeOf(
   { failure, current, message }: RecordStoreError,
   mayBeExecuted: boolean,
--- a/src/state/service/usage/usage-repository.ts
+++ b/src/state/service/usage/usage-repository.ts
@@ -1,7 +1,7 @@
 /**
- * Usage in the record store. A process overwrites its own counts of a window on the condition that they are
- * as it last wrote them, so that a late write never undoes a newer one. A report is written once, before it
- * is sent, so that every leader sends the same.
+ * Stores usage. A process replaces its own counts of a window on the condition that they are unchanged since
+ * its last write, so that a delayed write never undoes a newer one. A report is written once, before it is
+ * sent, so that all leaders send the same.
  */
 import { err, ok, Result } from 'neverthrow';
 import { monotonicMs } from '../../../common/clock.js';
@@ -26,19 +26,17 @@
   windowOfKey,
 } from './usage-record.js';
 
-/** Most records removed in one transaction, below the store's limit of 100 entries. */
+/** Below the store's limit of 100 entries for a transaction. */
 const REMOVAL_BATCH_SIZE = 90;
-/** Longest time for settling one change of a report, milliseconds. Chosen, not measured. */
 const REPORT_TIMEOUT_MS = 2_000;
 
-/** Access to stored usage. */
 export class UsageRepository {
   constructor(private readonly store: RecordStore) {}
 
   /**
-   * Overwrites what `source` has counted in a window; `version` is that of its last write, 0 before the
-   * first. Repeats the write until its outcome is certain. Resolves to the new version; a conflict means that
-   * the window is already cleared.
+   * Replaces the counts of `source` in a window. `version` is that of its last write, 0 before the first.
+   * Retries until the outcome is known and resolves to the new version. A conflict means that the records of
+   * the window have been removed.
    */
   async saveCounts(
     window: number,
@@ -50,7 +48,7 @@
     return this.replace(countAddress(window, source), record, version, Number.POSITIVE_INFINITY, signal);
   }
 
-  /** Counts of all processes in the windows from `first` to `last`, both included. */
+  /** Counts of all processes in the windows from `first` to `last`, inclusive. */
   async countsOf(first: number, last: number): Promise<Result<StoredCount[], StateError>> {
     const [from, until] = [windowKey(first), windowKey(last + 1)];
     const found = await Promise.all(
@@ -65,7 +63,7 @@
     return found.map(({ records }) => records.map(toReport));
   }
 
-  /** Decides the report of a window. Resolves to the decision of another node, if that was first. */
+  /** Creates the report of a window. Resolves to the existing report if another node created it first. */
   async decide(
     window: number,
     counts: TenantCounts,
@@ -80,13 +78,13 @@
     return existing ? ok(toReport(existing)) : err(error);
   }
 
-  /** Notes that a report was accepted. */
+  /** Records that the collector has accepted a report. */
   async markReported({ window, version, ...record }: StoredReport): Promise<Result<number, StateError>> {
     const deadlineMs = monotonicMs() + REPORT_TIMEOUT_MS;
     return this.replace(reportAddress(window), { ...record, isReported: true }, version, deadlineMs);
   }
 
-  /** Removes counts and reports of windows before these. What a failure leaves, the next call removes. */
+  /** Removes counts and reports of windows before these. Records left by a failure go with the next call. */
   async removeOld(countsBefore: number, reportsBefore: number): Promise<void> {
     for (const partition of COUNT_PARTITIONS)
       await this.removeRange(COUNT_TABLE, partition, windowKey(countsBefore));
--- a/src/state/store/current-records.ts
+++ b/src/state/store/current-records.ts
@@ -1,24 +1,24 @@
 /**
- * Reads records as they are now, however old the store's scans are: a transaction without writes, on the
- * condition that none of the records exists. The store checks conditions against its newest records and
- * returns those that fail.
+ * Reads current records even while scans are stale. Sends a transaction without writes, on the condition that
+ * none of the records exists: the store checks conditions against its current records and returns those that
+ * fail them.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { RecordAddress, RecordStore, StoredRecord } from '../../protocol/record-store.js';
 import { StateError } from '../state-error.js';
 
-/** Conditions that the store accepts in one transaction (limit of its protocol). */
+/** The store's limit for a transaction. */
 const MAX_CONDITIONS = 100;
 const ABSENT = 0;
 
-/** Records as of the same moment or later; those of the addresses that are missing don't exist. */
+/** Existing records; addresses without one have no record. */
 export interface CurrentRecords {
   readonly records: readonly StoredRecord[];
-  /** Lowest version of the store that any of the records was read at. */
+  /** Lowest store version at which any of the records was read. */
   readonly version: number;
 }
 
-/** Reads the records at `addresses`, all of one partition: one write call per hundred. Safe to repeat. */
+/** Reads the records at `addresses`, all in one partition. Safe to retry. */
 export async function readCurrent(
   store: RecordStore,
   addresses: readonly RecordAddress[],
--- a/test/state/service/store/instrumented-store.test.ts
+++ b/test/state/service/store/instrumented-store.test.ts
@@ -1,4 +1,3 @@
-/** What a node believes of the store: one line when it is lost, one when it is back. */
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
 import { sleep } from '../../../../src/common/clock.js';
@@ -17,7 +16,7 @@
 const UP: RecordRange = { table: 't', partition: 'up' };
 const DOWN: RecordRange = { table: 't', partition: 'down' };
 
-describe('the belief about the store', () => {
+describe('Health of InstrumentedStore', () => {
   let healthChanges: string[];
   let store: InstrumentedStore;
 
@@ -37,7 +36,7 @@
     );
   });
 
-  it('does not change while a part of the store is down', async () => {
+  it('does not change while only a part of the store is down', async () => {
     for (let call = 0; call < CALL_COUNT; call += 1) {
       await store.scan(call % 2 === 0 ? DOWN : UP);
       await sleep(CALL_INTERVAL_MS);
@@ -46,9 +45,9 @@
     expect(healthChanges).to.deep.equal([]);
   });
 
-  it('changes once when nothing is answered any more, and once when it is again', async () => {
+  it('changes once when the store stops answering and once when it answers again', async () => {
     await store.scan(UP);
-    await until('it is out of reach', async () => {
+    await until('the store counts as silent', async () => {
       await store.scan(DOWN);
       return !store.isAnswering();
     });
