--- a/src/coordination/feeds/record-feed.ts
+++ b/src/coordination/feeds/record-feed.ts
@@ -1,15 +1,8 @@
 /**
- * Follows one table of the store: reads it whole, then applies each change in order. When the store has lost
- * the history of changes the table is read whole again. An answer older than what was seen of the table is
- * never applied.
- *
- * Owns: the position up to which changes are applied. Relies on: scans and long polls of the store; failed
- * calls are repeated with back-off until `signal` is aborted.
- *
- * After a loss of history, scans may be old for many seconds. Then the known records are read individually,
- * as they are now, and changes are followed from there; whole reads are repeated until one is new. With 84
- * nodes and scans 6 s behind for 13 s, a change is in force within a second; with whole reads alone it took 6
- * s, and 13 s on a fifth of the nodes (real processes, one loss of history and five changes).
+ * Follows one table of the store: reads a snapshot, then applies changes in order. When the store has lost
+ * its change history, a new snapshot is read. While snapshots are stale after such a loss, the known records
+ * are read individually and changes are followed from there, until a current snapshot completes the table.
+ * Data older than what was applied is never applied.
  */
 import type { Result } from 'neverthrow';
 import { monotonicMs, sleep } from '../../common/clock.js';
@@ -24,55 +17,49 @@
 import type { StateError } from '../../state/state-error.js';
 import { readCurrent, readRange } from '../../state/store/index.js';
 
-/**
- * Longest wait of one long poll, milliseconds. Chosen, not measured: it bounds a quiet feed's age and its
- * rate of calls.
- */
+/** Bounds the age of a feed without changes, and its call rate. */
 export const LONG_POLL_TIMEOUT_MS = 1_200;
-/** Back-off after failed calls, doubled each time and spread by half. Chosen, not measured. */
+/** Exponential back-off with jitter after failed calls. */
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 400;
-/** Time between two whole reads of a table that was read in part, milliseconds. Chosen, not measured. */
+/** For a table of which only the known records were read. */
 const SNAPSHOT_RETRY_INTERVAL_MS = 1_000;
 
-/** A table read whole, and the version from which its changes continue. */
+/** A snapshot of a table, and the version from which its changes continue. */
 export interface TableContent<T> {
   readonly content: T;
   readonly version: number;
-  /** Whether the table is shown as of an earlier moment. Default: false. */
+  /** Whether the snapshot is stale. Default: false. */
   readonly isStale?: boolean;
 }
 
-/** What a follower does with the records. */
+/** Reads a table and processes its records. */
 export interface FeedHandler<T> {
   readonly table: string;
-  /** Reads the table whole. */
   readAll(): Promise<Result<TableContent<T>, StateError>>;
-  /** Replaces all records; what is not in the content no longer exists. */
+  /** Replaces all records: those that are not in `content` no longer exist. */
   replaceAll(content: T): void;
   apply(change: ChangedRecord): void;
-  /** Addresses of known records, all in one partition; without it the feed waits for new whole reads. */
+  /** Addresses of known records, all in one partition; without it the feed waits for a current snapshot. */
   knownAddresses?(): RecordAddress[];
 }
 
-/** Observes a feed. */
 export interface FeedObserver {
-  /** The store has answered about changes. */
+  /** Called when the store has answered a request for changes. */
   answered?(table: string): void;
-  /** The table was read whole, or its history was lost. */
+  /** Called when a snapshot was read or the history was lost. */
   changed(table: string, change: string, version: number): void;
 }
 
-/** One follower. */
 export class RecordFeed<T> {
-  /** Start of the newest answered call about changes, on the monotonic clock. */
+  /** Start of the newest answered request for changes, on the monotonic clock. */
   private currentAsOfMs = Number.NEGATIVE_INFINITY;
   private position = 0;
-  /** Position at the last loss of history: a whole read that shows no more is old. */
+  /** Position at the last loss of history: a snapshot that is not newer is stale. */
   private historyLostAt = -1;
-  /** Whether the last whole read may be old, since no answer about changes has followed it. */
+  /** Whether the last snapshot may be stale, since no answer about changes has followed it. */
   private mayBeStale = true;
-  /** Whether there may be unknown records, because no whole read was new. */
+  /** Whether there may be unknown records, because no current snapshot was read. */
   private isPartial = false;
   private lastReadAtMs = Number.NEGATIVE_INFINITY;
 
@@ -80,7 +67,7 @@
     private readonly store: RecordStore,
     private readonly handler: FeedHandler<T>,
     private readonly observer: FeedObserver,
-    /** Resolves when the next long poll may start after changes were applied. Default: at once. */
+    /** Delays the next long poll after changes were applied. Default: no delay. */
     private readonly pause: (signal: AbortSignal) => Promise<void> = () => Promise.resolve(),
   ) {}
 
@@ -89,14 +76,14 @@
   }
 
   /**
-   * Time since the start of the newest answered call about changes, milliseconds: all earlier changes are
-   * applied. Whole reads do not count, since they may be old; infinite before the first answer that counts.
+   * Time since the start of the newest answered request for changes, milliseconds: all earlier changes are
+   * applied. Infinite before the first answer. Snapshots do not count, since they may be stale.
    */
   get ageMs(): number {
     return monotonicMs() - this.currentAsOfMs;
   }
 
-  /** Runs until `signal` is aborted. Nodes that lose the history together read again at spread times. */
+  /** Runs until `signal` is aborted. After a loss of history, nodes read again with jitter. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!(await this.readSnapshot(signal))) return;
@@ -115,7 +102,7 @@
     return false;
   }
 
-  /** Returns whether changes can be followed from now on. */
+  /** Returns whether changes can be followed now. */
   private async tryReadSnapshot(): Promise<boolean> {
     this.lastReadAtMs = monotonicMs();
     const read = await this.handler.readAll();
@@ -135,7 +122,7 @@
     return (await this.readKnownRecords(version)) || canFollow;
   }
 
-  /** Reads the known records as they are now, since the whole read shows `oldVersion`. */
+  /** Reads the known records individually, since the snapshot is stale: it shows `staleVersion`. */
   private async readKnownRecords(staleVersion: number): Promise<boolean> {
     const addresses = this.handler.knownAddresses?.() ?? [];
     if (addresses.length === 0) return false;
@@ -150,11 +137,11 @@
     this.isPartial = true;
     this.mayBeStale = false;
     this.recordAnswer(requestedAtMs);
-    this.report(`read in part: a whole read shows version ${staleVersion}`);
+    this.report(`known records read: the snapshot is stale at version ${staleVersion}`);
     return true;
   }
 
-  /** Reads a table whole that was read in part. An old read is dropped: changes applied since are newer. */
+  /** Completes a table whose known records were read. A stale snapshot is ignored. */
   private async completeSnapshot(): Promise<void> {
     this.lastReadAtMs = monotonicMs();
     const read = await this.handler.readAll();
@@ -165,7 +152,7 @@
     this.report('snapshot read');
   }
 
-  /** Returns when the table must be read whole again. */
+  /** Returns when a new snapshot must be read. */
   private async followChanges(signal: AbortSignal): Promise<void> {
     let backoffMs = MIN_BACKOFF_MS;
     while (!signal.aborted) {
@@ -195,7 +182,7 @@
     if (changes.length > 0) await this.pause(signal);
   }
 
-  /** A refused position is dropped like one whose history is lost; any other failure is transient. */
+  /** A refused position requires a new snapshot like a lost history; other failures are transient. */
   private needsSnapshot({ failure, message }: RecordStoreError): boolean {
     if (failure !== 'history-lost' && failure !== 'refused') return false;
     if (failure === 'history-lost') this.historyLostAt = this.position;
@@ -219,7 +206,7 @@
   }
 }
 
-/** Spread by half around its length, so that nodes do not call together. */
+/** Varies a delay by half to either side, so that nodes do not call at the same time. */
 function withJitter(backoffMs: number): number {
   return backoffMs * (0.5 + Math.random());
 }
@@ -228,7 +215,7 @@
   return Math.min(MAX_BACKOFF_MS, backoffMs * 2);
 }
 
-/** Reads one partition of a table whole, with `allowsOld` also as of an earlier moment. */
+/** Reads all records of one partition; a stale result is accepted only with `allowStale`. */
 export async function readPartition(
   store: RecordStore,
   table: string,
@@ -236,5 +223,5 @@
   allowStale = false,
 ): Promise<Result<TableContent<StoredRecord[]>, StateError>> {
   const range = await readRange(store, table, partition, undefined, undefined, allowStale);
-  return range.map(({ records, version, isStale }) => ({ content: records, version, isStale: isStale }));
+  return range.map(({ records, version, isStale }) => ({ content: records, version, isStale }));
 }
--- a/src/coordination/feeds/shared-table.ts
+++ b/src/coordination/feeds/shared-table.ts
@@ -1,22 +1,21 @@
-/** Follows a table that holds two kinds of records, each in partitions of its own, with one feed. */
+/** Follows a table with two kinds of records, each in its own partitions, by a single feed. */
 import { err, ok, type Result } from 'neverthrow';
 import type { ChangedRecord } from '../../protocol/record-store.js';
 import type { StateError } from '../../state/state-error.js';
 import type { FeedHandler, TableContent } from './record-feed.js';
 
-/** A kind that has one partition to itself. */
+/** Handler of the records of one partition. */
 export interface PartitionHandler<T> {
   readonly partition: string;
   readonly handler: FeedHandler<T>;
 }
 
-/** The content of both kinds. */
 interface SharedContent<Main, Other> {
   readonly main: Main;
   readonly other: Other;
 }
 
-/** Passes records of one partition to one handler, and all others to the main handler. */
+/** Passes the records of one partition to its handler and all others to the main handler. */
 export class SharedTable<Main, Other> implements FeedHandler<SharedContent<Main, Other>> {
   constructor(
     private readonly main: FeedHandler<Main>,
--- a/test/coordination/feeds/record-feed.test.ts
+++ b/test/coordination/feeds/record-feed.test.ts
@@ -1,4 +1,3 @@
-/** How often a follower of a table asks: at once after each change, or when a pause is over. */
 import { setImmediate } from 'node:timers/promises';
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
@@ -11,7 +10,7 @@
 import type { ChangedRecord, RecordStore } from '../../../src/protocol/record-store.js';
 import { until } from '../../support/wait.js';
 
-/** A table with one more change at each question. */
+/** A table with a new change at each request. */
 class BusyStore {
   requests = 0;
 
@@ -26,7 +25,7 @@
 
 const OBSERVER: FeedObserver = { answered: () => {}, changed: () => {} };
 
-describe('long polls for changes', () => {
+describe('RecordFeed', () => {
   let store: BusyStore;
   let applied: number;
   let controller: AbortController;
@@ -48,13 +47,13 @@
     },
   };
 
-  it('start after an answer with changes once the pause is over', async () => {
+  it('starts the next long poll after changes only when the pause is over', async () => {
     const pauseIsOver = new ConditionVariable();
     const pause = (signal: AbortSignal) => pauseIsOver.wait(signal);
     const feed = new RecordFeed(store as unknown as RecordStore, handler, OBSERVER, pause);
     void feed.run(controller.signal);
     for (let expected = 1; expected <= 3; expected += 1) {
-      await until('a change is taken', () => applied === expected);
+      await until('the change is applied', () => applied === expected);
       expect(store.requests).to.equal(expected);
       pauseIsOver.notifyAll();
     }
