--- a/src/protocol/protocol-error.ts
+++ b/src/protocol/protocol-error.ts
@@ -1,22 +1,21 @@
-/** Failures of the protocol layer: exchanges in a known wire format that did not succeed. */
+/** Errors of the protocol layer: exchanges in a known wire format that failed. */
 import type { TransportError } from '../transport/transport-error.js';
 
-/** How an exchange failed. */
 export type ProtocolFailure =
-  /** The other side could not be reached or did not answer. */
+  /** The other side was unreachable or did not answer. */
   | 'unavailable'
-  /** The other side's rate limit is reached; nothing was done. */
+  /** The other side's rate limit was exceeded; nothing was executed. */
   | 'rate-limited'
-  /** A condition of the request did not hold; nothing was done. */
+  /** A condition of the request did not hold; nothing was executed. */
   | 'conflict'
-  /** The other side refused the request; nothing was done. */
+  /** The other side rejected the request; nothing was executed. */
   | 'refused'
-  /** The answer did not follow the wire format. */
+  /** The answer violated the wire format. */
   | 'malformed'
   /** This side cancelled the exchange. */
   | 'cancelled';
 
-/** A failed exchange. `effect` is `none` only when it is certain that the other side did nothing. */
+/** A failed exchange. `effect` is `none` only if the other side certainly executed nothing. */
 export class ProtocolError extends Error {
   override readonly name = 'ProtocolError';
 
@@ -24,16 +23,15 @@
     readonly failure: ProtocolFailure,
     readonly effect: 'none' | 'unknown',
     message: string,
-    /** Retry-After of the other side, milliseconds. */
+    /** The other side's Retry-After, milliseconds. */
     readonly retryAfterMs?: number,
-    /** The body of a refusal, when there was one. */
+    /** The body of a rejection, if there was one. */
     readonly detail?: unknown,
   ) {
     super(message);
   }
 }
 
-/** Turns a transport failure into one of this layer. */
 export function fromTransport(error: TransportError, target: string): ProtocolError {
   const failure = error.failure === 'cancelled' ? 'cancelled' : 'unavailable';
   return new ProtocolError(failure, error.requestSent ? 'unknown' : 'none', `${target}: ${error.message}`);
--- a/src/protocol/service/batch-job.ts
+++ b/src/protocol/service/batch-job.ts
@@ -1,6 +1,6 @@
-/** Batch jobs: many generation requests that are submitted together, run later, and read by position. */
+/** Batch jobs: generation requests submitted together and run later. Results are read by position. */
 
-/** A request that scores a finished sample: the signature of the response is the score. */
+/** A request that scores a completed sample: the signature of the response is the score. */
 export interface ScoringCall {
   readonly id: string;
   readonly host: string;
@@ -8,50 +8,48 @@
   readonly body: Buffer;
 }
 
-/** One request of a job. */
+/** One generation request of a job. */
 export interface JobItem {
   readonly id: string;
   readonly path: string;
-  /** Header names are in lower case. */
+  /** Names are in lower case. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer;
-  /** Tokens of the prompt plus the most that may be generated. */
+  /** Tokens of the prompt plus the maximum to generate. */
   readonly tokens: number;
-  /**
-   * The submitter's estimate of the tokens that will be generated, often well off; `undefined` without one.
-   */
+  /** The submitter's estimate of the tokens to be generated, which may be far off. */
   readonly expectedTokens: number | undefined;
-  /** Items of one group share their prompt; a group counts when all its items are listed. */
+  /** Items of a group share their prompt. A group counts as complete when all its items have results. */
   readonly group: string;
   readonly scoring: ScoringCall | undefined;
 }
 
-/** A job as submitted. */
 export interface JobSpecification {
   readonly model: string;
-  /** Oldest weight version that may generate an event of a sample. */
+  /** Lowest weight version that may generate an event of a sample. */
   readonly minVersion: number;
-  /** Whole groups that the submitter waits for. */
+  /** Number of complete groups that the submitter waits for. */
   readonly desiredGroups: number;
   readonly items: readonly JobItem[];
 }
 
-/** The outcome of one item. Once listed, it keeps its position in the job. */
+/** The result of one item. Once stored, it keeps its position in the job. */
 export interface JobResult {
   readonly id: string;
+  /** `dead`: the item will not complete. */
   readonly state: 'completed' | 'dead';
-  /** Data of all events in order, separated by line feeds. */
+  /** Data of all events, separated by line feeds. */
   readonly text: string;
-  /** Weight versions that generated an event of the text. */
+  /** Weight versions that generated the events. */
   readonly versions: readonly number[];
   readonly score: string | undefined;
 }
 
-/** The text of a running item, as stored for a later owner to continue. Its field names are stored names. */
+/** The stored text of a running item, which a later owner of the job continues. */
 export interface PartialText {
   readonly lastEventId: string;
   readonly events: readonly string[];
   readonly versions: readonly number[];
-  /** Whether the text is complete and only has to be scored. */
+  /** Whether the text is complete and only the score is missing. */
   readonly isWhole: boolean;
 }
--- a/src/protocol/service/configuration-peer.ts
+++ b/src/protocol/service/configuration-peer.ts
@@ -1,25 +1,24 @@
-/** Wire format in which one node asks another for its configuration, over the port that only nodes reach. */
+/** Client and wire format for fetching the configuration from another node over the peer port. */
 import type { HttpClient } from '../../transport/http-client.js';
 
-/** Path, and its query parameter: the version that the asking node has. */
 export const CONFIGURATION_PATH = '/configuration';
+/** Query parameter with the caller's version. */
 export const NEWER_THAN_PARAMETER = 'newer-than';
 
-/** Answer of a peer. */
 export type PeerConfigurationAnswer =
-  /** The operator's record, as the store has it. */
+  /** The operator's record, as stored. */
   | { readonly kind: 'newer'; readonly value: Buffer }
-  /** There is no newer one, by a node that reaches the store. */
+  /** A node that reaches the store has no newer version. */
   | { readonly kind: 'same' }
-  /** The peer does not answer, or does not reach the store either. */
+  /** The peer does not answer or does not reach the store. */
   | { readonly kind: 'unavailable' };
 
 const STATUS_OK = 200;
 const STATUS_NO_CONTENT = 204;
-/** Milliseconds. Chosen, not measured: several peers are asked one after the other. */
+/** Short, since several peers are queried one after the other. */
 const CALL_TIMEOUT_MS = 800;
 
-/** Asks the node at `address` (`IP:PORT`) for a configuration newer than `version`. Never rejects. */
+/** Queries the node at `address` (`IP:PORT`) for a configuration newer than `version`. Never rejects. */
 export async function fetchConfiguration(
   http: HttpClient,
   address: string,
--- a/src/protocol/service/crash-report-peer.ts
+++ b/src/protocol/service/crash-report-peer.ts
@@ -1,22 +1,20 @@
 /**
- * Exchange of crash reports between nodes over the peer port, as JSON. The caller sends the reports that the
- * store has not accepted, and gets the newest that the other node knows. A retry is safe: known reports are
- * ignored.
+ * Client and wire format for exchanging crash reports between nodes over the peer port. The caller sends the
+ * reports that the store has not accepted and receives the newest of the other node. Safe to retry: known
+ * reports are ignored.
  */
 import Type, { type Static } from 'typebox';
 import type { HttpClient } from '../../transport/http-client.js';
 import { Validator } from '../validation.js';
 
-/** Path of the exchange, a wire name. */
 export const CRASH_REPORTS_PATH = '/fatal-runs';
-/** Most reports in a message. Chosen, not measured: the longest texts stay below `MAX_MESSAGE_BYTES`. */
+/** Reports of maximum length stay below `MAX_MESSAGE_BYTES`. */
 export const MAX_REPORTS = 500;
-/** Largest message, bytes. */
 export const MAX_MESSAGE_BYTES = 256 * 1024;
-/** Longest key and value, characters. Chosen, not measured. */
+/** For keys and values, in characters. */
 const MAX_TEXT_LENGTH = 200;
 
-/** A report as stored: key and value of its record. */
+/** Key and value of the stored record. */
 const ReportSchema = Type.Object({
   key: Type.String({ maxLength: MAX_TEXT_LENGTH }),
   value: Type.String({ maxLength: MAX_TEXT_LENGTH }),
@@ -26,7 +24,7 @@
 const ReportsSchema = Type.Array(ReportSchema, { maxItems: MAX_REPORTS });
 const RequestSchema = Type.Object({ reports: ReportsSchema });
 const AnswerSchema = Type.Object({
-  /** Whether the store serves the other node, which then writes the reports for all. A wire name. */
+  /** Whether the store answers the other node, which then stores the caller's reports too. */
   isServed: Type.Boolean(),
   reports: ReportsSchema,
 });
@@ -36,10 +34,9 @@
 const answerValidator = new Validator(AnswerSchema);
 
 const STATUS_OK = 200;
-/** Time-out of the exchange, milliseconds. Chosen, not measured. */
 const CALL_TIMEOUT_MS = 800;
 
-/** The parsed body; `undefined` when it is no JSON, which the validators reject. */
+/** Returns `undefined`, which the validators reject, for bodies that are not JSON. */
 function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
@@ -48,7 +45,7 @@
   }
 }
 
-/** The reports of a request; `undefined` when it is malformed. */
+/** Returns the reports of a request; `undefined` if it is malformed. */
 export function parseCrashReports(body: Buffer): readonly CrashReportMessage[] | undefined {
   return requestValidator
     .check(parseJson(body))
@@ -56,7 +53,7 @@
     .unwrapOr(undefined);
 }
 
-/** Exchanges reports with the node at `address` (`IP:PORT`); `undefined` when it does not answer. */
+/** Exchanges reports with the node at `address` (`IP:PORT`); `undefined` without a valid answer. */
 export async function exchangeCrashReports(
   http: HttpClient,
   address: string,
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -1,10 +1,7 @@
 /**
- * Wire format and client of remote dispatch: a node sends a request to a dispatcher of its service, over the
- * port for other nodes. A message is one line of JSON, checked by schema, and then the bytes of the body. The
- * head of the answer acknowledges the call, so that a paused node is not mistaken for a slow replica.
- *
- * The names of the fields are translated in `coordination/service/dispatch/dispatch-messages.ts`, where those
- * that mislead are explained. A message that does not hold its schema is none.
+ * Client and wire format of remote dispatch: a node sends a request to a dispatcher of its service over the
+ * peer port. A message is one line of JSON followed by the body; `dispatch-messages.ts` explains its fields.
+ * The response head acknowledges the call, which distinguishes a paused node from a slow replica.
  */
 import type { Readable } from 'node:stream';
 import { err, ok, type Result } from 'neverthrow';
@@ -13,14 +10,13 @@
 import { TransportError } from '../../transport/transport-error.js';
 import { Validator } from '../validation.js';
 
-/** Path of the exchange. */
 export const DISPATCH_PATH = '/dispatch';
-/** Larger bodies are not sent to a dispatcher, bytes: bounds the cost of the hop. Chosen. */
+/** Larger bodies are not sent to a dispatcher, which bounds the cost of the additional hop. */
 export const MAX_DISPATCHED_BODY_BYTES = 256 * 1024;
-/** Largest message with its body, bytes: above the largest body of a replica's answer. */
+/** Message and body; above the largest body of a replica's answer. */
 export const MAX_DISPATCH_BYTES = 17 * 1024 * 1024;
 
-/** Bounds of a message: characters of a name, replicas that are excluded. Chosen, not measured: far above those in use. */
+/** In characters. */
 const MAX_NAME_LENGTH = 512;
 const MAX_EXCLUDED = 64;
 const LINE_FEED = 0x0a;
@@ -42,8 +38,9 @@
   isPatient: Type.Boolean(),
   isExtra: Type.Boolean(),
   isRetry: Type.Boolean(),
-  /** Time until the latency target, and until the deadline, milliseconds. */
+  /** Time until the latency target, milliseconds. */
   aimMs: Type.Number(),
+  /** Time until the deadline, milliseconds. */
   leftMs: Type.Number({ minimum: 0 }),
   excluded: Type.Array(Type.String({ maxLength: MAX_NAME_LENGTH }), { maxItems: MAX_EXCLUDED }),
   configVersion: Type.Number(),
@@ -76,7 +73,6 @@
 });
 export type DispatchOutcomeMessage = Static<typeof OutcomeSchema>;
 
-/** A message and the body that follows it. */
 export interface Framed<Message> {
   readonly message: Message;
   readonly body: Buffer;
@@ -95,19 +91,18 @@
   try {
     return { line: JSON.parse(bytes.toString('utf8', 0, end)), body: bytes.subarray(end + 1) };
   } catch {
-    // The callers treat it like any other invalid message: as a rejected call, or as a lost outcome.
+    // Callers handle it like any other invalid message: as a rejected call or a lost outcome.
     return undefined;
   }
 }
 
-/** The call in the bytes of a request; `undefined` when they are no valid message. */
+/** Parses the bytes of a request; `undefined` if they are not a valid message. */
 export function parseDispatch(bytes: Buffer): Framed<DispatchMessage> | undefined {
   const parts = unframe(bytes);
   const message = parts && callValidator.check(parts.line).unwrapOr(undefined as never);
   return parts && message && { message, body: parts.body };
 }
 
-/** The bytes of an outcome. */
 export function renderDispatchOutcome(message: DispatchOutcomeMessage, body: Buffer): Buffer {
   return frame(message, body);
 }
@@ -115,20 +110,20 @@
 /** Result of a call to another node. */
 export type PeerDispatch =
   | { readonly kind: 'outcome'; readonly outcome: Framed<DispatchOutcomeMessage> }
-  /** It was certainly not taken. */
+  /** The other node certainly did not accept the call. */
   | { readonly kind: 'not-taken'; readonly reason: string }
-  /** It may have been taken, and may run. */
+  /** The other node may have accepted the call, and the request may run. */
   | { readonly kind: 'lost'; readonly reason: string };
 
 export interface PeerDispatchOptions {
   /** Called when the other node acknowledges the call. */
   readonly onAcknowledged: () => void;
-  /** Time-out of the outcome, milliseconds. */
+  /** Timeout for the outcome, milliseconds. */
   readonly timeoutMs: number;
   readonly signal: AbortSignal;
 }
 
-/** Sends a call to the node at `address` (`IP:PORT`). Never repeats, never rejects. */
+/** Sends a call to the node at `address` (`IP:PORT`). Never retries, never rejects. */
 export async function dispatchAtPeer(
   http: HttpClient,
   address: string,
@@ -163,7 +158,7 @@
     const parts = unframe(whole);
     const message = parts && outcomeValidator.check(parts.line).unwrapOr(undefined as never);
     if (!parts || !message)
-      return err(new TransportError('connection-lost', true, 'the outcome cannot be read'));
+      return err(new TransportError('connection-lost', true, 'the dispatch outcome is not a valid message'));
     return ok({ message, body: parts.body });
   });
 }
--- a/src/protocol/service/event-stream.ts
+++ b/src/protocol/service/event-stream.ts
@@ -1,17 +1,16 @@
-/** Incremental parser of server-sent events. Chunks may be cut anywhere; no incomplete event is reported. */
+/** Incremental parser for server-sent events. Chunks may end anywhere; only complete events are returned. */
 
-/** One event. */
 export interface StreamEvent {
   readonly id: string;
   readonly data: string;
-  /** Other fields of the event by name. */
+  /** Other fields, by name. */
   readonly fields: Readonly<Record<string, string>>;
 }
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const NO_FIELDS: Readonly<Record<string, string>> = {};
-/** Largest event, bytes. Chosen, not measured: bounds the memory of a stream without line ends. */
+/** Bounds the memory for a stream without blank lines. */
 const MAX_EVENT_BYTES = 4 * 1024 * 1024;
 
 /** Thrown for an event above `MAX_EVENT_BYTES`. */
@@ -19,7 +18,7 @@
   override readonly name = 'EventStreamError';
 }
 
-/** Position after the blank line that ends the first event of `bytes`, or -1. */
+/** Returns the position after the blank line that ends the first event, or -1. */
 function endOfEvent(bytes: Buffer, from: number): number {
   for (
     let lineEnd = bytes.indexOf(LINE_FEED, from);
@@ -32,7 +31,7 @@
   return -1;
 }
 
-/** Name and value of a line; an empty name for comments and lines without a colon. */
+/** Returns name and value of a line. The name is empty for comments and lines without a colon. */
 function parseField(rawLine: string): [name: string, value: string] {
   const line = rawLine.endsWith('\r') ? rawLine.slice(0, -1) : rawLine;
   const colon = line.indexOf(':');
@@ -40,7 +39,7 @@
   return [line.slice(0, colon), line.slice(line[colon + 1] === ' ' ? colon + 2 : colon + 1)];
 }
 
-/** Parses one event; `undefined` when it has no field. */
+/** Returns `undefined` for an event without fields. */
 function parseEvent(text: string): StreamEvent | undefined {
   let id = '';
   const data: string[] = [];
@@ -55,18 +54,15 @@
   return { id, data: data.join('\n'), fields: fields ?? NO_FIELDS };
 }
 
-/** Parser of one stream. */
 export class EventStreamParser {
   private remainder: Buffer = Buffer.alloc(0);
 
-  /** Whether bytes of an incomplete event are left over. */
+  /** Whether bytes of an incomplete event are buffered. */
   get hasRemainder(): boolean {
     return this.remainder.length > 0;
   }
 
-  /**
-   * Adds a chunk; returns the events that it completed. Throws `EventStreamError` when an event is too large.
-   */
+  /** Adds a chunk and returns the events that it completes. Throws `EventStreamError`. */
   push(chunk: Buffer): StreamEvent[] {
     const bytes = this.remainder.length === 0 ? chunk : Buffer.concat([this.remainder, chunk]);
     const events: StreamEvent[] = [];
@@ -77,7 +73,7 @@
       start = end;
     }
     this.remainder = start === bytes.length ? Buffer.alloc(0) : Buffer.from(bytes.subarray(start));
-    if (this.remainder.length > MAX_EVENT_BYTES) throw new EventStreamError('an event is too large');
+    if (this.remainder.length > MAX_EVENT_BYTES) throw new EventStreamError('event exceeds the size limit');
     return events;
   }
 }
--- a/src/protocol/service/job-calls.ts
+++ b/src/protocol/service/job-calls.ts
@@ -1,17 +1,15 @@
-/** Calls of submitters about batch jobs, and their outcomes, as nodes accept and forward them. */
+/** Calls about batch jobs and their outcomes, as nodes accept and forward them. */
 import type { JobSpecification } from './batch-job.js';
 
-/** Who makes a call about jobs. */
 export interface JobCaller {
-  /** Tenant of the caller's key; `undefined` without one, or where there are no tenants. */
+  /** Tenant of the caller's key; `undefined` without a key, or where there are no tenants. */
   readonly tenant: string | undefined;
-  /** The caller's credential, for another node to check by itself. */
+  /** The caller's credential, which a node that gets the forwarded call checks again. */
   readonly credential: string | undefined;
-  /** Whether another node forwarded the call: then it is not forwarded again. */
+  /** Whether another node forwarded the call; it is not forwarded again. */
   readonly isForwarded: boolean;
 }
 
-/** A job to submit. */
 export interface JobSubmission {
   readonly jobId: string;
   readonly host: string;
@@ -20,13 +18,11 @@
   readonly specification: JobSpecification;
 }
 
-/** Outcome of a submission. Unless `accepted` or `unknown`, nothing of it runs; after `unknown`, retry. */
+/** Nothing of the job runs unless `accepted` or `unknown`. `foreign`: the ID belongs to another tenant. */
 export type SubmissionOutcome = 'accepted' | 'not-accepted' | 'foreign' | 'unknown';
 
-/** Outcome of ending a job. */
 export type EndOutcome = 'ended' | 'not-found' | 'unavailable';
 
-/** Outcome of reading results. */
 export type ReadOutcome =
   | {
       readonly kind: 'page';
@@ -38,13 +34,12 @@
   | { readonly kind: 'not-found' }
   | { readonly kind: 'unavailable' };
 
-/** Outcome of reading an item's body. */
 export type ItemOutcome =
   | { readonly kind: 'found'; readonly body: Buffer }
   | { readonly kind: 'not-found' }
   | { readonly kind: 'unavailable' };
 
-/** Forwards calls to another node, at `IP:PORT`, with the caller's credential. That node forwards nothing. */
+/** Forwards calls to the node at `address` (`IP:PORT`) with the caller's credential. */
 export interface JobPeer {
   submit(
     address: string,
--- a/src/protocol/service/routing-configuration.ts
+++ b/src/protocol/service/routing-configuration.ts
@@ -1,24 +1,22 @@
-/** Routing as operators configure it: routes by host and path prefix, services, limits, tenants. */
+/** Routing configuration: routes by host and path prefix, services, limits and tenants. */
 
-/** How requests of a route may be treated. */
+/** How requests of a route may be executed. */
 export type RouteKind =
-  /** May run more than once. */
+  /** Requests may run more than once. */
   | 'safe'
-  /** Runs at most once. */
+  /** Requests run at most once. */
   | 'unsafe'
-  /** An event stream. */
+  /** Answers are event streams. */
   | 'stream'
   /** Batch jobs of rollouts. */
   | 'rollout';
 
-/** One target of a route with its share of the requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Relative weight; at least 0. */
+  /** Relative share of the requests; at least 0. */
   readonly weight: number;
 }
 
-/** One route. */
 export interface Route {
   readonly name: string;
   readonly host: string;
@@ -26,49 +24,49 @@
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Longest time for which a request may be held, milliseconds. */
+  /** Maximum time to hold a request, milliseconds. */
   readonly timeoutMs: number;
   /** Latency target of an answer, milliseconds. */
   readonly targetLatencyMs: number;
-  /** Most replicas that one request may be sent to. */
+  /** Maximum number of replicas that one request is sent to. */
   readonly maxAttempts: number;
-  /** Priority; 0 is the highest. */
+  /** 0 is the highest. */
   readonly priority: number;
   /** Whether a stream may be continued on another replica. */
   readonly isResumable: boolean;
-  /** Time after submission by which all results of a job are due, milliseconds. */
+  /** Time from submission until all results of a job are due, milliseconds. */
   readonly resultDeadlineMs: number;
-  /** Time after submission from which an item may be cancelled, milliseconds. */
+  /** Time from submission after which an item may be cancelled, milliseconds. */
   readonly maxQueueMs: number;
   /** Whether all events of a sample must come from one weight version. */
   readonly isSingleVersion: boolean;
-  /** Whether callers need no key, also where the configuration has tenants. */
+  /** Whether callers need no key even if the configuration has tenants. */
   readonly isPublic: boolean;
 }
 
-/** Someone on whose behalf callers send requests. */
+/** Customer on whose behalf callers send requests. */
 export interface Tenant {
   readonly name: string;
-  /** Keys that identify callers of the tenant; each configuration may add and remove keys. */
+  /** Keys that identify the tenant's callers. */
   readonly apiKeys: readonly string[];
-  /** Priority of the tenant's requests, 0 is the highest; `undefined` leaves it to the route. */
+  /** Priority of the tenant's requests, 0 is the highest; `undefined` for the priority of the route. */
   readonly priority: number | undefined;
 }
 
-/** A service: a set of equal replicas. */
+/** A service: a set of interchangeable replicas. */
 export interface ServiceDefinition {
   readonly name: string;
-  /** Connections that one replica accepts from all callers together. */
+  /** Maximum connections of one replica, over all callers. */
   readonly maxConnections: number;
-  /** Models that the service's engines run; empty for application services. */
+  /** Models that the engines serve; empty for application services. */
   readonly models: readonly string[];
   /** Slots of one engine; 0 for application services. */
   readonly engineSlots: number;
-  /** Slow start: requests a second to a new replica from all callers; `undefined` for no limit. */
+  /** Slow start: maximum requests a second to a new replica, over all callers; `undefined` for no limit. */
   readonly slowStartPerSecond: number | undefined;
 }
 
-/** Limits towards callers. */
+/** Limits for callers' requests. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -76,12 +74,12 @@
   readonly idleTimeoutMs: number;
 }
 
-/** A whole configuration. Versions rise. */
+/** A complete configuration. Newer ones have higher versions. */
 export interface RoutingConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceDefinition[];
   readonly limits: CallerLimits;
-  /** Tenants; `undefined` where callers are not identified. */
+  /** `undefined` if callers are not identified. */
   readonly tenants: readonly Tenant[] | undefined;
 }
--- a/src/protocol/service/service-settings.ts
+++ b/src/protocol/service/service-settings.ts
@@ -1,22 +1,20 @@
-/** Settings of a node that serves routes and jobs, in the product's own terms. Times are in milliseconds. */
+/** Validated settings of a node that serves routes and jobs. Times are in milliseconds. */
 
-/** An address to listen on. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** How usage of tenants is reported. */
+/** Settings for reporting tenants' usage. */
 export interface UsageSettings {
   /** `IP:PORT` of the usage collector. */
   readonly address: string;
-  /** Length of a window. */
+  /** Length of a reporting window. */
   readonly windowMs: number;
-  /** Time after the end of a window at which its report is due. */
+  /** Time from the end of a window until its report is due. */
   readonly dueMs: number;
 }
 
-/** Checked settings. */
 export interface ServiceSettings {
   readonly nodeName: string;
   readonly zone: string;
@@ -24,26 +22,25 @@
   readonly zoneRegions: ReadonlyMap<string, string>;
   readonly ingress: ListenAddress;
   readonly readiness: ListenAddress;
-  /** Port for peers, at the host of `ingress`; 0 takes a free one. */
+  /** Port for peers on the host of `ingress`; 0 selects a free port. */
   readonly peerPort: number;
   /** `IP:PORT` of the store. */
   readonly storeAddress: string;
   readonly recordBytes: number;
   readonly objectBytes: number;
-  /** Time from the signal to stop until the process is killed. */
+  /** Time from the stop signal until the process is killed. */
   readonly stopGraceMs: number;
-  /** Time from the store's acknowledgement of a configuration until no node acts on an older one. */
+  /** Time from the store's acknowledgement of a configuration until no node uses an older one. */
   readonly configurationBoundMs: number;
-  /** Handover guard: leaders on two machines never act on one target within this time. */
+  /** Minimum time between actions of leaders on two machines on the same target. */
   readonly leaseMs: number;
-  /** Interval of a replica's heartbeats. */
+  /** Heartbeat interval of replicas. */
   readonly replicaHeartbeatMs: number;
-  /** How long results stay readable after a job was submitted. */
+  /** Time from the submission of a job for which its results stay readable. */
   readonly resultRetentionMs: number;
-  /** `undefined` where no usage is reported. */
+  /** `undefined` if no usage is reported. */
   readonly usage: UsageSettings | undefined;
-  /** Processor share of the process, in cores. */
   readonly processorCores: number;
-  /** Memory that the process may use, bytes. */
+  /** Memory available to the process, bytes. */
   readonly memoryBytes: number;
 }
--- a/src/protocol/validation.ts
+++ b/src/protocol/validation.ts
@@ -1,17 +1,15 @@
-/** Checks untrusted JSON against TypeBox schemas and names every bad field. Never throws. */
+/** Validates untrusted JSON against TypeBox schemas and reports every invalid field. Never throws. */
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
 import { Compile } from 'typebox/compile';
 
-/** One bad field. */
 export interface FieldProblem {
-  /** Path of the field in dotted form, for example `spec.limits.maxInFlight`. */
+  /** Dotted path, for example `spec.limits.maxInFlight`. */
   readonly field: string;
-  /** What is allowed there. */
+  /** What is allowed in the field. */
   readonly message: string;
 }
 
-/** A compiled check of one schema. */
 export class Validator<Schema extends TSchema> {
   private readonly compiled;
 
@@ -19,7 +17,7 @@
     this.compiled = Compile(schema);
   }
 
-  /** The value with its type, or every bad field. */
+  /** Returns the typed value, or every invalid field. */
   check(value: unknown): Result<Static<Schema>, FieldProblem[]> {
     if (this.compiled.Check(value)) return ok(value as Static<Schema>);
     return err(collectProblems(this.compiled.Errors(value) as SchemaError[]));
@@ -33,7 +31,7 @@
   readonly params: Record<string, unknown>;
 }
 
-/** Keywords that only summarize errors of their parts. */
+/** Keywords whose errors only summarize those of their subschemas. */
 const COMPOSITE_KEYWORDS = new Set(['anyOf', 'oneOf', 'not', 'if']);
 
 function dotted(instancePath: string): string {
@@ -52,7 +50,7 @@
   return allowed === undefined ? error.message : `must be one of ${JSON.stringify(allowed)}`;
 }
 
-/** Paths that an error of the schema is about. */
+/** Paths of the fields that an error refers to. */
 function fieldsOf(error: SchemaError): string[] {
   const base = dotted(error.instancePath);
   const names = namedFields(error);
@@ -60,7 +58,7 @@
   return names.map((name) => (base ? `${base}.${name}` : name));
 }
 
-/** One problem for each field: an alternative adds its message, a composite keyword says nothing new. */
+/** Merges the errors of each field into one problem. Further errors of composite keywords are dropped. */
 function collectProblems(errors: readonly SchemaError[]): FieldProblem[] {
   const messages = new Map<string, string>();
   for (const error of errors)
@@ -74,7 +72,6 @@
   return [...messages].map(([field, message]) => ({ field, message }));
 }
 
-/** One line for a list of problems. */
 export function formatProblems(problems: readonly FieldProblem[]): string {
   return problems.map((problem) => `${problem.field}: ${problem.message}`).join('; ');
 }
