--- a/src/coordination/service/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -1,7 +1,7 @@
 /**
  * Addresses of a few peers, and the number of running nodes. Each node announces its addresses in the store
- * and reads those of the next nodes by name, so that the cost per node does not grow with the fleet; all nodes
- * are counted less often. While the store does not answer, the last addresses and count remain.
+ * and reads those of the next nodes by name, so that the cost per node does not grow with the fleet. All
+ * nodes are counted less often. While the store does not answer, the last addresses and count remain.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -46,7 +46,7 @@
     this.time = new FleetTime(store);
   }
 
-  /** Up to `count` addresses for callers (`IP:PORT`): peers whose last call succeeded first, failed ones last. */
+  /** Up to `count` addresses for callers (`IP:PORT`), ranked by the outcome of the last forwarded call. */
   rankedAddresses(count: number): string[] {
     return this.rankedPeers()
       .slice(0, count)
