--- a/src/coordination/feeds/record-feed.ts
+++ b/src/coordination/feeds/record-feed.ts
@@ -2,7 +2,7 @@
  * Follows one table of the store: reads a snapshot, then applies changes in order. When the store has lost
  * its change history, a new snapshot is read. While snapshots are stale after such a loss, the known records
  * are read individually and changes are followed from there, until a current snapshot completes the table.
- * Data older than what was applied is never applied.
+ * Data older than what has been applied is ignored.
  */
 import type { Result } from 'neverthrow';
 import { monotonicMs, sleep } from '../../common/clock.js';
@@ -22,7 +22,7 @@
 /** Exponential back-off with jitter after failed calls. */
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 400;
-/** For a table of which only the known records were read. */
+/** Between snapshots of a table of which only the known records were read. */
 const SNAPSHOT_RETRY_INTERVAL_MS = 1_000;
 
 /** A snapshot of a table, and the version from which its changes continue. */
--- a/src/coordination/service/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -160,7 +160,7 @@
     this.peers = announcements;
     if (!hasChanged) return;
     const version = Math.max(0, ...records.map((record) => record.version));
-    this.report(`${announcements.length} peers known`, version);
+    this.report(`${announcements.length} known`, version);
   }
 
   private report(change: string, version: number): void {
--- a/src/coordination/service/membership/session-monitor.ts
+++ b/src/coordination/service/membership/session-monitor.ts
@@ -1,8 +1,8 @@
 /**
  * Failure detector for holders of jobs and leases: a holder writes heartbeats to the store, and every node
  * polls all heartbeats. A holder is lost when its heartbeat has not changed for `lossTimeoutMs` of observed
- * time, which stops while this node cannot read the store, so that an outage or a process pause expires
- * nobody. In a large fleet idle nodes poll less often until they find a suspect heartbeat.
+ * time. Observed time stops while this node cannot read the store, so that no holder is lost by an outage or a
+ * pause of this process. In a large fleet idle nodes poll less often until a heartbeat is overdue.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import { ConditionVariable } from '../../../common/condition-variable.js';
@@ -24,7 +24,7 @@
 export const SESSION_TABLE = 'sessions';
 /** Prefix of the stored keys of heartbeats. */
 const HEARTBEAT_PREFIX = 'beat/';
-/** Requests wait for a refresh. */
+/** Bounds the delay of requests that wait for a refresh. */
 const REFRESH_TIMEOUT_MS = 200;
 
 /** A stored record. */
--- a/src/state/service/store/overdue-calls.ts
+++ b/src/state/service/store/overdue-calls.ts
@@ -23,7 +23,7 @@
 
 interface PendingCall {
   readonly startedAtMs: number;
-  /** Time for which the store may delay the answer, milliseconds; 0 for calls that are no long polls. */
+  /** Time for which the store may delay the answer, milliseconds; 0 unless the call is a long poll. */
   readonly longPollMs: number;
   readonly controller: AbortController;
 }
--- a/src/state/service/store/settled-transaction.ts
+++ b/src/state/service/store/settled-transaction.ts
@@ -18,7 +18,7 @@
 const MAX_BACKOFF_MS = 300;
 
 export interface RetryOptions {
-  /** Time of the last attempt on the monotonic clock, milliseconds. */
+  /** No attempt starts after this time on the monotonic clock, milliseconds. */
   readonly deadlineMs: number;
   /**
    * Whether the current records prove that an earlier attempt was executed. Called after a failed condition
--- a/test/coordination/service/membership/session-monitor.test.ts
+++ b/test/coordination/service/membership/session-monitor.test.ts
@@ -9,7 +9,7 @@
 const SELF = { node: 'node-1', life: 'life-1' };
 const HOLDER = { node: 'node-2', life: 'life-2' };
 /** Bound for the detection of a stopped holder after its last heartbeat, milliseconds. */
-const LOSS_MS = 1_600;
+const LOSS_BOUND_MS = 1_600;
 const HEARTBEAT_INTERVAL_MS = 250;
 /** Delay of a heartbeat that must not cause a loss, milliseconds. */
 const MAX_DELAY_MS = 700;
@@ -96,7 +96,7 @@
       for (let workMs = 2_000; workMs < 2_500; workMs += 10) {
         await sendHeartbeatsFor(workMs);
         expect(monitor.isLost(HOLDER, 0)).to.equal(false);
-        await clock.advance(LOSS_MS);
+        await clock.advance(LOSS_BOUND_MS);
         expect(monitor.isLost(HOLDER, 0), `lost after ${workMs} ms of work`).to.equal(true);
       }
     });
@@ -163,7 +163,7 @@
       return store.reads > readsBefore;
     });
     expect(monitor.isLost(HOLDER, 0)).to.equal(false);
-    await clock.advance(LOSS_MS);
+    await clock.advance(LOSS_BOUND_MS);
     expect(monitor.isLost(HOLDER, 0)).to.equal(true);
   });
 
@@ -172,7 +172,7 @@
     const readsBefore = store.reads;
     isHolder = true;
     monitor.notifyHolding();
-    await sendHeartbeatsFor(LOSS_MS);
+    await sendHeartbeatsFor(LOSS_BOUND_MS);
     expect(store.reads - readsBefore).to.be.at.least(2);
   });
 
@@ -182,7 +182,7 @@
     store.writeHeartbeat(clock.now());
     await monitor.refresh();
     expect(monitor.isFresh(HOLDER)).to.equal(true);
-    await clock.advance(LOSS_MS);
+    await clock.advance(LOSS_BOUND_MS);
     await monitor.refresh();
     expect(monitor.isFresh(HOLDER)).to.equal(false);
   });
