--- a/src/coordination/feeds/shared-table.ts
+++ b/src/coordination/feeds/shared-table.ts
@@ -10,38 +10,38 @@
   readonly handler: FeedHandler<T>;
 }
 
-interface SharedContent<Main, Other> {
+interface SharedContent<Main, Secondary> {
   readonly main: Main;
-  readonly other: Other;
+  readonly secondary: Secondary;
 }
 
 /** Passes the records of one partition to its handler and all others to the main handler. */
-export class SharedTable<Main, Other> implements FeedHandler<SharedContent<Main, Other>> {
+export class SharedTable<Main, Secondary> implements FeedHandler<SharedContent<Main, Secondary>> {
   constructor(
     private readonly main: FeedHandler<Main>,
-    private readonly other: PartitionHandler<Other>,
+    private readonly secondary: PartitionHandler<Secondary>,
   ) {}
 
   get table(): string {
     return this.main.table;
   }
 
-  async readAll(): Promise<Result<TableContent<SharedContent<Main, Other>>, StateError>> {
-    const other = await this.other.handler.readAll();
-    if (other.isErr()) return err(other.error);
+  async readAll(): Promise<Result<TableContent<SharedContent<Main, Secondary>>, StateError>> {
+    const secondary = await this.secondary.handler.readAll();
+    if (secondary.isErr()) return err(secondary.error);
     const main = await this.main.readAll();
     if (main.isErr()) return err(main.error);
-    const version = Math.min(main.value.version, other.value.version);
-    return ok({ content: { main: main.value.content, other: other.value.content }, version });
+    const version = Math.min(main.value.version, secondary.value.version);
+    return ok({ content: { main: main.value.content, secondary: secondary.value.content }, version });
   }
 
-  replaceAll({ main, other }: SharedContent<Main, Other>): void {
-    this.other.handler.replaceAll(other);
+  replaceAll({ main, secondary }: SharedContent<Main, Secondary>): void {
+    this.secondary.handler.replaceAll(secondary);
     this.main.replaceAll(main);
   }
 
   apply(change: ChangedRecord): void {
-    if (change.partition === this.other.partition) this.other.handler.apply(change);
+    if (change.partition === this.secondary.partition) this.secondary.handler.apply(change);
     else this.main.apply(change);
   }
 }
--- a/src/coordination/service/membership/peer-addresses.ts
+++ b/src/coordination/service/membership/peer-addresses.ts
@@ -138,9 +138,9 @@
     const wrapsAround = following.length < MAX_PEERS;
     // If the second scan fails, the peers found by the first are enough until the next read.
     const records = wrapsAround ? [...following, ...((await this.scan(undefined)) ?? [])] : following;
-    const others = records.filter(({ key }) => key !== this.nodeName).slice(0, MAX_PEERS);
-    const expired = others.filter((record) => this.isExpired(record));
-    const present = others.filter((record) => !this.isExpired(record)).map(parse);
+    const candidates = records.filter(({ key }) => key !== this.nodeName).slice(0, MAX_PEERS);
+    const expired = candidates.filter((record) => this.isExpired(record));
+    const present = candidates.filter((record) => !this.isExpired(record)).map(parse);
     const byAddress = new Map(present.map((announcement) => [announcement.address, announcement]));
     this.replacePeers([...byAddress.values()], records);
     for (const address of this.lastCallSucceeded.keys())
--- a/src/coordination/service/membership/session-monitor.ts
+++ b/src/coordination/service/membership/session-monitor.ts
@@ -217,8 +217,8 @@
   private observe(record: StoredRecord): void {
     const { version, value } = record;
     const node = record.key.slice(HEARTBEAT_PREFIX.length);
-    const known = this.sessions.get(node);
-    if (known && known.version >= version) return;
+    const previous = this.sessions.get(node);
+    if (previous && previous.version >= version) return;
     const { life, isLeaving, atMs = 0 } = JSON.parse(value.toString('utf8')) as Heartbeat;
     this.sessions.set(node, { version, life, isLeaving, heartbeatAtMs: atMs, changedAtMs: this.observedMs });
   }
--- a/src/protocol/service/dispatch-peer.ts
+++ b/src/protocol/service/dispatch-peer.ts
@@ -130,7 +130,7 @@
   { message, body }: Framed<DispatchMessage>,
   { onAcknowledged, timeoutMs, signal }: PeerDispatchOptions,
 ): Promise<PeerDispatch> {
-  const sent = await http.send({
+  const response = await http.send({
     method: 'POST',
     url: `http://${address}${DISPATCH_PATH}`,
     headers: { 'content-type': 'application/octet-stream' },
@@ -139,14 +139,14 @@
     idleTimeoutMs: timeoutMs,
     signal,
   });
-  if (sent.isErr())
-    return { kind: sent.error.requestSent ? 'lost' : 'not-taken', reason: sent.error.message };
-  if (sent.value.status !== STATUS_OK) {
-    sent.value.body.resume();
-    return { kind: 'not-taken', reason: `status ${sent.value.status}` };
+  if (response.isErr())
+    return { kind: response.error.requestSent ? 'lost' : 'not-taken', reason: response.error.message };
+  if (response.value.status !== STATUS_OK) {
+    response.value.body.resume();
+    return { kind: 'not-taken', reason: `status ${response.value.status}` };
   }
   onAcknowledged();
-  const read = await readOutcome(sent.value.body);
+  const read = await readOutcome(response.value.body);
   return read.isOk()
     ? { kind: 'outcome', outcome: read.value }
     : { kind: 'lost', reason: read.error.message };
--- a/src/state/store/read-range.ts
+++ b/src/state/store/read-range.ts
@@ -23,15 +23,15 @@
   const records: StoredRecord[] = [];
   let version = Number.POSITIVE_INFINITY;
   let isStale = false;
-  let next = from;
+  let nextKey = from;
   for (;;) {
-    const page = await store.scan({ table, partition, from: next, until, allowStale });
+    const page = await store.scan({ table, partition, from: nextKey, until, allowStale });
     if (page.isErr()) return err(new StateError('unavailable', 'none', page.error.message));
     records.push(...page.value.records);
     version = Math.min(version, page.value.version);
     isStale ||= page.value.isStale === true;
     const last = records.at(-1);
     if (!page.value.hasMore || !last) return ok({ records, version, isStale });
-    next = `${last.key}\0`;
+    nextKey = `${last.key}\0`;
   }
 }
