--- a/src/coordination/service/generation/generation-terms.ts
+++ b/src/coordination/service/generation/generation-terms.ts
@@ -1,53 +1,50 @@
-/** What an attempt to generate a sample must respect, and how it can end. */
+/** Options and outcomes of an attempt to generate a sample. */
 
-/** How fast an attempt generates. */
 export interface AttemptPace {
-  /** Mean time of the last events, the silence since then included, milliseconds. */
+  /** Mean interval of the most recent events, including the time since the last one, milliseconds. */
   readonly eventMs: number;
 }
 
-/** Terms of an attempt. */
 export interface GenerationOptions {
   readonly host: string;
-  /** Tenant on whose behalf it runs, if any. */
+  /** Tenant on whose behalf the attempt runs, if any. */
   readonly tenant?: string;
   readonly model: string;
   /** Oldest weight version that may generate an event. */
   readonly minVersion: number;
+  /** Whether all events of the sample must have the same weight version. */
   readonly isSingleVersion: boolean;
-  /** Time that the replica may work on it, milliseconds. */
+  /** Time that the replica may spend on the request, milliseconds. */
   readonly remainingMs: number;
-  /** Longest time without data before the attempt is broken off, milliseconds. */
+  /** Time without data after which the attempt is aborted, milliseconds. */
   readonly stallMs: number;
-  /** Why another replica would finish sooner than this one at `pace`, if one would. Called repeatedly. */
+  /** Why the sample should move to another replica, given the pace at this one; called periodically. */
   readonly reasonToMove: (pace: AttemptPace) => string | undefined;
-  /** Called when the replica has accepted the request. */
   readonly onAccepted: () => void;
-  /** Called with the weight version of each event. */
+  /** Called for each event. */
   readonly onVersion: (version: number) => void;
   readonly signal: AbortSignal;
 }
 
-/**
- * How an attempt ended. Events received before stay in the text, and another attempt continues after them.
- */
+/** How an attempt ended. Events appended to the text stay, and another attempt continues after them. */
 export type GenerationOutcome =
+  /** The text is complete. */
   | { readonly kind: 'whole' }
-  /** Certainly not run. */
+  /** The replica did not run the request; `isFull`: for lack of a free slot. */
   | { readonly kind: 'declined'; readonly reason: string; readonly isFull: boolean }
-  /** The replica failed the request: counts against the attempts of the item. */
+  /** The replica reported a failure, which counts against the attempts of the item. */
   | { readonly kind: 'failed'; readonly reason: string }
-  /** No replica can ever run it. */
+  /** No replica can ever run the request. */
   | { readonly kind: 'impossible'; readonly reason: string }
-  /** The replica's weights are too old, or differ where a single version is required. */
+  /** The weights are too old, or differ from those of earlier events where a single version is required. */
   | { readonly kind: 'wrong-version'; readonly reason: string }
-  /** The stream broke. */
+  /** The stream was interrupted, stalled or invalid. */
   | {
       readonly kind: 'broken';
       readonly reason: string;
-      /** Whether the connection was lost, as when the replica crashes. */
+      /** Whether the connection was lost, which may be due to a crash of the replica. */
       readonly isConnectionLost?: boolean;
     }
-  /** Broken off by this node, to continue at a faster replica. */
+  /** Aborted by this node, to continue at a faster replica. */
   | { readonly kind: 'moved'; readonly reason: string }
   | { readonly kind: 'cancelled' };
--- a/src/coordination/service/generation/placement-cost.ts
+++ b/src/coordination/service/generation/placement-cost.ts
@@ -1,35 +1,35 @@
-/** What a generation request costs at a replica: the rule by which `placement.ts` chooses. */
+/** Cost function by which `placement.ts` chooses a replica for a generation request. */
 
-/** Inputs of the cost. */
 export interface PlacementCostInput {
-  /** Measured time of an event at the replica, milliseconds; 0 while none was measured. */
+  /** Mean event interval at the replica, milliseconds; 0 while unknown. */
   readonly averageMs: number;
-  /** Time of an event at the fastest candidate, milliseconds; infinite while none was measured. */
+  /** Mean event interval at the fastest candidate, milliseconds; infinite while unknown. */
   readonly fastestMs: number;
   readonly expectedEvents: number;
-  /** Requests that this node runs there, and those that it runs at once. */
+  /** Requests from this node that the replica is running. */
   readonly inFlight: number;
+  /** Requests that the replica can run concurrently. */
   readonly slots: number;
   readonly isOtherZone: boolean;
-  /** Whether it declined the last request. */
+  /** Whether the replica declined its most recent request. */
   readonly hasDeclined: boolean;
 }
 
-/** Cost of a full replica, and of another zone, ms. Chosen, not measured: less than a long request's time. */
+/** Below the run time of a long request, so that speed outweighs load for long requests. */
 const FULL_REPLICA_COST_MS = 1_000;
 const OTHER_ZONE_COST_MS = 50;
-/** Share of its time that a request loses at a full replica. Chosen; 5 to 9% were seen at fewer requests. */
+/** Fraction of its run time that a request loses at a full replica. */
 const FULL_REPLICA_SLOWDOWN = 0.1;
-/** Cost of a replica that declined the last request, ms. Chosen: above a full one, so it is tried last. */
+/** Above the cost of a full replica, so that a replica that declined is tried last. */
 const DECLINED_COST_MS = 3_000;
 
 /**
- * Expected time of the request at a replica, and what it costs the others there, milliseconds: the longer a
- * request, the more the speed of the replica counts; the shorter, the more its load.
+ * Expected run time at a replica plus penalties for load, distance and a recent decline, milliseconds. The
+ * speed of the replica dominates for long requests, its load for short ones.
  */
 export function placementCostMs(input: PlacementCostInput): number {
-  const usualMs = Number.isFinite(input.fastestMs) ? input.fastestMs : 0;
-  const runMs = (input.averageMs || usualMs) * input.expectedEvents;
+  const defaultMs = Number.isFinite(input.fastestMs) ? input.fastestMs : 0;
+  const runMs = (input.averageMs || defaultMs) * input.expectedEvents;
   const load = input.inFlight / Math.max(1, input.slots);
   const loadMs = load * (FULL_REPLICA_COST_MS + runMs * FULL_REPLICA_SLOWDOWN);
   const distanceMs = input.isOtherZone ? OTHER_ZONE_COST_MS : 0;
--- a/src/coordination/service/generation/placement.ts
+++ b/src/coordination/service/generation/placement.ts
@@ -1,45 +1,43 @@
 /**
- * Places generation requests on model replicas: each replica gets as many at once as its engine has slots,
- * the cheapest by `placement-cost.ts` first. Requests without a slot wait, interrupted ones before new ones.
+ * Places generation requests on model replicas: each request gets a slot at the cheapest eligible replica
+ * (`placement-cost.ts`); requests without a slot wait in order of priority.
  *
- * Unlike single requests, whose dispatcher chooses by load and latency ratio (`replica-choice.ts`), samples
- * run for seconds at a length that differs by sample, and the speed of a replica decides more than its load.
- * Each owner of a job places for itself: replicas decline what exceeds their slots.
+ * Samples run for seconds and differ in length, so the speed of a replica matters more than its load, unlike
+ * for single requests (`replica-choice.ts`). Each job owner places independently; replicas decline requests
+ * beyond their slots.
  */
 import type { ReplicaDirectory, ReplicaState } from '../../../state/service/replicas/index.js';
 import { placementCostMs } from './placement-cost.js';
 
-/**
- * Interval of rescheduling without an event, milliseconds: ejections end without one. Chosen, not measured.
- */
+/** Waiting requests are rechecked at this interval, since the end of an ejection raises no event. */
 const RECHECK_INTERVAL_MS = 50;
-/** Breaks ties of cost at random; far below a millisecond. */
+/** Upper bound of the random cost that breaks ties. */
 const TIE_BREAK_MS = 1e-6;
 
-/** Requirements of a request. */
 export interface PlacementRequest {
-  /** Current service; `undefined` while the route is unknown. */
+  /** Service to place the request at; `undefined` while its route is missing. */
   readonly service: () => string | undefined;
-  /** Requests that a replica runs at once. */
+  /** Number of requests that the replica can run concurrently. */
   readonly slots: (state: ReplicaState) => number;
+  /** Whether the replica is eligible. */
   readonly accepts: (state: ReplicaState) => boolean;
-  /** Replica that likely has the prompt in its cache. */
+  /** Replica that likely has the prompt in its prefix cache. */
   readonly preferred: () => ReplicaState | undefined;
-  /** Events that the request is expected to take. */
+  /** Expected number of events still to be generated. */
   readonly expectedEvents: number;
-  /** Lower ones are placed first. */
+  /** Lower values are placed first. */
   readonly priority: number;
   readonly signal: AbortSignal;
 }
 
-/** The replica that a running sample could move to. */
+/** The fastest replica that a running sample could move to. */
 export interface MoveTarget {
-  /** Measured time of an event, milliseconds. */
+  /** Mean event interval, milliseconds. */
   readonly eventMs: number;
   readonly hasFreeSlot: boolean;
 }
 
-/** Requirements of a running sample for a move. */
+/** Which replicas a running sample may move to. */
 export type MoveTargetQuery = Pick<PlacementRequest, 'slots' | 'accepts'> & { readonly service: string };
 
 interface WaitingRequest {
@@ -47,13 +45,13 @@
   readonly resolve: (state: ReplicaState | undefined) => void;
 }
 
-/** The waiting requests of a node, and the slots that it uses. */
+/** Queue of this node's requests that wait for a slot, and the count of slots in use. */
 export class Placement {
   private waiters: WaitingRequest[] = [];
   private timer: NodeJS.Timeout | undefined;
   private isScheduled = false;
 
-  /** `slowStartPerSecond`: requests a second that a replica in slow start may get; `undefined`: no limit. */
+  /** `slowStartPerSecond`: request rate limit of a replica in slow start; `undefined`: no limit. */
   constructor(
     private readonly directory: ReplicaDirectory,
     private readonly zone: string,
@@ -62,12 +60,11 @@
     directory.onChange(() => this.schedule());
   }
 
-  /** Requests that wait for a slot. */
   get waitingCount(): number {
     return this.waiters.length;
   }
 
-  /** Resolves to a replica whose slot is now taken, or to `undefined` when the request was aborted. */
+  /** Reserves a slot. Resolves to its replica, or to `undefined` when the request is aborted. */
   acquire(request: PlacementRequest): Promise<ReplicaState | undefined> {
     if (request.signal.aborted) return Promise.resolve(undefined);
     return new Promise((resolve) => {
@@ -85,14 +82,17 @@
     });
   }
 
-  /** A replica has accepted a request, and may get more. */
+  /** Records that a replica accepted a request, so that it may be sent more. */
   markAccepted(state: ReplicaState): void {
     state.recordGenerationSettled();
     state.recordAccepted();
     this.schedule();
   }
 
-  /** The fastest replica as measured: among those with a free slot, if any and no request waits, else all. */
+  /**
+   * Fastest eligible replica by measured speed; only replicas with a free slot are considered when there are
+   * any and no request is waiting.
+   */
   findMoveTarget({ service, slots, accepts }: MoveTargetQuery): MoveTarget | undefined {
     const measured = this.directory
       .availableOf(service)
@@ -106,27 +106,27 @@
     return { eventMs, hasFreeSlot: free.length > 0 };
   }
 
-  /** Releases a slot; `wasTaken` says whether the replica had accepted the request. */
-  release(state: ReplicaState, wasTaken: boolean): void {
+  /** Releases a slot. `wasAccepted`: whether the replica had accepted the request. */
+  release(state: ReplicaState, wasAccepted: boolean): void {
     state.inFlight -= 1;
-    if (!wasTaken) state.recordGenerationSettled();
+    if (!wasAccepted) state.recordGenerationSettled();
     this.schedule();
   }
 
   private enqueue(waiter: WaitingRequest): void {
-    const at = this.waiters.findIndex((other) => other.request.priority > waiter.request.priority);
-    if (at < 0) this.waiters.push(waiter);
-    else this.waiters.splice(at, 0, waiter);
+    const index = this.waiters.findIndex((other) => other.request.priority > waiter.request.priority);
+    if (index < 0) this.waiters.push(waiter);
+    else this.waiters.splice(index, 0, waiter);
   }
 
   private cancel(waiter: WaitingRequest): void {
-    const at = this.waiters.indexOf(waiter);
-    if (at < 0) return;
-    this.waiters.splice(at, 1);
+    const index = this.waiters.indexOf(waiter);
+    if (index < 0) return;
+    this.waiters.splice(index, 1);
     waiter.resolve(undefined);
   }
 
-  /** Assigns slots to waiting requests, once in this turn of the event loop. */
+  /** Assigns slots to waiting requests, once per turn of the event loop. */
   private schedule(): void {
     if (this.isScheduled || this.waiters.length === 0) return;
     this.isScheduled = true;
@@ -137,22 +137,22 @@
   }
 
   private assignReplicas(): void {
-    const still: WaitingRequest[] = [];
+    const stillWaiting: WaitingRequest[] = [];
     for (const waiter of this.waiters) {
       const state = this.selectReplica(waiter.request);
       if (!state) {
-        still.push(waiter);
+        stillWaiting.push(waiter);
         continue;
       }
       state.inFlight += 1;
       state.recordGenerationSent();
       waiter.resolve(state);
     }
-    this.waiters = still;
+    this.waiters = stillWaiting;
     this.armTimer();
   }
 
-  /** The cheapest replica; none while that one must first accept or decline those it was sent. */
+  /** Returns the cheapest replica, or `undefined` while that one has yet to answer earlier requests. */
   private selectReplica(request: PlacementRequest): ReplicaState | undefined {
     const service = request.service();
     if (service === undefined) return undefined;
--- a/src/coordination/service/generation/route-loss.ts
+++ b/src/coordination/service/generation/route-loss.ts
@@ -1,9 +1,9 @@
-/** When the missing route of an item or a scoring call counts as gone: a configuration may return it before. */
+/** Decides when a route that is missing from the configuration counts as removed. */
 
-/** Chosen, not measured, ms: a configuration that lacks a route for a moment must make no item dead. */
+/** Tolerates a configuration that lacks the route only briefly. */
 const MISSING_ROUTE_GRACE_MS = 3_000;
 
-/** Whether a route that was there at `seenAtMs`, or awaited since, is gone; both on the monotonic clock, ms. */
-export function isRouteRemoved(seenAtMs: number, nowMs: number): boolean {
-  return nowMs - seenAtMs > MISSING_ROUTE_GRACE_MS;
+/** `lastSeenAtMs`: when the route was last present or the wait for it began. Both on the monotonic clock. */
+export function isRouteRemoved(lastSeenAtMs: number, nowMs: number): boolean {
+  return nowMs - lastSeenAtMs > MISSING_ROUTE_GRACE_MS;
 }
--- a/src/coordination/service/generation/sample-lengths.ts
+++ b/src/coordination/service/generation/sample-lengths.ts
@@ -1,39 +1,35 @@
 /**
- * Expected lengths of samples. A job ends when its longest samples do, so these start first, at the fastest
- * replicas. Submitters estimate the tokens of a sample; how many tokens an event carries is learnt from
- * finished samples.
- *
- * Owns what a node learnt, in memory: after a restart the order is that of the estimates alone.
+ * Estimates the lengths of samples, in events, from the token estimates of submitters and from the lengths of
+ * finished samples. A job ends with its longest sample, so the longest start first, at the fastest replicas.
+ * Kept in memory only: after a restart, the order follows the token estimates alone.
  */
 import type { JobItem } from '../../../protocol/service/batch-job.js';
 
-/** Weight of the newest sample in the moving averages. Chosen, not measured: some twenty samples decide. */
+/** Weight of the newest sample in the exponential moving averages. */
 const SMOOTHING_FACTOR = 0.05;
-/** Share of its length by which a sample beyond its estimate is expected to grow. Chosen, not measured. */
+/** Fraction of its length by which a sample beyond its estimate is expected to grow. */
 const OVERRUN_GROWTH = 0.5;
-/** Most unfinished samples remembered, the newest. Chosen, not measured: bounds the memory. */
 const MAX_UNFINISHED_SAMPLES = 4_096;
 
-/** Lengths of samples in events, learnt from finished ones. */
 export class LengthEstimator {
-  /** Mean log of estimated tokens per event: estimates are right at the median, errors are factors. */
+  /** Average logarithm of the estimated tokens per event; logarithmic since estimation errors are factors. */
   private logTokensPerEvent: number | undefined;
   private averageEvents = 0;
-  /** Events of samples that were cancelled with their job, by item, oldest first. */
+  /** Number of events of samples that were cancelled with their job, by item ID, oldest first. */
   private readonly unfinished = new Map<string, number>();
 
-  /** Learns from a finished sample. */
+  /** Updates the averages with a finished sample. */
   recordFinished(item: JobItem, events: number): void {
     this.unfinished.delete(item.id);
     if (events === 0) return;
     this.averageEvents += (events - this.averageEvents) * (this.averageEvents === 0 ? 1 : SMOOTHING_FACTOR);
     if (!item.expectedTokens) return;
-    const measured = Math.log(item.expectedTokens / events);
-    this.logTokensPerEvent ??= measured;
-    this.logTokensPerEvent += (measured - this.logTokensPerEvent) * SMOOTHING_FACTOR;
+    const logRatio = Math.log(item.expectedTokens / events);
+    this.logTokensPerEvent ??= logRatio;
+    this.logTokensPerEvent += (logRatio - this.logTokensPerEvent) * SMOOTHING_FACTOR;
   }
 
-  /** Remembers a sample that was cancelled after `events` events: a later job may contain it again. */
+  /** Records a sample that was cancelled after `events` events, since a later job may contain it again. */
   recordUnfinished(item: JobItem, events: number): void {
     this.unfinished.delete(item.id);
     this.unfinished.set(item.id, events);
@@ -41,33 +37,31 @@
     if (this.unfinished.size > MAX_UNFINISHED_SAMPLES && oldest !== undefined) this.unfinished.delete(oldest);
   }
 
-  /** Whether an earlier job ended before this sample was finished. */
+  /** Whether the sample was cancelled with an earlier job. */
   isUnfinished({ id }: JobItem): boolean {
     return this.unfinished.has(id);
   }
 
-  /** Expected events of the finished sample; 0 when nothing is known. */
+  /** Expected length of the finished sample, in events; 0 while unknown. */
   expectedEvents({ id, expectedTokens }: JobItem): number {
-    const atLeast = (this.unfinished.get(id) ?? 0) * (1 + OVERRUN_GROWTH);
+    const minEvents = (this.unfinished.get(id) ?? 0) * (1 + OVERRUN_GROWTH);
     if (expectedTokens === undefined || this.logTokensPerEvent === undefined)
-      return Math.max(atLeast, this.averageEvents);
-    return Math.max(atLeast, expectedTokens / Math.exp(this.logTokensPerEvent));
+      return Math.max(minEvents, this.averageEvents);
+    return Math.max(minEvents, expectedTokens / Math.exp(this.logTokensPerEvent));
   }
 
-  /** Expected further events of a sample that has `events` so far. */
+  /** Expected number of further events of a sample that has `events` so far. */
   remainingEvents(item: JobItem, events: number): number {
     return Math.max(this.expectedEvents(item) - events, events * OVERRUN_GROWTH);
   }
 
-  /**
-   * Items in the order in which they start: longest first; in the order of submission where nothing is known.
-   */
+  /** Sorts items by expected length, longest first; items of unknown length keep their order. */
   sortLongestFirst(items: readonly JobItem[]): JobItem[] {
     const lengths = new Map(items.map((item) => [item, this.sortKey(item)]));
     return [...items].sort((left, right) => (lengths.get(right) ?? 0) - (lengths.get(left) ?? 0));
   }
 
-  /** Before any sample was finished, estimated tokens stand in for events. */
+  /** Expected events, or estimated tokens until the first sample has finished. */
   private sortKey(item: JobItem): number {
     return this.logTokensPerEvent === undefined ? (item.expectedTokens ?? 0) : this.expectedEvents(item);
   }
--- a/src/coordination/service/generation/sample-scorer.ts
+++ b/src/coordination/service/generation/sample-scorer.ts
@@ -1,8 +1,7 @@
 /**
- * Scores finished samples: relays the scoring call to an application service; the signature of the response
- * is the score. The call is retried until it succeeds or error statuses have come as often as its route
- * allows attempts. Rejections and lost responses do not count: only the end of the job, or of the route,
- * stops these retries.
+ * Scores finished samples by a call to an application service; the signature of the response is the score. A
+ * call is retried until it succeeds, error statuses have used up the attempts of its route, the route is
+ * removed, or the job ends. Rejected calls and lost responses do not count as attempts.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { ScoringCall } from '../../../protocol/service/batch-job.js';
@@ -11,28 +10,26 @@
 import type { RelayOutcome, ServiceRelay } from '../requests/index.js';
 import { isRouteRemoved } from './route-loss.js';
 
-/** How scoring ended. */
 export type ScoringOutcome =
   | { readonly kind: 'scored'; readonly score: string }
   | { readonly kind: 'impossible'; readonly reason: string }
   | { readonly kind: 'cancelled' };
 
-/** Retries so far. */
 interface ScoringProgress {
   failures: number;
-  /** When the route existed last, on the monotonic clock. */
+  /** When the route was last present, on the monotonic clock, milliseconds. */
   routeSeenAtMs: number;
 }
 
-/** Backoff between attempts, milliseconds, randomized by half. Chosen, not measured. */
+/** Backoff between attempts, randomized by up to half. */
 const INITIAL_BACKOFF_MS = 20;
 const MAX_BACKOFF_MS = 400;
-/** Flow that scoring calls are charged to. */
+/** Fair-queuing flow of scoring calls. */
 const SCORING_FLOW = 'scoring';
-/** Statuses from here on fail a scoring call: redirects have no score. */
+/** Redirects are failures too, since they carry no score. */
 const MIN_FAILURE_STATUS = 300;
 
-/** What one attempt means; `retry` does not count as a failure: a rejection, or a response without score. */
+/** `retry`: the call was rejected, or its response was lost or has no score; not counted as a failure. */
 function classifyScoring(outcome: RelayOutcome): { kind: 'scored'; score: string } | 'failed' | 'retry' {
   if (outcome.kind !== 'answered') return 'retry';
   const { status, isFramed, signature } = outcome.answer;
@@ -40,27 +37,27 @@
   return isFramed && signature ? { kind: 'scored', score: signature } : 'retry';
 }
 
-/** Scores samples. The dispatcher of the scoring service limits how many calls run at once. */
+/** Scores samples. The dispatcher of the scoring service limits the concurrency of the calls. */
 export class SampleScorer {
   constructor(
     private readonly routing: RoutingTable,
     private readonly relay: ServiceRelay,
   ) {}
 
-  /** Retries the call until it succeeds, has failed too often, or `signal` is aborted. Never rejects. */
+  /** Retries the call until it succeeds, fails permanently, or `signal` is aborted. Never rejects. */
   async score(call: ScoringCall, signal: AbortSignal): Promise<ScoringOutcome> {
     const progress = { failures: 0, routeSeenAtMs: monotonicMs() };
-    let pauseMs = INITIAL_BACKOFF_MS;
+    let backoffMs = INITIAL_BACKOFF_MS;
     while (!signal.aborted) {
       const outcome = await this.attempt(call, signal, progress);
       if (outcome) return outcome;
-      await sleep(pauseMs * (0.5 + Math.random()), signal);
-      pauseMs = Math.min(MAX_BACKOFF_MS, pauseMs * 2);
+      await sleep(backoffMs * (0.5 + Math.random()), signal);
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
     return { kind: 'cancelled' };
   }
 
-  /** One attempt if there is a route; the final outcome, or `undefined` to retry. */
+  /** Makes one attempt if the route exists. Resolves to the final outcome, or to `undefined` to retry. */
   private async attempt(
     call: ScoringCall,
     signal: AbortSignal,
@@ -70,15 +67,17 @@
     if (!snapshot) return undefined;
     const route = snapshot.match(call.host, call.path);
     if (!route) {
-      const isGone = isRouteRemoved(progress.routeSeenAtMs, monotonicMs());
-      return isGone ? { kind: 'impossible', reason: 'the route of the scoring call is gone' } : undefined;
+      const isRemoved = isRouteRemoved(progress.routeSeenAtMs, monotonicMs());
+      return isRemoved
+        ? { kind: 'impossible', reason: 'the route of the scoring call was removed' }
+        : undefined;
     }
     progress.routeSeenAtMs = monotonicMs();
-    const verdict = classifyScoring(await this.send(call, signal, snapshot, route));
-    if (typeof verdict === 'object') return verdict;
-    if (verdict === 'failed') progress.failures += 1;
+    const result = classifyScoring(await this.send(call, signal, snapshot, route));
+    if (typeof result === 'object') return result;
+    if (result === 'failed') progress.failures += 1;
     if (progress.failures < route.maxAttempts) return undefined;
-    return { kind: 'impossible', reason: `scoring failed ${progress.failures} times` };
+    return { kind: 'impossible', reason: `the scoring call failed ${progress.failures} times` };
   }
 
   private send(
--- a/src/coordination/service/generation/sample-text.ts
+++ b/src/coordination/service/generation/sample-text.ts
@@ -1,7 +1,9 @@
-/** The text of a sample: its events in order, the versions that generated them, and which are stored. */
+/**
+ * The text of a sample: its events in order, the weight versions that generated them, and which are stored.
+ */
 import type { PartialText } from '../../../protocol/service/batch-job.js';
 
-/** Collects events; an attempt at another replica continues after the last one. */
+/** Collects events across attempts; each attempt continues after the last event. */
 export class SampleText {
   private readonly events: string[] = [];
   private readonly versionSet = new Set<number>();
@@ -10,7 +12,7 @@
   /** Whether the stream was read to its end. */
   isComplete = false;
 
-  /** Continues from the text that an earlier owner stored. */
+  /** Restores the text that an earlier owner stored. */
   static from(partial: PartialText): SampleText {
     const text = new SampleText();
     text.events.push(...partial.events);
@@ -25,7 +27,7 @@
     return this.events.length;
   }
 
-  /** Identifier of the last event, `undefined` before the first. */
+  /** `undefined` before the first event. */
   get lastEventId(): string | undefined {
     return this.lastId;
   }
@@ -34,7 +36,7 @@
     return [...this.versionSet].sort((left, right) => left - right);
   }
 
-  /** Whether an event with this ID directly follows the last one; any integer does at the start. */
+  /** Whether an event with this ID directly follows the last one. The first event may have any integer ID. */
   isNext(id: string): boolean {
     if (id === '' || !Number.isInteger(Number(id))) return false;
     return this.lastId === undefined || Number(id) === Number(this.lastId) + 1;
@@ -46,7 +48,6 @@
     this.versionSet.add(version);
   }
 
-  /** Discards all events. */
   clear(): void {
     this.events.length = 0;
     this.versionSet.clear();
@@ -55,7 +56,7 @@
     this.isComplete = false;
   }
 
-  /** The whole text. */
+  /** All events, separated by newlines. */
   join(): string {
     return this.events.join('\n');
   }
@@ -65,12 +66,12 @@
     return this.events.length > this.savedCount;
   }
 
-  /** Notes that the first `count` events are stored. */
+  /** Records that the first `count` events are stored. */
   markSaved(count: number): void {
     this.savedCount = Math.max(this.savedCount, Math.min(count, this.events.length));
   }
 
-  /** What another owner needs to continue. */
+  /** Exports what another owner needs to continue. */
   toPartial(): PartialText {
     return {
       lastEventId: this.lastId ?? '',
--- a/test/coordination/service/generation/placement.test.ts
+++ b/test/coordination/service/generation/placement.test.ts
@@ -1,4 +1,6 @@
-/** Placement of requests: probing of replicas that declined, cost by speed and load, targets of moves. */
+/**
+ * Placement of generation requests: probing of replicas that declined, cost by speed and load, move targets.
+ */
 import { setImmediate as turn } from 'node:timers/promises';
 import { expect } from 'chai';
 import { Placement } from '../../../../src/coordination/service/generation/placement.js';
@@ -8,12 +10,12 @@
 import { until } from '../../../support/wait.js';
 
 const SLOTS = 8;
-const PAUSE_MS = 30;
-const LONG_PAUSE_MS = 60_000;
+const BACKOFF_MS = 30;
+const LONG_BACKOFF_MS = 60_000;
 
 const REPLICA = replicaWith({ slots: SLOTS, modelVersions: new Map([['m', 1]]) });
 
-describe('placement', () => {
+describe('Placement', () => {
   let directory: ReplicaDirectory;
   let placement: Placement;
   let placed: ReplicaState[];
@@ -29,7 +31,7 @@
 
   afterEach(() => controller.abort());
 
-  function wait(
+  function enqueue(
     count: number,
     expectedEvents = 0,
     preferredId?: string,
@@ -61,58 +63,58 @@
     }
   }
 
-  /** One request was sent and declined; the pause after it is over once another is sent. */
+  /** Lets the replica decline one request; its backoff is over once another request is sent. */
   async function declineFirst(): Promise<ReplicaState> {
-    wait(1);
-    await until('the first is sent', () => placed.length === 1);
+    enqueue(1);
+    await until('the first request is sent', () => placed.length === 1);
     const [state] = placed as [ReplicaState];
     placement.release(state, false);
-    state.backOff(PAUSE_MS);
+    state.backOff(BACKOFF_MS);
     placed = [];
     return state;
   }
 
   it('sends one request after a decline, and all others once that one is accepted', async () => {
     const state = await declineFirst();
-    wait(5);
-    await until('one is sent', () => placed.length === 1);
+    enqueue(5);
+    await until('one request is sent', () => placed.length === 1);
     await reschedule();
     expect(placed).to.have.length(1);
     placement.markAccepted(state);
-    await until('more are sent', () => placed.length > 1);
+    await until('more requests are sent', () => placed.length > 1);
     for (let sent = 2; sent <= 5; sent += 1) placement.markAccepted(state);
-    await until('all are sent', () => placed.length === 5);
+    await until('all requests are sent', () => placed.length === 5);
     expect(state.inFlight).to.equal(5);
   });
 
-  it('sends few requests before the replica has accepted one, and none to one that declines them', async () => {
+  it('limits the requests to a replica that has not accepted one yet, and sends none after it declines', async () => {
     const state = directory.get(REPLICA.id) as ReplicaState;
-    wait(SLOTS);
+    enqueue(SLOTS);
     await reschedule();
     expect(placed).to.have.length(3);
     placement.markAccepted(state);
     await reschedule();
     expect(placed).to.have.length(4);
     placement.release(state, false);
-    state.backOff(LONG_PAUSE_MS);
+    state.backOff(LONG_BACKOFF_MS);
     await reschedule();
     expect(placed).to.have.length(4);
   });
 
-  it('sends the next one when the first one ended without an answer', async () => {
+  it('sends the next request when the first one ends without an answer', async () => {
     const state = await declineFirst();
-    wait(2);
-    await until('one is sent', () => placed.length === 1);
+    enqueue(2);
+    await until('one request is sent', () => placed.length === 1);
     placement.release(state, false);
-    await until('the other is sent', () => placed.length === 2);
+    await until('the other request is sent', () => placed.length === 2);
   });
 
-  it('sends all at once when the replica has a new version, because its load is over', async () => {
+  it('sends all requests at once when a new weight version ends the backoff of the replica', async () => {
     const state = await declineFirst();
-    wait(3);
-    await until('one is sent', () => placed.length === 1);
+    enqueue(3);
+    await until('one request is sent', () => placed.length === 1);
     placement.release(state, false);
-    state.backOff(LONG_PAUSE_MS);
+    state.backOff(LONG_BACKOFF_MS);
     await reschedule();
     expect(placed).to.have.length(1);
     directory.set({ ...REPLICA, modelVersions: new Map([['m', 2]]) });
@@ -121,26 +123,26 @@
     expect(placed).to.have.length(3);
   });
 
-  it('probes a replica that declined only when the others are full', async () => {
+  it('probes a replica that declined only when all others are full', async () => {
     directory.set({ ...REPLICA, id: 'r2' });
     const other = directory.get('r2') as ReplicaState;
     const declined = directory.get('r1') as ReplicaState;
     other.inFlight = SLOTS - 1;
     declined.backOff(1);
-    await until('its pause is over', () => !declined.isUnhealthy);
-    wait(1);
-    await until('one is sent', () => placed.length === 1);
+    await until('its backoff is over', () => !declined.isUnhealthy);
+    enqueue(1);
+    await until('one request is sent', () => placed.length === 1);
     expect(placed[0]).to.equal(other);
-    wait(1);
-    await until('the next one is sent', () => placed.length === 2);
+    enqueue(1);
+    await until('the next request is sent', () => placed.length === 2);
     expect(placed[1]).to.equal(declined);
   });
 
-  describe('on replicas of different speed', () => {
+  describe('replicas of different speed', () => {
     const EVENT_MS = 40;
     const SLOW_EVENT_MS = 60;
 
-    const take = (state: ReplicaState) => placement.markAccepted(state);
+    const accept = (state: ReplicaState) => placement.markAccepted(state);
 
     function add(id: string, eventMs: number): ReplicaState {
       directory.set({ ...REPLICA, id });
@@ -149,12 +151,12 @@
       return state;
     }
 
-    it('sends long requests to the fastest, however much it runs', async () => {
+    it('prefers the fastest replica for long requests, even when it has more load', async () => {
       directory.remove(REPLICA.id);
       const slow = add('slow', SLOW_EVENT_MS);
       const fast = add('fast', EVENT_MS);
-      wait(SLOTS + 2, 100, undefined, take);
-      await until('all are sent', () => placed.length === SLOTS + 2);
+      enqueue(SLOTS + 2, 100, undefined, accept);
+      await until('all requests are sent', () => placed.length === SLOTS + 2);
       expect([fast.inFlight, slow.inFlight]).to.deep.equal([SLOTS, 2]);
     });
 
@@ -162,21 +164,21 @@
       directory.remove(REPLICA.id);
       const slow = add('slow', SLOW_EVENT_MS);
       const fast = add('fast', EVENT_MS);
-      wait(SLOTS, 5, undefined, take);
-      await until('all are sent', () => placed.length === SLOTS);
+      enqueue(SLOTS, 5, undefined, accept);
+      await until('all requests are sent', () => placed.length === SLOTS);
       expect([fast.inFlight, slow.inFlight]).to.deep.equal([SLOTS / 2, SLOTS / 2]);
     });
 
-    it('leaves the replica of the group when it has become slow', async () => {
+    it('ignores the preferred replica when it has become slow', async () => {
       directory.remove(REPLICA.id);
       const slow = add('slow', SLOW_EVENT_MS);
       const fast = add('fast', EVENT_MS);
-      wait(1, 100, slow.id);
-      await until('it is sent', () => placed.length === 1);
+      enqueue(1, 100, slow.id);
+      await until('the request is sent', () => placed.length === 1);
       expect(placed[0]).to.equal(fast);
     });
 
-    it('names the fastest replica for a move, one with a free slot first', () => {
+    it('finds the fastest move target, preferring one with a free slot', () => {
       directory.remove(REPLICA.id);
       add('slow', SLOW_EVENT_MS);
       const fast = add('fast', EVENT_MS);
@@ -184,7 +186,7 @@
       expect(placement.findMoveTarget(query)).to.deep.equal({ eventMs: EVENT_MS, hasFreeSlot: true });
       fast.inFlight = SLOTS;
       expect(placement.findMoveTarget(query)).to.deep.equal({ eventMs: SLOW_EVENT_MS, hasFreeSlot: true });
-      wait(1);
+      enqueue(1);
       expect(placement.findMoveTarget(query)).to.deep.equal({ eventMs: EVENT_MS, hasFreeSlot: false });
     });
   });
--- a/test/coordination/service/generation/sample-placement.test.ts
+++ b/test/coordination/service/generation/sample-placement.test.ts
@@ -1,15 +1,17 @@
-/** Where and when samples of a job run: the longest first, and away from a replica that becomes slow. */
+/**
+ * Where and when the samples of a job run: longest first, and moved away from a replica that becomes slow.
+ */
 import { expect } from 'chai';
 import { expectWhole, job } from '../../../support/jobs.js';
 import { ServiceSystem, usualConfiguration } from '../../../support/service-system.js';
 import { until } from '../../../support/wait.js';
 
-/** Times of an event, milliseconds. */
+/** Intervals between events. */
 const FAST_MS = 5;
 const BUSY_MS = 60;
 const STUCK_MS = 1_000;
 
-describe('samples of a job', () => {
+describe('placement of samples', () => {
   let system: ServiceSystem;
 
   beforeEach(async () => {
@@ -24,7 +26,7 @@
     return node.url;
   }
 
-  it('start in the order of their estimated lengths, the longest first', async () => {
+  it('starts samples in the order of their estimated lengths, longest first', async () => {
     const engine = await system.addEngine({ slots: 1 });
     await system.addApplication();
     system.configure(usualConfiguration(2, { jobs: {} }, 1));
@@ -36,7 +38,7 @@
     expect(started).to.deep.equal([1, 3, 2, 0].map((index) => `job-1-item-${index}`));
   });
 
-  it('move to a faster replica, which continues after the last event', async () => {
+  it('moves a sample to a faster replica, which continues after the last event', async () => {
     const events = 40;
     const engines = await Promise.all([system.addEngine({ events }), system.addEngine({ events })]);
     await system.addApplication();
@@ -47,7 +49,7 @@
     for (const engine of engines) engine.workMs = BUSY_MS;
     const second = job('job-2', { groups: 1, groupSize: 1 });
     await system.trainer.submit(url, second);
-    const slow = await until('the sample is begun', () => engines.find(({ running }) => running > 0));
+    const slow = await until('the sample has started', () => engines.find(({ running }) => running > 0));
     for (const engine of engines) engine.workMs = engine === slow ? STUCK_MS : FAST_MS;
     expectWhole(await system.trainer.readAll([url], 'job-2', 1), second, events);
     const runs = engines
@@ -56,6 +58,6 @@
     expect(runs.length).to.be.greaterThan(1);
     expect(runs[0]?.lastEventId).to.equal(undefined);
     for (const run of runs.slice(1)) expect(Number(run.lastEventId)).to.be.greaterThan(0);
-    await until('the slow replica has stopped', () => slow.running === 0);
+    await until('the slow replica has stopped generating', () => slow.running === 0);
   });
 });
