--- a/src/coordination/service/jobs/item-attempts.ts
+++ b/src/coordination/service/jobs/item-attempts.ts
@@ -1,7 +1,7 @@
 /**
- * Makes the attempts of one item: places each at a replica, generates there, and reports what came of it to
- * the replica's state, the quarantine, the metrics and the log (`attempt-ended`). Whether another attempt
- * follows is decided by `item-run.ts`.
+ * Makes the attempts of one item: places each at a replica, generates there, and reports the outcome to the
+ * replica's state, the quarantine, the metrics and the log (`attempt-ended`). `item-run.ts` decides whether
+ * another attempt follows.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { JobItem } from '../../../protocol/service/batch-job.js';
@@ -21,25 +21,23 @@
 import type { ItemRoute } from './item-route.js';
 import type { ItemJob, ItemServices } from './item-services.js';
 
-/** First backoff of a replica that declined an item, milliseconds; it doubles. Chosen, not measured. */
+/** Backoff of a replica after it declines an item; doubles with each further decline. */
 const INITIAL_DECLINE_BACKOFF_MS = 60;
 
-/** An attempt that has ended. */
 interface EndedAttempt {
   readonly state: ReplicaState;
   readonly outcome: GenerationOutcome;
-  /** Events that it added to the text. */
+  /** Number of events that the attempt added to the text. */
   readonly events: number;
-  /** Whether its replica crashed; `undefined` when its connection was not lost. */
+  /** Whether the replica crashed; `undefined` if the connection was not lost. */
   readonly hasCrashed: boolean | undefined;
   readonly waitedMs: number;
   readonly tookMs: number;
 }
 
-/** The attempts of one item. */
 export class ItemAttempts {
   private attempts = 0;
-  /** Whether a part of the text exists, also from an earlier owner: the item goes before new ones. */
+  /** Whether the item was placed before, here or by an earlier owner; it then precedes new items. */
   private isStarted: boolean;
   private readonly movePolicy = new MovePolicy();
 
@@ -58,7 +56,7 @@
     return this.attempts;
   }
 
-  /** One attempt; `undefined` when the job was stopped while the item waited for a slot. */
+  /** Makes one attempt. Resolves to `undefined` if the job was stopped while the item waited for a slot. */
   async run(route: Route): Promise<GenerationOutcome | undefined> {
     const { placement, client } = this.services;
     const queuedAtMs = monotonicMs();
@@ -69,13 +67,13 @@
     this.job.groupReplicas.set(this.item.group, state);
     this.isStarted = true;
     this.attempts += 1;
-    let wasTaken = false;
-    const terms = this.optionsFor(route, state, () => {
-      wasTaken = true;
+    let wasAccepted = false;
+    const options = this.optionsFor(route, state, () => {
+      wasAccepted = true;
       placement.markAccepted(state);
     });
-    const outcome = await attemptGeneration(client, state, this.item, this.text, terms);
-    placement.release(state, wasTaken);
+    const outcome = await attemptGeneration(client, state, this.item, this.text, options);
+    placement.release(state, wasAccepted);
     const waitedMs = startedAtMs - queuedAtMs;
     const tookMs = monotonicMs() - startedAtMs;
     const hasCrashed = await this.hasCrashed(state, outcome);
@@ -87,17 +85,17 @@
     return outcome;
   }
 
-  /** Whether the replica crashed under the item; `undefined` when the connection was not lost. */
+  /** Whether the replica crashed during the attempt; `undefined` if the connection was not lost. */
   private async hasCrashed(state: ReplicaState, outcome: GenerationOutcome): Promise<boolean | undefined> {
     if (outcome.kind !== 'broken' || !outcome.isConnectionLost) return undefined;
     return this.services.crashCheck.hasCrashed(state);
   }
 
-  /** Requirements of an attempt. The service stays the same while the route leads to it. */
+  /** The service selected here is kept for as long as the route includes it. */
   private placementRequest(route: Route): PlacementRequest {
-    const chosen = this.services.splitter.next(route)?.service;
+    const selectedService = this.services.splitter.next(route)?.service;
     return {
-      service: () => this.route.resolveService(chosen),
+      service: () => this.route.resolveService(selectedService),
       slots: (candidate) => this.slotsOf(candidate),
       accepts: (candidate) =>
         this.hasRequiredVersion(candidate) && !this.movePolicy.hasRecentlyLeft(candidate),
@@ -108,7 +106,7 @@
     };
   }
 
-  private optionsFor(route: Route, state: ReplicaState, onTaken: () => void): GenerationOptions {
+  private optionsFor(route: Route, state: ReplicaState, onAccepted: () => void): GenerationOptions {
     const { model, minVersion } = this.job.specification;
     return {
       host: this.job.host,
@@ -117,7 +115,7 @@
       minVersion,
       isSingleVersion: route.isSingleVersion,
       remainingMs: attemptTimeoutMs(route, monotonicMs() - this.job.acceptedAtMs),
-      onAccepted: onTaken,
+      onAccepted,
       onVersion: (version) => this.updateVersion(state, version),
       reasonToMove: (pace) => this.reasonToMove(route, state, pace),
       stallMs: stallTimeoutMs(route),
@@ -125,7 +123,10 @@
     };
   }
 
-  /** An event shows a replica's version before it is announced; one above all published ones is a fault. */
+  /**
+   * Updates the replica's weight version from an event, which may precede its announcement. Versions that
+   * have not been published are ignored as faulty.
+   */
   private updateVersion(state: ReplicaState, version: number): void {
     const { model } = this.job.specification;
     if (version <= this.services.versions.newestOf(model))
@@ -137,11 +138,13 @@
     return model === '' || candidate.versionOf(model) >= minVersion;
   }
 
-  /** Why the sample should move to another replica with a version that fits, if it should. */
+  /**
+   * Why the sample should move to a faster replica with a suitable version; `undefined` if it should stay.
+   */
   private reasonToMove(route: Route, state: ReplicaState, { eventMs }: AttemptPace): string | undefined {
     if (!this.movePolicy.canMove) return undefined;
     const [version] = route.isSingleVersion ? this.text.versions : [];
-    const elsewhere = this.services.placement.findMoveTarget({
+    const target = this.services.placement.findMoveTarget({
       service: state.replica.service,
       slots: (candidate) => this.slotsOf(candidate),
       accepts: (candidate) =>
@@ -149,18 +152,18 @@
         this.hasRequiredVersion(candidate) &&
         (version === undefined || candidate.versionOf(this.job.specification.model) === version),
     });
-    if (!elsewhere) return undefined;
+    if (!target) return undefined;
     const remaining = this.services.lengths.remainingEvents(this.item, this.text.eventCount);
-    if (!MovePolicy.isWorthwhile(eventMs, elsewhere, remaining)) return undefined;
-    const times = `${Math.round(eventMs)} ms an event here, ${Math.round(elsewhere.eventMs)} elsewhere`;
-    return `${times}, about ${Math.round(remaining)} left`;
+    if (!MovePolicy.isWorthwhile(eventMs, target, remaining)) return undefined;
+    const speeds = `${Math.round(eventMs)} ms per event here, ${Math.round(target.eventMs)} ms elsewhere`;
+    return `${speeds}, about ${Math.round(remaining)} events left`;
   }
 
   private slotsOf(state: ReplicaState): number {
     return this.services.routing.current?.slotsOf(state.replica) ?? state.replica.slots;
   }
 
-  /** A crash after events is no evidence against the item: the next attempt continues after them. */
+  /** A crash after events does not incriminate the item: the next attempt continues after them. */
   private updateQuarantine({ state, outcome, events, hasCrashed }: EndedAttempt): void {
     const { quarantine } = this.services;
     if (hasCrashed && events === 0 && !state.isLeaving) quarantine.reportCrash(this.identity, state.replica);
--- a/src/coordination/service/jobs/item-policy.ts
+++ b/src/coordination/service/jobs/item-policy.ts
@@ -1,30 +1,29 @@
-/** Rules of an item: priority, terms, what an attempt says of its replica, when it is dead. */
+/** Rules for the items of a job: placement priority, time-outs, replica feedback, and when to retry. */
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import type { GenerationOutcome } from '../generation/index.js';
 
-/** Priorities of placement, lower first: what was begun must not wait behind new items. */
+/** Placement priorities, lower first: started items must not wait behind new ones. */
 const PRIORITY_STARTED = 0;
 const PRIORITY_NEW = 1;
-/** Stall time-out as a multiple of the route's target latency, and its least, ms. Chosen, not measured. */
+/** Stall time-out as a multiple of the route's target latency. */
 const STALL_LATENCY_FACTOR = 3;
 const MIN_STALL_MS = 1_000;
-/** Bounds of an attempt's time, ms. Chosen, not measured: above the longest samples; enough to begin one. */
+/** Bounds of the time that a replica may spend on an attempt. */
 const MAX_ATTEMPT_MS = 60_000;
 const MIN_ATTEMPT_MS = 1_000;
-/** Interval of checks in quarantine, ms: an answer elsewhere may clear the item. Chosen, not measured. */
+/** Interval of quarantine checks; an answer to the same request elsewhere may clear the item. */
 const QUARANTINE_POLL_INTERVAL_MS = 250;
 
-/** Priority of placement. */
 export function placementPriority(isStarted: boolean): number {
   return isStarted ? PRIORITY_STARTED : PRIORITY_NEW;
 }
 
-/** Time without data after which an attempt is broken off, milliseconds. */
+/** Time without data after which an attempt is aborted, milliseconds. */
 export function stallTimeoutMs({ targetLatencyMs }: Pick<Route, 'targetLatencyMs'>): number {
   return Math.max(MIN_STALL_MS, targetLatencyMs * STALL_LATENCY_FACTOR);
 }
 
-/** Time that a replica may work on an attempt, milliseconds, from the age of the job. */
+/** Time that a replica may spend on an attempt, milliseconds; `ageMs` is the age of the job. */
 export function attemptTimeoutMs({ maxQueueMs }: Pick<Route, 'maxQueueMs'>, ageMs: number): number {
   return Math.min(MAX_ATTEMPT_MS, Math.max(MIN_ATTEMPT_MS, maxQueueMs - ageMs));
 }
@@ -34,15 +33,15 @@
   return Math.min(QUARANTINE_POLL_INTERVAL_MS, retryAfterMs);
 }
 
-/** Whether a text that an earlier owner stored may be continued: no event is older than the job allows. */
+/** Whether a stored text may be continued: no event is of an older weight version than the job allows. */
 export function isTextUsable(versions: readonly number[], minVersion: number): boolean {
   return versions.every((version) => version >= minVersion);
 }
 
-/** What an attempt says of its replica: it served, it cannot serve now, or it is faulty. */
+/** Effect of an attempt on the replica's health. `busy`: the replica cannot serve the item at present. */
 export type ReplicaFeedback = 'served' | 'busy' | 'faulty' | 'none';
 
-/** Feedback of an attempt. Failures are the item's own; moves and cancellations are this node's. */
+/** Failures count against the item; moves and cancellations are decided by this node. */
 export function replicaFeedback(outcome: GenerationOutcome): ReplicaFeedback {
   if (outcome.kind === 'whole') return 'served';
   if (outcome.kind === 'wrong-version') return 'busy';
@@ -50,15 +49,15 @@
   return outcome.kind === 'broken' ? 'faulty' : 'none';
 }
 
-/** What follows for an item after an attempt. */
 export type RetryDecision =
   | { readonly kind: 'dead'; readonly reason: string }
-  /** `restarts`: the text is discarded, since the rest would be of another version. */
+  /** `restarts`: the text is discarded, since the remainder would be of another weight version. */
   | { readonly kind: 'retry'; readonly restarts: boolean };
 
 /**
- * When an item is dead: it can never be run, or replicas failed it as often as its route allows attempts;
- * `failures` include this attempt. Everything else is retried until the item expires.
+ * An item is dead, that is, failed for good, if no replica can ever run it, or if replicas failed it as often
+ * as its route allows attempts; `failures` includes this attempt. All other outcomes are retried until the
+ * item expires.
  */
 export function decideRetry(
   outcome: GenerationOutcome,
--- a/src/coordination/service/jobs/item-route.ts
+++ b/src/coordination/service/jobs/item-route.ts
@@ -1,14 +1,13 @@
-/** The route of an item in the current configuration; one that is missing is awaited for a while. */
+/** Looks up the route of an item in the current configuration and waits for one that is missing. */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { JobItem } from '../../../protocol/service/batch-job.js';
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import { isRouteRemoved } from '../generation/index.js';
 import type { ItemJob, ItemServices } from './item-services.js';
 
-/** Interval of checks for a missing route, milliseconds. Chosen, not measured. */
 const ROUTE_POLL_INTERVAL_MS = 100;
 
-/** The route of one item: by its own path, else by that of its job. */
+/** Route of one item: matched by its own path, else by the path of its job. */
 export class ItemRoute {
   constructor(
     private readonly services: Pick<ItemServices, 'routing' | 'splitter'>,
@@ -22,25 +21,25 @@
     return snapshot?.match(host, this.item.path) ?? snapshot?.match(host, path);
   }
 
-  /** Waits for a route; `undefined` when it is gone or the job was stopped. */
+  /** Waits for a route. Resolves to `undefined` when the route was removed or the job is stopped. */
   async wait(): Promise<Route | undefined> {
-    const waitingSinceMs = monotonicMs();
+    const startedAtMs = monotonicMs();
     for (;;) {
       const route = this.current;
       if (route) return route;
-      const isKnown = this.services.routing.current !== undefined;
+      const isConfigured = this.services.routing.current !== undefined;
       if (this.job.signal.aborted) return undefined;
-      if (isKnown && isRouteRemoved(waitingSinceMs, monotonicMs())) return undefined;
+      if (isConfigured && isRouteRemoved(startedAtMs, monotonicMs())) return undefined;
       await sleep(ROUTE_POLL_INTERVAL_MS, this.job.signal);
     }
   }
 
   /**
-   * The service by which one attempt is placed: `chosen` while the route leads to it, else the next target.
+   * Service to place an attempt at: `preferred` for as long as the route includes it, else another target.
    */
-  resolveService(chosen: string | undefined): string | undefined {
+  resolveService(preferred: string | undefined): string | undefined {
     const route = this.current;
-    if (route?.targets.some((target) => target.service === chosen)) return chosen;
+    if (route?.targets.some((target) => target.service === preferred)) return preferred;
     return route && this.services.splitter.next(route)?.service;
   }
 }
--- a/src/coordination/service/jobs/item-run.ts
+++ b/src/coordination/service/jobs/item-run.ts
@@ -1,7 +1,6 @@
 /**
- * Runs one item of a job from its first event to its score. Attempts are repeated until the text is whole,
- * the item is dead, its longest time in the queue has passed, or the job is stopped; a quarantined item waits
- * without a slot.
+ * Runs one item of a job from its first event to its score. Attempts are repeated until the text is complete,
+ * the item is dead or expired, or the job is stopped. A quarantined item waits without occupying a slot.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { JobItem, JobResult, PartialText } from '../../../protocol/service/batch-job.js';
@@ -13,32 +12,31 @@
 import { ItemRoute } from './item-route.js';
 import type { ItemJob, ItemServices } from './item-services.js';
 
-/** One item under way. */
 export class ItemRun {
   readonly text: SampleText;
   private failures = 0;
   private isQuarantined = false;
   private readonly route: ItemRoute;
   private readonly attempts: ItemAttempts;
-  /** Identifies the item to the quarantine: the same in each of its runs, also in another job. */
+  /** Identifies the item to the quarantine; the same for every run of it, also in another job. */
   private readonly identity: IdentifiedRequest;
 
-  /** `stored` is the text that an earlier owner stored. */
+  /** `storedText`: text that an earlier owner stored. */
   constructor(
     private readonly services: ItemServices,
     private readonly job: ItemJob,
     readonly item: JobItem,
-    stored: PartialText | undefined,
+    storedText: PartialText | undefined,
   ) {
     const { host, tenant, specification } = job;
-    const isUsable = stored && isTextUsable(stored.versions, specification.minVersion);
-    this.text = isUsable ? SampleText.from(stored) : new SampleText();
+    const isUsable = storedText && isTextUsable(storedText.versions, specification.minVersion);
+    this.text = isUsable ? SampleText.from(storedText) : new SampleText();
     this.identity = { method: 'POST', path: item.path, host, tenant, body: item.body };
     this.route = new ItemRoute(services, job, item);
     this.attempts = new ItemAttempts(services, job, item, this.text, this.route, this.identity);
   }
 
-  /** Resolves to the result, or to `undefined` when the job was stopped before. Never rejects. */
+  /** Resolves to the result, or to `undefined` if the job was stopped first. Never rejects. */
   async run(): Promise<JobResult | undefined> {
     while (!this.text.isComplete && !this.job.signal.aborted) {
       const result = await this.runOnce();
@@ -47,11 +45,13 @@
     return this.text.isComplete ? this.score() : undefined;
   }
 
-  /** One attempt, or one wait in quarantine; the final result, or `undefined` to go on. */
+  /**
+   * Makes one attempt or waits in quarantine. Resolves to the final result, or to `undefined` to continue.
+   */
   private async runOnce(): Promise<JobResult | undefined> {
     const route = await this.route.wait();
-    if (!route) return this.job.signal.aborted ? undefined : this.toDeadResult('the route is gone');
-    if (this.ageMs > route.maxQueueMs) return this.toDeadResult('the longest time in the queue has passed');
+    if (!route) return this.job.signal.aborted ? undefined : this.toDeadResult('the route was removed');
+    if (this.ageMs > route.maxQueueMs) return this.toDeadResult('the maximum time in the queue has passed');
     if (await this.waitIfQuarantined(route)) return undefined;
     const outcome = await this.attempts.run(route);
     return outcome && this.handleOutcome(outcome, route);
@@ -61,7 +61,10 @@
     return monotonicMs() - this.job.acceptedAtMs;
   }
 
-  /** Waits a little if quarantined. A crash is no answer, so the item is not dead until it expires. */
+  /**
+   * Waits one check interval if quarantined. Crashes alone do not make an item dead: it waits until it
+   * expires.
+   */
   private async waitIfQuarantined(route: Route): Promise<boolean> {
     const verdict = this.services.quarantine.evaluate(this.identity);
     if (verdict.kind !== 'held') {
@@ -69,7 +72,7 @@
       return false;
     }
     if (!this.isQuarantined) {
-      this.report('quarantined', `${verdict.ends} replicas crashed under it`);
+      this.report('quarantined', `${verdict.ends} replicas crashed while running it`);
       this.services.quarantine.countQuarantined(route.targets[0]?.service ?? '');
     }
     this.isQuarantined = true;
@@ -77,12 +80,12 @@
     return true;
   }
 
-  /** The final result after an attempt, or `undefined` to go on. */
+  /** Returns the final result after an attempt, or `undefined` to continue. */
   private handleOutcome(outcome: GenerationOutcome, route: Route): JobResult | undefined {
     if (outcome.kind === 'failed') this.failures += 1;
-    const verdict = decideRetry(outcome, this.failures, route);
-    if (verdict.kind === 'dead') return this.toDeadResult(verdict.reason);
-    if (verdict.restarts) this.text.clear();
+    const decision = decideRetry(outcome, this.failures, route);
+    if (decision.kind === 'dead') return this.toDeadResult(decision.reason);
+    if (decision.restarts) this.text.clear();
     return undefined;
   }
 
@@ -90,9 +93,9 @@
     this.services.lengths.recordFinished(this.item, this.text.eventCount);
     const { scoring } = this.item;
     if (!scoring) return this.toCompletedResult(undefined);
-    const scored = await this.services.scorer.score(scoring, this.job.signal);
-    if (scored.kind === 'scored') return this.toCompletedResult(scored.score);
-    return scored.kind === 'cancelled' ? undefined : this.toDeadResult(scored.reason);
+    const outcome = await this.services.scorer.score(scoring, this.job.signal);
+    if (outcome.kind === 'scored') return this.toCompletedResult(outcome.score);
+    return outcome.kind === 'cancelled' ? undefined : this.toDeadResult(outcome.reason);
   }
 
   private toCompletedResult(score: string | undefined): JobResult {
--- a/src/coordination/service/jobs/item-services.ts
+++ b/src/coordination/service/jobs/item-services.ts
@@ -1,4 +1,4 @@
-/** What the items of a node's jobs share, and what an item needs of its job. */
+/** Services shared by the items of a node's jobs, and the properties of a job that its items need. */
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { JobSpecification } from '../../../protocol/service/batch-job.js';
@@ -13,7 +13,6 @@
 import type { LengthEstimator, Placement, SampleScorer } from '../generation/index.js';
 import type { RequestQuarantine } from '../requests/index.js';
 
-/** Dependencies of items. */
 export interface ItemServices {
   readonly routing: RoutingTable;
   readonly splitter: TargetSplitter;
@@ -29,17 +28,16 @@
   readonly logger: DecisionLogger;
 }
 
-/** The job that an item belongs to. */
 export interface ItemJob {
   readonly jobId: string;
   readonly host: string;
   readonly path: string;
-  /** Tenant that the job belongs to, if any. */
+  /** Tenant on whose behalf the job runs, if any. */
   readonly tenant: string | undefined;
   readonly specification: JobSpecification;
   /** Time of acceptance on the monotonic clock, milliseconds. */
   readonly acceptedAtMs: number;
-  /** Replica at which each group was placed last. */
+  /** Replica at which an item of each group was last placed, by group. */
   readonly groupReplicas: Map<string, ReplicaState>;
   readonly signal: AbortSignal;
 }
--- a/src/coordination/service/jobs/job-calls.ts
+++ b/src/coordination/service/jobs/job-calls.ts
@@ -1,9 +1,9 @@
 /**
- * Calls of submitters about batch jobs: submit, read results by position, read an item's body, end.
+ * Calls of submitters about batch jobs: submit, read results by position, read the body of an item, end.
  *
- * Relies on the store, and on peers while the store rejects this node (`job-forwarding.ts`). Every call may
- * be repeated: a job is accepted once, results keep their positions, and an ended job stays ended. `unknown`
- * means that a submission may have been accepted; a retry shows it.
+ * Every call may be repeated: a job is accepted once, results keep their positions, and an ended job stays
+ * ended. Calls are forwarded to peers while the store rejects this node (`job-forwarding.ts`). The outcome
+ * `unknown` means that a submission may have been accepted; the submitter finds out by a retry.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -28,15 +28,13 @@
 import type { JobOwnership } from './job-ownership.js';
 import type { SubmissionParser } from './job-run.js';
 
-/** Longest effort to accept and to end a job, milliseconds. Chosen, not measured. */
 const ACCEPT_TIMEOUT_MS = 3_000;
 const END_TIMEOUT_MS = 3_000;
-/** Interval of reading the store while a reader waits, milliseconds. Chosen, not measured. */
+/** Interval of reads from the store while a reader waits for results. */
 const RESULT_POLL_INTERVAL_MS = 120;
-/** Most bytes of a page of results. Chosen, not measured: about one transaction of the store. */
+/** About the size limit of a transaction of the store. */
 const MAX_PAGE_BYTES = 900_000;
 
-/** Dependencies of the calls. */
 export interface JobCallServices {
   readonly repository: JobRepository;
   readonly ownership: JobOwnership;
@@ -44,7 +42,7 @@
   readonly parseSubmission: SubmissionParser;
   readonly logger: DecisionLogger;
   readonly forwarding: JobForwarding;
-  /** Whether the store answers this node; if not, calls that need it fail at once and go to peers. */
+  /** Whether the store answers this node; if not, calls that need it fail at once and are forwarded. */
   readonly isStoreAnswering: () => boolean;
 }
 
@@ -55,22 +53,21 @@
   return { jobId, host, path, tenant, model, tokens, total: items.length, submission: body };
 }
 
-/** `invalid`: another tenant's identifier. Only a failure without effect promises that nothing runs. */
+/** `invalid`: the job ID is in use by another tenant. Only a failure without effect rules out acceptance. */
 function toSubmissionOutcome({ failure, effect }: StateError): SubmissionOutcome {
   if (failure === 'invalid') return 'foreign';
   return effect === 'none' ? 'not-accepted' : 'unknown';
 }
 
-/** The calls of one node. */
 export class JobCalls {
-  /** The submission that was read last: its items are often read one after the other. */
+  /** Most recently read submission, cached since its items are often read in succession. */
   private lastSpecification: { jobId: string; specification: JobSpecification } | undefined;
 
   constructor(private readonly services: JobCallServices) {}
 
-  /** Accepts a job once, however often it is submitted. A retry is safe. */
+  /** Accepts a job; idempotent, so a retry is safe. */
   async submit(submission: JobSubmission, caller: JobCaller): Promise<SubmissionOutcome> {
-    const startedAt = monotonicMs();
+    const startedAtMs = monotonicMs();
     const { jobId } = submission;
     const outcome = await this.services.forwarding.run<SubmissionOutcome>({
       name: 'submit',
@@ -79,16 +76,16 @@
       runLocally: async () =>
         this.mustFailFast(caller)
           ? 'not-accepted'
-          : this.acceptLocally(submission, caller.tenant, startedAt + ACCEPT_TIMEOUT_MS),
+          : this.acceptLocally(submission, caller.tenant, startedAtMs + ACCEPT_TIMEOUT_MS),
       runAtPeer: (peer, address) => peer.submit(address, submission, caller.credential),
-      isFinal: (own) => own === 'accepted' || own === 'foreign',
-      mergeOutcomes: (own) => (own.every((each) => each === 'not-accepted') ? 'not-accepted' : 'unknown'),
+      isFinal: (outcome) => outcome === 'accepted' || outcome === 'foreign',
+      mergeOutcomes: (all) => (all.every((each) => each === 'not-accepted') ? 'not-accepted' : 'unknown'),
     });
-    this.report('submit', jobId, outcome, startedAt);
+    this.report('submit', jobId, outcome, startedAtMs);
     return outcome;
   }
 
-  /** Results from `position` on; waits up to `waitMs` milliseconds for the first one. */
+  /** Reads the results from `position` on; waits up to `waitMs` milliseconds for the first one. */
   async read(
     jobId: string,
     position: number,
@@ -96,24 +93,24 @@
     caller: JobCaller,
     signal: AbortSignal,
   ): Promise<ReadOutcome> {
-    const startedAt = monotonicMs();
+    const startedAtMs = monotonicMs();
     const outcome = await this.services.forwarding.run<ReadOutcome>({
       name: 'read',
       jobId,
       caller,
-      runLocally: () => this.readPage(jobId, position, startedAt + waitMs, caller, signal),
+      runLocally: () => this.readPage(jobId, position, startedAtMs + waitMs, caller, signal),
       runAtPeer: (peer, address) => peer.read(address, jobId, position, caller.credential),
       isFinal: ({ kind }) => kind !== 'unavailable',
       mergeOutcomes: () => ({ kind: 'unavailable' }),
     });
     const detail = outcome.kind === 'page' ? `${outcome.results.length} results` : outcome.kind;
-    this.report('read', jobId, detail, startedAt, position);
+    this.report('read', jobId, detail, startedAtMs, position);
     return outcome;
   }
 
-  /** The body of an item whose job is open. */
+  /** Reads the body of an item whose job is open. */
   async item(jobId: string, itemId: string, caller: JobCaller): Promise<ItemOutcome> {
-    const startedAt = monotonicMs();
+    const startedAtMs = monotonicMs();
     const outcome = await this.services.forwarding.run<ItemOutcome>({
       name: 'item',
       jobId,
@@ -123,13 +120,13 @@
       isFinal: ({ kind }) => kind !== 'unavailable',
       mergeOutcomes: () => ({ kind: 'unavailable' }),
     });
-    this.report('item', `${jobId}/${itemId}`, outcome.kind, startedAt);
+    this.report('item', `${jobId}/${itemId}`, outcome.kind, startedAtMs);
     return outcome;
   }
 
-  /** Ends a job; `unavailable` when it is not certain that it is ended. A retry is safe. */
+  /** Ends a job. `unavailable`: it is uncertain whether the job was ended; a retry is safe. */
   async end(jobId: string, caller: JobCaller): Promise<EndOutcome> {
-    const startedAt = monotonicMs();
+    const startedAtMs = monotonicMs();
     const outcome = await this.services.forwarding.run<EndOutcome>({
       name: 'end',
       jobId,
@@ -137,16 +134,16 @@
       runLocally: async () =>
         this.mustFailFast(caller)
           ? 'unavailable'
-          : this.endLocally(jobId, caller.tenant, startedAt + END_TIMEOUT_MS),
+          : this.endLocally(jobId, caller.tenant, startedAtMs + END_TIMEOUT_MS),
       runAtPeer: (peer, address) => peer.end(address, jobId, caller.credential),
-      isFinal: (own) => own !== 'unavailable',
+      isFinal: (outcome) => outcome !== 'unavailable',
       mergeOutcomes: () => 'unavailable',
     });
-    this.report('end', jobId, outcome, startedAt);
+    this.report('end', jobId, outcome, startedAtMs);
     return outcome;
   }
 
-  /** Whether a forwarded call fails at once, so that its node asks the next peer. */
+  /** Whether a forwarded call must fail at once, so that the forwarding node tries the next peer. */
   private mustFailFast({ isForwarded }: JobCaller): boolean {
     return isForwarded && !this.services.isStoreAnswering();
   }
@@ -185,7 +182,7 @@
     return 'accepted';
   }
 
-  /** The head of a job of the caller's tenant. */
+  /** Finds a job's head; jobs of other tenants are `not-found`. */
   private async findHead(
     jobId: string,
     { tenant }: JobCaller,
@@ -206,7 +203,7 @@
   private async readPage(
     jobId: string,
     position: number,
-    untilMs: number,
+    deadlineMs: number,
     caller: JobCaller,
     signal: AbortSignal,
   ): Promise<ReadOutcome> {
@@ -217,10 +214,10 @@
     for (;;) {
       const results = await this.resultsFrom(jobId, position, total);
       if (results === undefined) return { kind: 'unavailable' };
-      const isOver = monotonicMs() >= untilMs || position >= total || signal.aborted;
-      if (results.length > 0 || isOver)
+      const isDone = monotonicMs() >= deadlineMs || position >= total || signal.aborted;
+      if (results.length > 0 || isDone)
         return { kind: 'page', total, next: position + results.length, results };
-      await this.waitForResults(jobId, Math.min(RESULT_POLL_INTERVAL_MS, untilMs - monotonicMs()), signal);
+      await this.waitForResults(jobId, Math.min(RESULT_POLL_INTERVAL_MS, deadlineMs - monotonicMs()), signal);
     }
   }
 
@@ -276,10 +273,10 @@
     call: 'submit' | 'read' | 'item' | 'end',
     jobId: string,
     outcome: string,
-    startedAt: number,
+    startedAtMs: number,
     position?: number,
   ): void {
-    const tookMs = Math.round(monotonicMs() - startedAt);
+    const tookMs = Math.round(monotonicMs() - startedAtMs);
     this.services.logger.record({ event: 'job-call-answered', call, jobId, outcome, tookMs, position });
   }
 }
--- a/src/coordination/service/jobs/job-claims.ts
+++ b/src/coordination/service/jobs/job-claims.ts
@@ -1,6 +1,6 @@
 /**
- * Claims jobs whose owner is lost, or that were handed back, in a transaction on the head, so that one node
- * gets each. A conflict shows that another node was first: its head is read and noted.
+ * Claims jobs that were released or whose owner is lost. The claim is a conditional write of the head, so
+ * exactly one node gets each job; after a conflict the head is read again.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { JobHead, JobRepository, OwnerReference } from '../../../state/service/jobs/index.js';
@@ -8,25 +8,23 @@
 import type { JobHeads } from './job-heads.js';
 import { claimReason } from './ownership-policy.js';
 
-/** Longest effort of a claim, milliseconds. Chosen, not measured: the next poll of heartbeats tries again. */
+/** A claim that times out is retried with the next poll of heartbeats. */
 const CLAIM_TIMEOUT_MS = 3_000;
-/** Longest random delay of a claim, ms, so that mostly one node comes first. Chosen, not measured. */
+/** Maximum random delay of a claim; reduces conflicts between nodes. */
 const MAX_CLAIM_JITTER_MS = 150;
 
-/** Dependencies of claims. */
 export interface ClaimServices {
   readonly repository: Pick<JobRepository, 'claim'>;
   readonly sessions: Pick<SessionMonitor, 'isLost'>;
   readonly heads: JobHeads;
   readonly isLeaving: () => boolean;
   readonly report: (head: JobHead, change: string, detail: string) => void;
-  /** Takes the head of a job that is now this node's. */
+  /** Called with the new head of a claimed job. */
   readonly onClaimed: (head: JobHead) => void;
-  /** Reads the head of a job that another node claimed first. */
+  /** Reads the head of a job that another node has claimed. */
   readonly refresh: (jobId: string) => Promise<void>;
 }
 
-/** The claims of one node. */
 export class JobClaimer {
   private readonly claiming = new Set<string>();
 
@@ -35,7 +33,7 @@
     private readonly self: OwnerReference,
   ) {}
 
-  /** Claims an open job that is not this node's, if it may. */
+  /** Claims an open job that this process does not own, if `claimReason` allows it. */
   claimIfAllowed(head: JobHead): void {
     const { sessions, heads, isLeaving } = this.services;
     if (isLeaving() || this.claiming.has(head.jobId)) return;
--- a/src/coordination/service/jobs/job-heads.ts
+++ b/src/coordination/service/jobs/job-heads.ts
@@ -1,23 +1,21 @@
 /**
- * The heads of all jobs as this node last saw them, from the feed and from its own reads and writes, and what
- * follows from them: owners, the newest job of a model, demand. Owns no job; a head may be older than the
- * store's.
+ * Caches the heads (stored records) of all jobs as last seen in the change feed or in reads and writes of
+ * this node, and derives owners, the newest job of a model, and recent demand from them. A cached head may be
+ * older than the stored one.
  */
 import type { JobHead, OwnerReference } from '../../../state/service/jobs/index.js';
 
-/** Time over which demand is counted, ms. Chosen, not measured: covers jobs that overlap. */
+/** Age up to which jobs count as recent; covers jobs that overlap. */
 const DEMAND_WINDOW_MS = 30_000;
 
-/** All jobs that a node knows. */
 export class JobHeads {
   private readonly heads = new Map<string, JobHead>();
-  /** Observed time at which each head was learnt, milliseconds. */
+  /** Observed time at which each head was last updated, milliseconds, by job ID. */
   private readonly observedAtMs = new Map<string, number>();
 
-  /** `storeNowMs` is the store's clock. */
+  /** `storeNowMs`: the store's clock. */
   constructor(private readonly storeNowMs: () => number) {}
 
-  /** The head of a job as last seen. */
   get(jobId: string): JobHead | undefined {
     return this.heads.get(jobId);
   }
@@ -30,10 +28,10 @@
     return [...this.heads.values()].filter(({ record }) => record.state === 'open');
   }
 
-  /** Keeps a head; false when the one known is as new. */
+  /** Stores a head. Returns false if the cached one is at least as new. */
   set(head: JobHead, observedTimeMs: number): boolean {
-    const known = this.heads.get(head.jobId);
-    if (known && known.version >= head.version) return false;
+    const cached = this.heads.get(head.jobId);
+    if (cached && cached.version >= head.version) return false;
     this.heads.set(head.jobId, head);
     this.observedAtMs.set(head.jobId, observedTimeMs);
     return true;
@@ -44,17 +42,17 @@
     this.observedAtMs.delete(jobId);
   }
 
-  /** Observed time at which the head was learnt, milliseconds; 0 when it is unknown. */
+  /** Observed time at which the head was last updated, milliseconds; 0 if the job is unknown. */
   observedAt(jobId: string): number {
     return this.observedAtMs.get(jobId) ?? 0;
   }
 
-  /** Owners of open jobs. */
+  /** Owners of open jobs; an owner of several jobs is repeated. */
   get owners(): OwnerReference[] {
     return this.openJobs.flatMap(({ record }) => record.owner ?? []);
   }
 
-  /** The job of a model that was accepted last. */
+  /** The most recently accepted job of a model. */
   newestOf(model: string): JobHead | undefined {
     let newest: JobHead | undefined;
     for (const head of this.heads.values())
@@ -63,20 +61,20 @@
     return newest;
   }
 
-  /** Tokens of the recent jobs of a model. */
+  /** Total tokens of the recent jobs of a model. */
   recentTokensOf(model: string): number {
     return this.recentJobsOf(model).reduce((sum, { record }) => sum + record.tokens, 0);
   }
 
-  /** Items of the largest recent job of a model; 0 without one. */
+  /** Number of items of the largest recent job of a model; 0 without one. */
   maxRecentItemsOf(model: string): number {
     return this.recentJobsOf(model).reduce((largest, { record }) => Math.max(largest, record.total), 0);
   }
 
   private recentJobsOf(model: string): JobHead[] {
-    const sinceMs = this.storeNowMs() - DEMAND_WINDOW_MS;
+    const minAcceptedAtMs = this.storeNowMs() - DEMAND_WINDOW_MS;
     return [...this.heads.values()].filter(
-      ({ record }) => record.model === model && record.acceptedAtMs >= sinceMs,
+      ({ record }) => record.model === model && record.acceptedAtMs >= minAcceptedAtMs,
     );
   }
 }
--- a/src/coordination/service/jobs/job-ownership.ts
+++ b/src/coordination/service/jobs/job-ownership.ts
@@ -1,11 +1,10 @@
 /**
- * Ownership of jobs. Every node follows the heads of all jobs (`job-heads.ts`). The node that accepts a job
- * gives it to the owner of the model's job before, which has connections to the replicas and knows their
- * load, or keeps it.
+ * Assigns jobs to owners and runs the jobs that this node owns. Every node follows the heads of all jobs
+ * (`job-heads.ts`). An accepted job is given to the owner of the model's previous job, which already has
+ * connections to the replicas and knows their load; otherwise the accepting node keeps it.
  *
- * Owns: the runs of this node's jobs. Relies on heartbeats to tell lost owners (`SessionMonitor`) and on the
- * store for claims (`job-claims.ts`). Whatever an owner writes is conditional on the head, so that a replaced
- * owner lists nothing.
+ * Jobs of lost owners are claimed (`job-claims.ts`). All writes of an owner are conditional on the head, so a
+ * replaced owner cannot list results.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -26,30 +25,28 @@
 import { JobRun, type JobRunEnd, type JobRunServices } from './job-run.js';
 import { isOwnedBy, removalDelayMs, shouldRemove } from './ownership-policy.js';
 
-/** Longest effort to hand a job back, ms. Chosen, not measured: else it is claimed once lost. */
+/** A job that is not released in time is claimed once the heartbeats of this process are missing. */
 const RELEASE_TIMEOUT_MS = 1_000;
-/** Time for which a process without jobs sends heartbeats, ms, to get the next. Chosen, not measured. */
+/** Time after its last job for which a process sends heartbeats, so that it can be given the next one. */
 const RECENT_OWNER_WINDOW_MS = 10_000;
 
-/** Dependencies of job ownership. */
 export interface JobOwnershipServices extends JobRunServices {
   readonly store: RecordStore;
   readonly repository: JobRepository;
   readonly sessions: SessionMonitor;
   readonly metrics: ServiceMetrics;
   readonly logger: DecisionLogger;
-  /** How long results stay readable after a job was accepted, milliseconds. */
+  /** How long results stay readable after the acceptance of a job, milliseconds. */
   readonly retentionMs: () => number;
 }
 
-/** All jobs that this node knows, and those that it runs. */
 export class JobOwnership implements FeedHandler<readonly JobHead[]> {
   readonly table = JOB_TABLE;
-  /** Jobs that this node knows, its own or not. */
+  /** Heads of all jobs, whoever owns them. */
   readonly heads: JobHeads;
   private readonly claimer: JobClaimer;
   private readonly runs = new Map<string, JobRun>();
-  /** Jobs whose runs were cancelled while the store rejected this node. */
+  /** IDs of jobs whose runs were cancelled while the store rejected this node. */
   private readonly cancelled = new Set<string>();
   private isLeaving = false;
   private lastOwnedAtMs = Number.NEGATIVE_INFINITY;
@@ -75,29 +72,29 @@
     });
   }
 
-  /** Jobs that this node runs. */
+  /** Number of jobs that this node runs. */
   get ownedCount(): number {
     return this.runs.size;
   }
 
-  /** Items of the jobs run here that are not finished. */
+  /** Number of unfinished items of the jobs that this node runs. */
   get openItems(): number {
     return [...this.runs.values()].reduce((sum, run) => sum + run.openItems, 0);
   }
 
-  /** Age of the oldest job run here, milliseconds; 0 without one. */
+  /** Age of the oldest job that this node runs, milliseconds; 0 without one. */
   get oldestAgeMs(): number {
     return Math.max(0, ...[...this.runs.values()].map((run) => run.ageMs));
   }
 
-  /** Whether this node runs jobs or ran one within `WARM_MS`, so that others may give it the next. */
+  /** Whether this node runs a job or ran one recently, so that other nodes may give it the next one. */
   get isRecentOwner(): boolean {
     return this.runs.size > 0 || monotonicMs() - this.lastOwnedAtMs < RECENT_OWNER_WINDOW_MS;
   }
 
   /**
-   * Who should run the next job of a model: the owner of the newest one while its heartbeat is fresh, else
-   * this node. `null` leaves the job to the node that claims it first.
+   * Selects the owner of the next job of a model: the owner of the newest one if its heartbeat is fresh, else
+   * this node. `null`: whichever node claims the job first.
    */
   async selectOwner(model: string): Promise<OwnerReference | null> {
     const owner = this.heads.newestOf(model)?.record.owner;
@@ -106,27 +103,31 @@
     return this.isLeaving ? null : this.self;
   }
 
-  /** Whether jobs of other owners are open. */
+  /** Whether there are open jobs of other owners. */
   get hasForeignJobs(): boolean {
     return this.heads.openJobs.some((head) => !this.isOwned(head));
   }
 
-  /** Whether this node runs the job and has read what was listed before. */
+  /** Whether this node runs the job and has read the results listed so far. */
   isRunning(jobId: string): boolean {
     return this.runs.get(jobId)?.isLoaded ?? false;
   }
 
-  /** Adds a job that this node has just accepted, and runs it if it is the owner. */
+  /** Adds a job that this node has just accepted, and runs it if this node is the owner. */
   addAccepted(head: JobHead, specification: JobSpecification): void {
-    const known = this.heads.get(head.jobId);
-    if (known && known.version > head.version) return;
+    const cached = this.heads.get(head.jobId);
+    if (cached && cached.version > head.version) return;
     if (this.isOwned(head)) this.start(head, specification);
     else
-      this.report(head, 'accepted here', head.record.owner ? 'owner of the job before' : 'this node leaves');
+      this.report(
+        head,
+        'accepted here',
+        head.record.owner ? 'given to the owner of the previous job' : 'this node is shutting down',
+      );
     this.updateHead(head);
   }
 
-  /** Notes a head, also one that was read or written outside the feed; an older one is ignored. */
+  /** Updates a head from the feed, a read or a write; an older one is ignored. */
   updateHead(head: JobHead): void {
     if (this.heads.set(head, this.services.sessions.observedTimeMs)) this.reconcile(head);
   }
@@ -137,8 +138,8 @@
   }
 
   replaceAll(content: readonly JobHead[]): void {
-    const present = new Set(content.map((head) => head.jobId));
-    for (const jobId of this.heads.ids) if (!present.has(jobId)) this.forget(jobId);
+    const jobIds = new Set(content.map((head) => head.jobId));
+    for (const jobId of this.heads.ids) if (!jobIds.has(jobId)) this.forget(jobId);
     for (const head of content) this.updateHead(head);
   }
 
@@ -151,16 +152,16 @@
     if (head) this.updateHead(head);
   }
 
-  /** Hands all jobs back, with their texts, so that other nodes claim them at once. */
+  /** Stores the texts of all jobs and releases the jobs, so that other nodes claim them at once. */
   async releaseAll(): Promise<void> {
     this.isLeaving = true;
     await Promise.all([...this.runs.values()].map((run) => this.releaseRun(run)));
   }
 
   /**
-   * Cancels all runs because the store rejects this node while it serves others: they claim its jobs once its
-   * heartbeats are missing, and need the replicas' slots. Jobs that are still its own when the store serves
-   * it again are resumed.
+   * Cancels all runs because the store rejects this node while it serves others, which claim the jobs once
+   * the heartbeats of this node are missing and then need the slots. Jobs still owned when the store serves
+   * this node again are resumed.
    */
   cancelRuns(): void {
     for (const run of this.runs.values()) {
@@ -171,7 +172,7 @@
     }
   }
 
-  /** Claims nothing from now on. */
+  /** Stops claiming and starting jobs; running ones continue. */
   stopClaiming(): void {
     this.isLeaving = true;
   }
@@ -186,7 +187,7 @@
     this.services.cache.remove(jobId);
   }
 
-  /** Starts, stops, claims, hands back or removes a job as its new head requires. */
+  /** Starts, stops, claims, releases or removes a job as its new head requires. */
   private reconcile(head: JobHead): void {
     const run = this.runs.get(head.jobId);
     if (run && (!this.isOwned(head) || run.head.record.epoch !== head.record.epoch)) {
@@ -222,13 +223,13 @@
       this.start(newest, undefined);
   }
 
-  /** Reads a head; when that fails the feed brings it later. */
+  /** Reads a head. If that fails, the feed delivers it later. */
   private async refresh(jobId: string): Promise<void> {
-    const found = await this.services.repository.read(jobId);
-    if (found.isOk() && found.value) this.updateHead(found.value);
+    const read = await this.services.repository.read(jobId);
+    if (read.isOk() && read.value) this.updateHead(read.value);
   }
 
-  /** Resumes cancelled jobs that nobody has claimed, now that the store answers. */
+  /** Resumes cancelled jobs that no other node has claimed, once the store answers again. */
   private async resumeCancelled(): Promise<void> {
     for (const jobId of this.cancelled) {
       if (this.runs.has(jobId)) continue;
@@ -250,7 +251,7 @@
     this.report(head, released.isOk() ? 'handed back' : `hand back: ${released.error.failure}`);
   }
 
-  /** Removes an ended job once its results need not be readable any more. */
+  /** Removes an ended job after its retention period. */
   private scheduleRemoval(head: JobHead): void {
     if (!shouldRemove(head.record, this.self)) return;
     const ageMs = this.services.store.nowMs() - head.record.acceptedAtMs;
--- a/src/coordination/service/jobs/job-run.ts
+++ b/src/coordination/service/jobs/job-run.ts
@@ -1,9 +1,7 @@
 /**
- * Runs one job as its owner: generates, scores and lists what is not listed yet, longest items first.
- *
- * Owns: the item runs and their abort signal. Relies on the store for the submission, and stores texts for a
- * later owner on the way. A write that shows another owner ends the run; while the store does not answer,
- * generation continues.
+ * Runs one job as its owner: generates, scores and lists the items that have no listed result yet, the longest
+ * first. Texts are stored periodically for a later owner. A write that is rejected because the job has
+ * another owner ends the run; while the store does not answer, generation continues.
  */
 import { setMaxListeners } from 'node:events';
 import { monotonicMs, sleep } from '../../../common/clock.js';
@@ -23,23 +21,22 @@
 import { type ListedJob, type ListerServices, ResultLister } from './result-lister.js';
 import { DesiredGroups } from './wanted-groups.js';
 
-/** Interval of storing texts, ms: what a crash of the owner loses. Chosen, not measured. */
+/** Interval of storing texts, which bounds the work lost when the owner crashes. */
 const SAVE_INTERVAL_MS = 400;
-/** Backoff of reading the job while the store does not answer, milliseconds. Chosen, not measured. */
+/** Backoff between reads of the job while the store does not answer. */
 const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 500;
 
 /** Parses a submission; `undefined` when it is malformed. */
 export type SubmissionParser = (submission: Buffer) => JobSpecification | undefined;
 
-/** Dependencies of a run. */
 export interface JobRunServices extends ItemServices, ListerServices {
   readonly repository: JobRepository;
   readonly logger: DecisionLogger;
   readonly parseSubmission: SubmissionParser;
 }
 
-/** How a run ended. `unreadable`: the store has no valid submission of the job. */
+/** `unreadable`: the store has no valid submission of the job. */
 export type JobRunEnd = 'finished' | 'stopped' | 'ownership-lost' | 'unreadable';
 
 interface LoadedJob {
@@ -48,10 +45,9 @@
   readonly texts: ReadonlyMap<string, PartialText>;
 }
 
-/** One job under this node's ownership. */
 export class JobRun {
   private readonly controller = new AbortController();
-  /** Items without a listed result, whose texts are stored for a later owner. */
+  /** Runs of items without a listed result, whose texts are stored for a later owner, by item ID. */
   private readonly unlistedRuns = new Map<string, ItemRun>();
   private readonly startedAtMs = monotonicMs();
   private hasLoaded = false;
@@ -65,7 +61,7 @@
     setMaxListeners(0, this.controller.signal);
   }
 
-  /** Items without a listed result. */
+  /** Number of items without a listed result. */
   get openItems(): number {
     return this.unlistedRuns.size;
   }
@@ -75,22 +71,21 @@
     return this.initialAgeMs + monotonicMs() - this.startedAtMs;
   }
 
-  /** Whether the results listed before have been read. */
+  /** Whether the results listed by earlier owners have been read. */
   get isLoaded(): boolean {
     return this.hasLoaded;
   }
 
-  /** Whether it was stopped. */
   get isStopped(): boolean {
     return this.controller.signal.aborted;
   }
 
-  /** Stops at once: streams are closed, and nothing more is listed. */
+  /** Stops at once: streams are closed, and no more results are listed. */
   stop(): void {
     this.controller.abort();
   }
 
-  /** Stores new texts for a later owner. After a failure they are stored with the next call. */
+  /** Stores new texts for a later owner. After a failure, the next call stores them. */
   async saveTexts(): Promise<void> {
     const texts = new Map<string, PartialText>();
     for (const [id, run] of this.unlistedRuns) if (run.text.hasUnsaved) texts.set(id, run.text.toPartial());
@@ -133,7 +128,7 @@
     return new ResultLister(this.services, listed, this.controller.signal);
   }
 
-  /** Starts all items that have no listed result, the longest first. */
+  /** Starts all items without a listed result, the longest first. */
   private startItems(loaded: LoadedJob, acceptedAtMs: number, lister: ResultLister): void {
     const { specification, listedIds, texts } = loaded;
     const { jobId, record } = this.head;
@@ -149,12 +144,12 @@
     };
     const { items, desiredGroups } = specification;
     const { lengths } = this.services;
-    const wanted = new DesiredGroups(items, desiredGroups, (item) => lengths.isUnfinished(item));
+    const groups = new DesiredGroups(items, desiredGroups, (item) => lengths.isUnfinished(item));
     const list = (item: JobItem, result: JobResult) => {
-      wanted.recordResult(item);
-      lister.add(result, wanted.areComplete || result.state === 'dead');
+      groups.recordResult(item);
+      lister.add(result, groups.areComplete || result.state === 'dead');
     };
-    for (const item of items) if (listedIds.has(item.id)) wanted.recordResult(item);
+    for (const item of items) if (listedIds.has(item.id)) groups.recordResult(item);
     for (const item of lengths.sortLongestFirst(items))
       if (!listedIds.has(item.id)) void this.runItem(job, item, texts.get(item.id), list);
   }
@@ -217,16 +212,16 @@
     return states.reduce((sum, state) => sum + (snapshot?.slotsOf(state.replica) ?? 0), 0);
   }
 
-  /** Reads the job, retrying until the store answers; `undefined` when it is stopped or unreadable. */
+  /** Reads the job, retrying until the store answers. Resolves to `undefined` if stopped or unreadable. */
   private async load(): Promise<LoadedJob | undefined> {
     if (this.knownSpecification)
       return { specification: this.knownSpecification, listedIds: new Set(), texts: new Map() };
-    let pauseMs = INITIAL_BACKOFF_MS;
+    let backoffMs = INITIAL_BACKOFF_MS;
     while (!this.controller.signal.aborted) {
       const loaded = await this.tryLoad();
       if (loaded !== 'unavailable') return loaded;
-      await sleep(pauseMs, this.controller.signal);
-      pauseMs = Math.min(MAX_BACKOFF_MS, pauseMs * 2);
+      await sleep(backoffMs, this.controller.signal);
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
     return undefined;
   }
--- a/test/coordination/service/jobs/job-owners.test.ts
+++ b/test/coordination/service/jobs/job-owners.test.ts
@@ -1,4 +1,4 @@
-/** Who runs the next job of a model: the owner of the one before, as long as it is at work and stays. */
+/** Selection of the owner of a model's next job: the previous owner, unless it is lost or shutting down. */
 import { expect } from 'chai';
 import type { TrainerJob } from '../../../../emulator/clients/job-trainer.js';
 import {
@@ -11,14 +11,14 @@
 } from '../../../support/service-system.js';
 import { until } from '../../../support/wait.js';
 
-/** Beats after which every node has seen the process at work. */
-const SEEN_BEATS = 4;
+/** Heartbeats after which every node has read one of them. */
+const HEARTBEATS_UNTIL_READ = 4;
 
 function job(id: string, fields: Partial<TrainerJob> = {}): TrainerJob {
   return { id, host: HOST, path: JOB_PATH, model: MODEL, minVersion: 1, groups: 2, groupSize: 2, ...fields };
 }
 
-describe('owners of jobs', () => {
+describe('selection of job owners', () => {
   let system: ServiceSystem;
   let nodes: ServiceNodeProcess[];
 
@@ -39,55 +39,58 @@
 
   const ownerOf = (jobId: string) => headOf(jobId)?.owner?.node;
 
-  const beatsOf = (node: string) =>
+  const heartbeatsOf = (node: string) =>
     system.store.rows.read<{ count: number }>('sessions', `beat/${node}`)?.count ?? 0;
 
   const urlOf = (index: number) => nodes[index]?.url as string;
 
-  /** A job that goes on at the first node, whose beats all others have seen. */
-  async function ownedByFirst(): Promise<void> {
+  /** Runs a job at the first node and waits until all other nodes have read its heartbeats. */
+  async function runJobAtFirstNode(): Promise<void> {
     expect(await system.trainer.submit(urlOf(0), job('job-1'))).to.equal(202);
     await system.trainer.readAll([urlOf(0)], 'job-1', 4);
-    const before = beatsOf('node-1');
-    await until('all nodes have seen beats', () => beatsOf('node-1') >= before + SEEN_BEATS);
+    const before = heartbeatsOf('node-1');
+    await until(
+      'all nodes have read heartbeats',
+      () => heartbeatsOf('node-1') >= before + HEARTBEATS_UNTIL_READ,
+    );
   }
 
-  it('gives the next job of a model to the owner of the one before, wherever it is submitted', async () => {
-    await ownedByFirst();
+  it('gives the next job of a model to the owner of the previous one, whichever node accepts it', async () => {
+    await runJobAtFirstNode();
     expect(await system.trainer.submit(urlOf(1), job('job-2'))).to.equal(202);
     expect(ownerOf('job-2')).to.equal('node-1');
     expect(await system.trainer.readAll([urlOf(2)], 'job-2', 4)).to.have.length(4);
   });
 
   it('keeps a job of another model at the node that accepted it', async () => {
-    await ownedByFirst();
+    await runJobAtFirstNode();
     expect(await system.trainer.submit(urlOf(1), job('job-2', { model: 'model-b' }))).to.equal(202);
     expect(ownerOf('job-2')).to.equal('node-2');
   });
 
-  it('keeps a job where it was accepted when the owner of the one before is gone', async () => {
-    await ownedByFirst();
+  it('keeps a job at the accepting node when the owner of the previous one is gone', async () => {
+    await runJobAtFirstNode();
     await kill(nodes[0] as ServiceNodeProcess);
-    const killedAt = beatsOf('node-1');
+    const killedAt = heartbeatsOf('node-1');
     expect(await system.trainer.submit(urlOf(1), job('job-2'))).to.equal(202);
     const results = await system.trainer.readAll([urlOf(2)], 'job-2', 4);
     expect(results).to.have.length(4);
     expect(await system.trainer.submit(urlOf(1), job('job-3'))).to.equal(202);
     expect(ownerOf('job-3')).to.not.equal('node-1');
-    expect(beatsOf('node-1')).to.equal(killedAt);
+    expect(heartbeatsOf('node-1')).to.equal(killedAt);
   });
 
-  it('gives nothing to a leaving node, and runs what that node still accepts', async () => {
-    await ownedByFirst();
+  it('gives no job to a node that is shutting down, and runs the jobs that it still accepts', async () => {
+    await runJobAtFirstNode();
     const leaving = nodes[0] as ServiceNodeProcess;
     leaving.child.kill('SIGTERM');
-    await until('it has said that it leaves', async () => (await system.status(leaving.readyUrl)) === 503);
+    await until('the node is not ready', async () => (await system.status(leaving.readyUrl)) === 503);
     expect(await system.trainer.submit(leaving.url, job('job-2'))).to.equal(202);
     expect(await system.trainer.submit(urlOf(1), job('job-3'))).to.equal(202);
     const results = await Promise.all(
       ['job-2', 'job-3'].map((id) => system.trainer.readAll([urlOf(1)], id, 4)),
     );
     expect(results.map((list) => list.length)).to.deep.equal([4, 4]);
-    expect(leaving.child.exitCode, 'the node is still on its way out').to.equal(null);
+    expect(leaving.child.exitCode, 'the node is still shutting down').to.equal(null);
   });
 });
--- a/test/coordination/service/jobs/job-policies.test.ts
+++ b/test/coordination/service/jobs/job-policies.test.ts
@@ -1,4 +1,4 @@
-/** Rules of items and of job ownership. */
+/** Rules for items of jobs and for job ownership. */
 import { expect } from 'chai';
 import {
   attemptTimeoutMs,
@@ -11,21 +11,21 @@
 const ROUTE = { maxAttempts: 2, isSingleVersion: false };
 const SELF = { node: 'node-1', life: 'new' };
 
-describe('rules of an item', () => {
-  it('make it dead when it can never run, or after the failures that its route allows', () => {
+describe('item policy', () => {
+  it('declares an item dead when it can never run, or after the failures that its route allows', () => {
     expect(decideRetry({ kind: 'impossible', reason: 'status 422' }, 0, ROUTE).kind).to.equal('dead');
     expect(decideRetry({ kind: 'failed', reason: 'status 500' }, 1, ROUTE).kind).to.equal('retry');
     expect(decideRetry({ kind: 'failed', reason: 'status 500' }, 2, ROUTE).kind).to.equal('dead');
     expect(decideRetry({ kind: 'broken', reason: 'reset' }, 2, ROUTE).kind).to.equal('retry');
   });
 
-  it('discard its text after a wrong version only where one version is required', () => {
+  it('discards the text after a wrong version only where a single version is required', () => {
     const outcome = { kind: 'wrong-version', reason: 'old' } as const;
     expect(decideRetry(outcome, 0, ROUTE)).to.deep.equal({ kind: 'retry', restarts: false });
     expect(decideRetry(outcome, 0, { ...ROUTE, isSingleVersion: true })).to.include({ restarts: true });
   });
 
-  it('tell busy replicas from faulty ones, and both from failures of the item', () => {
+  it('distinguishes busy replicas, faulty replicas and failures of the item', () => {
     expect(replicaFeedback({ kind: 'declined', reason: '', isFull: true })).to.equal('busy');
     expect(replicaFeedback({ kind: 'declined', reason: '', isFull: false })).to.equal('faulty');
     expect(replicaFeedback({ kind: 'wrong-version', reason: '' })).to.equal('busy');
@@ -34,7 +34,7 @@
     expect(replicaFeedback({ kind: 'whole' })).to.equal('served');
   });
 
-  it('bound the time of an attempt and of a stall', () => {
+  it('bounds the time-outs of an attempt and of a stall', () => {
     expect(attemptTimeoutMs({ maxQueueMs: 30_000 }, 10_000)).to.equal(20_000);
     expect(attemptTimeoutMs({ maxQueueMs: 30_000 }, 29_900)).to.equal(1_000);
     expect(attemptTimeoutMs({ maxQueueMs: 900_000 }, 0)).to.equal(60_000);
@@ -43,8 +43,8 @@
   });
 });
 
-describe('rules of job ownership', () => {
-  it('let a node claim what was handed back, what its former process owned, and what lost its owner', () => {
+describe('ownership policy', () => {
+  it('allows claims of jobs that were released, that an earlier process of the node owned, or whose owner is lost', () => {
     const never = () => false;
     const other = { node: 'node-2', life: 'x' };
     expect(claimReason(null, SELF, never)).to.equal('handed back');
@@ -55,7 +55,7 @@
     expect(claimReason(other, SELF, () => true)).to.equal('node-2 is lost');
   });
 
-  it('remove an ended job a quarter of the retention after its results may go', () => {
+  it('removes an ended job a quarter of the retention after its results expire', () => {
     expect(removalDelayMs(100, 1_000)).to.equal(1_150);
     expect(removalDelayMs(5_000, 1_000)).to.equal(250);
   });
--- a/test/coordination/service/jobs/result-lister.test.ts
+++ b/test/coordination/service/jobs/result-lister.test.ts
@@ -1,4 +1,4 @@
-/** When results of a job are listed: together, so that a read waits at the node when the last one comes. */
+/** When results of a job are listed: batched, so that a read is pending when the last one is listed. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
 import {
@@ -11,12 +11,12 @@
 import { ManualClock } from '../../../support/manual-clock.js';
 
 const DUE_MS = 7_500;
-/** Longest time for which a result may wait for others, milliseconds. */
-const LONGEST_MS = 1_000;
-/** Time in which what must be listed at once is listed, milliseconds. */
-const AT_ONCE_MS = 20;
+/** Maximum time for which a result waits for others. */
+const MAX_BATCH_DELAY_MS = 1_000;
+/** Time within which urgent results are listed. */
+const URGENT_MS = 20;
 
-describe('results of a job', () => {
+describe('ResultLister', () => {
   let clock: ManualClock;
   let lister: ResultLister;
   let controller: AbortController;
@@ -59,71 +59,71 @@
     lister.add({ id, state: 'completed', text: '', versions: [], score: undefined }, isUrgent);
   }
 
-  it('wait for each other, but no longer than a read does', async () => {
+  it('batches results, but no longer than a read waits', async () => {
     add('a');
-    await clock.advance(LONGEST_MS / 2);
+    await clock.advance(MAX_BATCH_DELAY_MS / 2);
     add('b');
-    await clock.advance(LONGEST_MS / 2 - 1);
+    await clock.advance(MAX_BATCH_DELAY_MS / 2 - 1);
     expect(listings).to.deep.equal([]);
     await clock.advance(2);
     expect(listings).to.deep.equal([['a', 'b']]);
     add('c');
-    await clock.advance(LONGEST_MS - 1);
+    await clock.advance(MAX_BATCH_DELAY_MS - 1);
     expect(listings).to.have.length(1);
     await clock.advance(2);
     expect(listings).to.deep.equal([['a', 'b'], ['c']]);
   });
 
-  it('are listed together with one that is urgent, at once', async () => {
+  it('lists pending results at once, together with an urgent one', async () => {
     add('a');
     await clock.advance(100);
     add('b', true);
-    await clock.advance(AT_ONCE_MS);
+    await clock.advance(URGENT_MS);
     expect(listings).to.deep.equal([['a', 'b']]);
   });
 
-  it('are listed when they are due, and at once after that', async () => {
+  it('lists results when they are due, and at once after that', async () => {
     await clock.advance(DUE_MS - 100);
     add('a');
     await clock.advance(101);
     expect(listings).to.deep.equal([['a']]);
     add('b');
-    await clock.advance(AT_ONCE_MS);
+    await clock.advance(URGENT_MS);
     expect(listings).to.deep.equal([['a'], ['b']]);
   });
 
-  it('are unlisted until the store has them', async () => {
+  it('reports results as listed only once the store has them', async () => {
     add('a');
-    await clock.advance(LONGEST_MS - 1);
+    await clock.advance(MAX_BATCH_DELAY_MS - 1);
     expect([...notListed]).to.deep.equal(['a']);
     await clock.advance(2);
     expect([...notListed]).to.deep.equal([]);
   });
 });
 
-describe('groups that a submitter waits for', () => {
+describe('DesiredGroups', () => {
   const items = ['a', 'a', 'b', 'b', 'c', 'c'].map((group, index) => ({ id: `${index}`, group }) as JobItem);
 
-  function whole(groups: DesiredGroups, ids: readonly number[]): boolean {
+  function isComplete(groups: DesiredGroups, ids: readonly number[]): boolean {
     for (const id of ids) groups.recordResult(items[id] as JobItem);
     return groups.areComplete;
   }
 
-  it('are as many as it desires, any of them', () => {
+  it('completes once the desired number of groups is complete, whichever they are', () => {
     const groups = new DesiredGroups(items, 2, () => false);
-    expect(whole(groups, [0, 2, 4, 1])).to.equal(false);
-    expect(whole(groups, [5])).to.equal(true);
+    expect(isComplete(groups, [0, 2, 4, 1])).to.equal(false);
+    expect(isComplete(groups, [5])).to.equal(true);
   });
 
-  it('have those among them that an earlier job left unfinished', () => {
+  it('requires the groups that an earlier job left unfinished', () => {
     const groups = new DesiredGroups(items, 2, ({ id }) => id === '4');
-    expect(whole(groups, [0, 1, 2, 3])).to.equal(false);
-    expect(whole(groups, [4, 5])).to.equal(true);
+    expect(isComplete(groups, [0, 1, 2, 3])).to.equal(false);
+    expect(isComplete(groups, [4, 5])).to.equal(true);
   });
 
-  it('are all groups at most', () => {
+  it('requires no more groups than the job has', () => {
     const groups = new DesiredGroups(items, 9, () => false);
-    expect(whole(groups, [0, 1, 2, 3, 4])).to.equal(false);
-    expect(whole(groups, [5])).to.equal(true);
+    expect(isComplete(groups, [0, 1, 2, 3, 4])).to.equal(false);
+    expect(isComplete(groups, [5])).to.equal(true);
   });
 });
--- a/test/coordination/service/jobs/service-jobs.test.ts
+++ b/test/coordination/service/jobs/service-jobs.test.ts
@@ -1,12 +1,15 @@
-/** Batch jobs on serving nodes: accepted once, run by one owner, listed once, whatever becomes of owners and store. */
+/**
+ * Batch jobs on serving nodes: accepted once, run by one owner at a time and listed once, also when owners
+ * fail or the store is unavailable.
+ */
 import { expect } from 'chai';
 import { itemIds } from '../../../../emulator/clients/job-trainer.js';
 import { expectWhole, job } from '../../../support/jobs.js';
 import { kill, MODEL, type ServiceNodeProcess, ServiceSystem } from '../../../support/service-system.js';
 import { until } from '../../../support/wait.js';
 
-/** Time in which a refusal that needs nothing else must be there, milliseconds: a call to the store may take 3,000. */
-const AT_ONCE_MS = 1_500;
+/** Limit for a refusal without a call to the store, which may take 3 s. */
+const REFUSAL_LIMIT_MS = 1_500;
 
 describe('batch jobs on serving nodes', () => {
   let system: ServiceSystem;
@@ -61,7 +64,7 @@
     expect((await system.trainer.read(urls[0] as string, 'no-such-job', 0)).status).to.equal(404);
   });
 
-  it('accepts a job once, however often and wherever it is submitted', async () => {
+  it('accepts a job once, however often and at whichever node it is submitted', async () => {
     const engine = await system.addEngine();
     await system.addApplication();
     const urls = await startNodes(3);
@@ -75,7 +78,7 @@
     expect(runs).to.have.length(1);
   });
 
-  it('accepts a job whose transaction was done but not answered', async () => {
+  it('accepts a job whose transaction was committed but not answered', async () => {
     await Promise.all([system.addEngine(), system.addApplication()]);
     const urls = await startNodes(1);
     system.store.answersToLose = 1;
@@ -83,7 +86,7 @@
     expectWhole(await system.trainer.readAll(urls, 'job-1', 6), job('job-1'));
   });
 
-  it('never says 503 of a job that may still be accepted', async () => {
+  it('never answers 503 for a job that may still be accepted', async () => {
     const engine = await system.addEngine();
     await system.addApplication();
     const urls = await startNodes(1);
@@ -97,7 +100,7 @@
     expect(engine.received.some((request) => request.id.startsWith('job-2'))).to.equal(false);
   });
 
-  it('does not run a job that was ended while its acceptance was still on the way', async () => {
+  it('does not run a job that was ended before its delayed acceptance reached the store', async () => {
     const engine = await system.addEngine();
     await system.addApplication();
     const urls = await startNodes(1);
@@ -113,7 +116,7 @@
     const after = job('job-2');
     expect(await system.trainer.submit(urls[0] as string, after)).to.equal(202);
     await system.trainer.readAll(urls, 'job-2', 6);
-    await until('the late transaction has come', () => system.store.transactionsToDelay === 0);
+    await until('the late transaction has arrived', () => system.store.transactionsToDelay === 0);
     expect(engine.received.some((request) => request.id.startsWith('job-1-'))).to.equal(false);
   });
 
@@ -125,17 +128,17 @@
     const submitted = job('job-1');
     expect(await system.trainer.submit(urls[0] as string, submitted)).to.equal(202);
     await until(
-      'texts are kept',
+      'texts are stored',
       () => system.store.rows.scan('job-texts', partition('job-1'), '', undefined).length > 0,
     );
     await kill(nodeNamed(ownerOf('job-1')));
     const results = await system.trainer.readAll(urls.slice(1), 'job-1', 6);
     expectWhole(results, submitted, events);
     const resumed = system.replicas.flatMap((replica) => replica.received).filter((run) => run.lastEventId);
-    expect(resumed.length, 'kept texts are taken up').to.be.greaterThan(0);
+    expect(resumed.length, 'stored texts are resumed').to.be.greaterThan(0);
   });
 
-  it('is claimed at once by the next process of the same machine', async () => {
+  it('claims a job at once in the next process of the same node', async () => {
     await system.addEngine({ events: 40, workMs: 50 });
     await system.addApplication();
     const urls = await startNodes(1);
@@ -149,7 +152,7 @@
     expectWhole(await system.trainer.readAll([next.url], 'job-1', 6), job('job-1'), 40);
   });
 
-  it('keeps one list when a paused owner resumes after it was replaced', async () => {
+  it('keeps one list of results when a paused owner resumes after it was replaced', async () => {
     await system.addEngine({ events: 40, workMs: 60 });
     await system.addApplication();
     const urls = await startNodes(2);
@@ -160,21 +163,21 @@
     owner.child.kill('SIGCONT');
     const results = await system.trainer.readAll(urls, 'job-1', 6);
     expectWhole(results, job('job-1'), 40);
-    await until('the former owner has noticed', () =>
+    await until('the former owner notices its replacement', () =>
       owner.log.some((record) => record.context.change === 'taken by another owner'),
     );
     for (const url of urls) expect(await system.trainer.readAll([url], 'job-1', 6)).to.deep.equal(results);
   });
 
-  it('leaves a job with its owner through an outage of the store', async () => {
+  it('leaves a job with its owner during an outage of the store', async () => {
     await system.addEngine({ events: 60, workMs: 80 });
     await system.addApplication();
     const urls = await startNodes(2);
     expect(await system.trainer.submit(urls[0] as string, job('job-1', { groups: 1 }))).to.equal(202);
     const owner = ownerOf('job-1');
     system.store.mode = 'silent';
-    const asked = await system.trainer.read(urls[1] as string, 'job-1', 0);
-    expect(asked.status).to.equal(503);
+    const answer = await system.trainer.read(urls[1] as string, 'job-1', 0);
+    expect(answer.status).to.equal(503);
     system.store.mode = 'answering';
     expectWhole(await system.trainer.readAll(urls, 'job-1', 2), job('job-1', { groups: 1 }), 60);
     expect(ownerOf('job-1')).to.equal(owner);
@@ -182,19 +185,19 @@
       expect(log.some(({ context }) => context.change === 'runs cancelled')).to.equal(false);
   });
 
-  /** Waits until each of two nodes knows where the other one is. */
-  const untilAcquainted = () =>
+  /** Waits until each of two nodes knows the address of the other. */
+  const untilPeersKnown = () =>
     until('the nodes know each other', () =>
       nodes.every(({ log }) =>
         log.some(({ context }) => context.subject === 'peers' && context.change === '1 known'),
       ),
     );
 
-  it('is cancelled by an owner rejected by the store while it serves others: slots are free for the next', async () => {
+  it('cancels the runs of an owner that the store rejects while it serves others, which frees the slots', async () => {
     const engine = await system.addEngine({ events: 60, workMs: 100 });
     await system.addApplication();
     const urls = await startNodes(2);
-    await untilAcquainted();
+    await untilPeersKnown();
     const submitted = job('job-1', { groups: 1 });
     expect(await system.trainer.submit(urls[0] as string, submitted)).to.equal(202);
     await until('items run', () => engine.running === 2);
@@ -206,14 +209,14 @@
     await until('another node owns it', () => ownerOf('job-1') !== owner.name);
     const others = nodes.filter(({ name }) => name !== owner.name).map(({ url }) => url);
     expectWhole(await system.trainer.readAll(others, 'job-1', 2), submitted, 60);
-    expect(engine.received.length, 'runs: two at first, two of the next owner').to.equal(4);
+    expect(engine.received.length, 'requests: two of the first owner, two of the next one').to.equal(4);
   });
 
-  it('goes on with its owner when the store serves it again before anyone has claimed the job', async () => {
+  it('resumes a job at its owner when the store serves it again before another node claims the job', async () => {
     await system.addEngine({ events: 60, workMs: 60 });
     await system.addApplication();
     const urls = await startNodes(2);
-    await untilAcquainted();
+    await untilPeersKnown();
     const submitted = job('job-1', { groups: 1 });
     expect(await system.trainer.submit(urls[0] as string, submitted)).to.equal(202);
     const owner = nodeNamed(ownerOf('job-1'));
@@ -225,7 +228,7 @@
     expectWhole(await system.trainer.readAll(urls, 'job-1', 2), submitted, 60);
   });
 
-  it('is accepted, read and ended at a node rejected by the store, which passes the calls on', async () => {
+  it('accepts, reads and ends jobs at a node that the store rejects, by forwarding the calls', async () => {
     await system.addEngine({ events: 20, workMs: 20 });
     await system.addApplication();
     const urls = await startNodes(3);
@@ -248,12 +251,12 @@
     expect((await system.trainer.read(cutOff.url, 'unknown', 0)).status).to.equal(404);
     expect(await system.trainer.end(cutOff.url, 'job-2')).to.equal(200);
     for (const call of ['submit', 'read', 'item', 'end'])
-      await until(`the log tells of the call ${call}`, () =>
+      await until(`the log records the call ${call}`, () =>
         cutOff.log.some(({ message, context }) => message === 'job-call-passed-on' && context.call === call),
       );
   });
 
-  it('is rejected when the store serves no node, wherever the calls are forwarded', async () => {
+  it('rejects a job when the store serves no node to which calls are forwarded', async () => {
     await system.addEngine();
     await system.addApplication();
     const urls = await startNodes(2);
@@ -271,7 +274,7 @@
     expect(ownerOf('job-2')).to.equal(undefined);
   });
 
-  it('is refused to readers at once by nodes rejected by the store, which are not ready', async () => {
+  it('refuses reads at once at nodes that the store rejects, which are not ready', async () => {
     await system.addEngine({ events: 60, workMs: 80 });
     await system.addApplication();
     const urls = await startNodes(3);
@@ -285,15 +288,15 @@
     for (const { proxy } of nodes) proxy.set('freeze');
     for (const { name, readyUrl } of others)
       await until(`${name} is not ready`, async () => (await system.status(readyUrl)) === 503);
-    const askedAt = performance.now();
+    const startedAtMs = performance.now();
     for (const { url } of others) expect((await system.trainer.read(url, 'unknown', 0)).status).to.equal(503);
-    expect(performance.now() - askedAt).to.be.lessThan(AT_ONCE_MS);
+    expect(performance.now() - startedAtMs).to.be.lessThan(REFUSAL_LIMIT_MS);
     for (const { proxy } of nodes) proxy.set('pass');
     for (const node of others) await system.untilReady(node);
     expectWhole(await system.trainer.readAll(urls, 'job-1', 2), submitted, 60);
   });
 
-  it('is handed over by a node that is stopped', async () => {
+  it('hands a job over to another node when its owner is stopped', async () => {
     await system.addEngine({ events: 200, workMs: 60 });
     await system.addApplication();
     const urls = await startNodes(2);
@@ -307,7 +310,7 @@
     await until('the process has ended', () => owner.child.exitCode === 0);
   });
 
-  it('stops an ended job: nothing of it reaches a replica any more', async () => {
+  it('stops an ended job: no more of its requests reach a replica', async () => {
     const engine = await system.addEngine({ events: 2_000, workMs: 20, slots: 2 });
     await system.addApplication();
     const urls = await startNodes(2);
@@ -322,10 +325,10 @@
     expect(engine.received.length).to.equal(before);
   });
 
-  it('continues a broken stream after its last whole event', async () => {
+  it('continues a broken stream after its last complete event', async () => {
     const engine = await system.addEngine();
     await system.addApplication();
-    // As many as run at once: a stream that is taken up again is not broken a second time.
+    // One per concurrent stream, so that a resumed stream is not broken again.
     engine.streamsToBreak = 4;
     const urls = await startNodes(1);
     expect(await system.trainer.submit(urls[0] as string, job('job-1'))).to.equal(202);
@@ -333,7 +336,7 @@
     expect(engine.received.filter((run) => run.lastEventId === '2').length).to.equal(4);
   });
 
-  it('does not take a stream for whole that ended with its connection', async () => {
+  it('does not accept a stream as complete that ended by connection close', async () => {
     const engine = await system.addEngine();
     await system.addApplication();
     engine.unframedStreams = 4;
@@ -342,7 +345,7 @@
     expectWhole(await system.trainer.readAll(urls, 'job-1', 6), job('job-1'));
   });
 
-  it('does not take a signature for a score when the answer may be cut', async () => {
+  it('does not accept a signature as the score when the response may be truncated', async () => {
     await system.addEngine();
     const application = await system.addApplication();
     application.unframedCuts = 6;
@@ -353,7 +356,7 @@
     expect(application.received.length).to.be.at.least(12);
   });
 
-  it('continues elsewhere when a replica is silent or crashes', async () => {
+  it('continues at another replica when a replica is silent or crashes', async () => {
     const [silent, crashing, sound] = await Promise.all(
       [1, 2, 3].map(() => system.addEngine({ events: 20, workMs: 50 })),
     );
@@ -366,7 +369,7 @@
     expectWhole(await system.trainer.readAll(urls, 'job-1', 6), job('job-1'), 20);
   });
 
-  it('lists an item as dead after the failures that the route allows, no sooner', async () => {
+  it('lists an item as dead after the failures that the route allows, but not before', async () => {
     const engine = await system.addEngine();
     await system.addApplication();
     engine.failWith = 500;
@@ -390,7 +393,7 @@
     expectWhole(await system.trainer.readAll(urls, 'job-1', 6), job('job-1'));
   });
 
-  it('names the versions that generated a text, and uses none below the oldest that is allowed', async () => {
+  it('reports the weight versions that generated a text, and uses none below the minimum', async () => {
     const [old, fresh] = await Promise.all([
       system.addEngine(),
       system.addEngine({ models: { [MODEL]: 2 } }),
@@ -404,7 +407,7 @@
     expect(fresh?.received.length).to.be.at.least(6);
   });
 
-  it('keeps no event whose version cannot be read', async () => {
+  it('discards an event whose weight version cannot be parsed', async () => {
     const engine = await system.addEngine();
     await system.addApplication();
     engine.unreadableVersions = 2;
@@ -416,7 +419,7 @@
     expect(engine.received.filter((run) => run.lastEventId === '1').length).to.equal(2);
   });
 
-  it('keeps a submission that is larger than a record', async () => {
+  it('stores a submission that is larger than a record', async () => {
     await Promise.all([system.addEngine({ slots: 8 }), system.addApplication({ slots: 50 })]);
     const urls = await startNodes(2);
     const large = job('job-1', { groups: 150, groupSize: 4 });
