--- a/src/coordination/service/generation/attempt-watch.ts
+++ b/src/coordination/service/generation/attempt-monitor.ts
@@ -4,7 +4,7 @@
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
-import type { AttemptPace, GenerationOptions, GenerationOutcome } from './generation-terms.js';
+import type { AttemptPace, GenerationOptions, GenerationOutcome } from './generation-options.js';
 
 const CHECK_INTERVAL_MS = 100;
 /** Events in the moving average of the pace, so that a single late event causes no move. */
--- a/src/coordination/service/generation/generation-attempt.ts
+++ b/src/coordination/service/generation/generation-attempt.ts
@@ -10,8 +10,8 @@
 import { readFully } from '../../../transport/http-client.js';
 import { toTransportError } from '../../../transport/transport-error.js';
 import { answerDefect } from '../dispatch/index.js';
-import { AttemptMonitor } from './attempt-watch.js';
-import type { GenerationOptions, GenerationOutcome } from './generation-terms.js';
+import { AttemptMonitor } from './attempt-monitor.js';
+import type { GenerationOptions, GenerationOutcome } from './generation-options.js';
 import type { SampleText } from './sample-text.js';
 
 const STATUS_OK = 200;
--- a/src/coordination/service/generation/index.ts
+++ b/src/coordination/service/generation/index.ts
@@ -1,8 +1,8 @@
 export { attemptGeneration } from './generation-attempt.js';
-export type { AttemptPace, GenerationOptions, GenerationOutcome } from './generation-terms.js';
+export type { AttemptPace, GenerationOptions, GenerationOutcome } from './generation-options.js';
+export { LengthEstimator } from './length-estimator.js';
+export { MovePolicy } from './move-policy.js';
 export { Placement, type PlacementRequest } from './placement.js';
-export { isRouteRemoved } from './route-loss.js';
-export { LengthEstimator } from './sample-lengths.js';
-export { MovePolicy } from './sample-moves.js';
+export { isRouteRemoved } from './route-removal.js';
 export { SampleScorer } from './sample-scorer.js';
 export { SampleText } from './sample-text.js';
--- a/src/coordination/service/generation/sample-scorer.ts
+++ b/src/coordination/service/generation/sample-scorer.ts
@@ -8,7 +8,7 @@
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import type { RoutingSnapshot, RoutingTable } from '../../../state/service/configuration/index.js';
 import type { RelayOutcome, ServiceRelay } from '../requests/index.js';
-import { isRouteRemoved } from './route-loss.js';
+import { isRouteRemoved } from './route-removal.js';
 
 export type ScoringOutcome =
   | { readonly kind: 'scored'; readonly score: string }
--- a/src/coordination/service/jobs/job-ownership.ts
+++ b/src/coordination/service/jobs/job-ownership.ts
@@ -3,7 +3,7 @@
  * (`job-heads.ts`). An accepted job is given to the owner of the model's previous job, which already has
  * connections to the replicas and knows their load; otherwise the accepting node keeps it.
  *
- * Jobs of lost owners are claimed (`job-claims.ts`). All writes of an owner are conditional on the head, so a
+ * Jobs of lost owners are claimed (`job-claimer.ts`). All writes of an owner are conditional on the head, so a
  * replaced owner cannot list results.
  */
 import { monotonicMs } from '../../../common/clock.js';
@@ -20,7 +20,7 @@
 } from '../../../state/service/jobs/index.js';
 import type { FeedHandler } from '../../feeds/index.js';
 import type { SessionMonitor } from '../membership/index.js';
-import { JobClaimer } from './job-claims.js';
+import { JobClaimer } from './job-claimer.js';
 import { JobHeads } from './job-heads.js';
 import { JobRun, type JobRunEnd, type JobRunServices } from './job-run.js';
 import { isOwnedBy, removalDelayMs, shouldRemove } from './ownership-policy.js';
--- a/src/coordination/service/jobs/job-run.ts
+++ b/src/coordination/service/jobs/job-run.ts
@@ -16,10 +16,10 @@
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import type { JobHead, JobRepository } from '../../../state/service/jobs/index.js';
 import type { ReplicaState } from '../../../state/service/replicas/index.js';
+import { DesiredGroups } from './desired-groups.js';
 import { ItemRun } from './item-run.js';
 import type { ItemJob, ItemServices } from './item-services.js';
 import { type ListedJob, type ListerServices, ResultLister } from './result-lister.js';
-import { DesiredGroups } from './wanted-groups.js';
 
 /** Interval of storing texts, which bounds the work lost when the owner crashes. */
 const SAVE_INTERVAL_MS = 400;
--- a/test/coordination/service/generation/sample-lengths.test.ts
+++ b/test/coordination/service/generation/length-estimator.test.ts
@@ -2,7 +2,7 @@
  * Length estimates of samples: the order in which items start, and the remaining length of a running sample.
  */
 import { expect } from 'chai';
-import { LengthEstimator } from '../../../../src/coordination/service/generation/sample-lengths.js';
+import { LengthEstimator } from '../../../../src/coordination/service/generation/length-estimator.js';
 import type { JobItem } from '../../../../src/protocol/service/batch-job.js';
 
 const TOKENS_PER_EVENT = 52;
--- a/test/coordination/service/jobs/item-run.test.ts
+++ b/test/coordination/service/jobs/item-run.test.ts
@@ -1,7 +1,7 @@
 /** Placement priority of an item that an earlier owner has started. */
 import { expect } from 'chai';
+import { LengthEstimator } from '../../../../src/coordination/service/generation/length-estimator.js';
 import type { PlacementRequest } from '../../../../src/coordination/service/generation/placement.js';
-import { LengthEstimator } from '../../../../src/coordination/service/generation/sample-lengths.js';
 import { ItemRun } from '../../../../src/coordination/service/jobs/item-run.js';
 import type { ItemJob, ItemServices } from '../../../../src/coordination/service/jobs/item-services.js';
 import type { JobItem, PartialText } from '../../../../src/protocol/service/batch-job.js';
--- a/test/coordination/service/jobs/result-lister.test.ts
+++ b/test/coordination/service/jobs/result-lister.test.ts
@@ -1,11 +1,11 @@
 /** When results of a job are listed: batched, so that a read is pending when the last one is listed. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
+import { DesiredGroups } from '../../../../src/coordination/service/jobs/desired-groups.js';
 import {
   type ListerServices,
   ResultLister,
 } from '../../../../src/coordination/service/jobs/result-lister.js';
-import { DesiredGroups } from '../../../../src/coordination/service/jobs/wanted-groups.js';
 import type { JobItem } from '../../../../src/protocol/service/batch-job.js';
 import type { JobHead } from '../../../../src/state/service/jobs/job-record.js';
 import { ManualClock } from '../../../support/manual-clock.js';
