--- a/src/coordination/service/requests/quarantine-exchange.ts
+++ b/src/coordination/service/requests/crash-report-exchange.ts
@@ -1,23 +1,19 @@
 /**
- * Exchanges crash reports with peers while the store rejects this node, which would otherwise run requests
- * that all others quarantine and keep its own reports to itself.
- *
- * Relies on the addresses of peers. If none answers, this node decides by what it knows and asks again after
- * `EXCHANGE_MS`.
+ * Exchanges crash reports directly with peers while this node cannot reach the store, so that requests
+ * quarantined by the other nodes do not run here, and vice versa.
  */
 import type { CrashReportMessage, CrashReportsAnswer } from '../../../protocol/service/crash-report-peer.js';
 import type { RequestQuarantine } from './request-quarantine.js';
 
-/** Interval of the exchange when this node has no new reports, milliseconds. Chosen, not measured. */
+/** Interval between exchanges while this node has no new reports. */
 const EXCHANGE_INTERVAL_MS = 500;
-/** Most peers asked in one round, until the store serves one. Chosen, not measured: bounds the calls. */
+/** A round ends earlier at the first peer that has access to the store. */
 const MAX_PEERS_PER_ROUND = 4;
 
-/** Dependencies of the exchange. */
 export interface CrashReportExchangeServices {
   readonly quarantine: RequestQuarantine;
   readonly isStoreAnswering: () => boolean;
-  /** Addresses (`IP:PORT`) of other nodes, those that the store most likely serves first. */
+  /** Addresses (`IP:PORT`) of other nodes, those most likely to have access to the store first. */
   readonly peers: (count: number) => readonly string[];
   readonly exchange: (
     address: string,
@@ -25,11 +21,10 @@
   ) => Promise<CrashReportsAnswer | undefined>;
 }
 
-/** The exchange of one node. */
 export class CrashReportExchange {
   constructor(private readonly services: CrashReportExchangeServices) {}
 
-  /** Exchanges while the store does not answer, until `signal` is aborted. */
+  /** Runs until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!this.services.isStoreAnswering()) await this.exchangeWithPeers();
--- a/src/coordination/service/requests/crash-reports.ts
+++ b/src/coordination/service/requests/crash-reports.ts
@@ -1,10 +1,7 @@
 /**
- * Shares the crash reports of one node: writes them to the store until it accepts them, keeps the newest ones
- * for peers that the store rejects, and removes expired records.
- *
- * Owns: reports not written yet, the newest reports of all nodes, the records that this node wrote. While the
- * store does not accept writes it retries with backoff; reports over the limits below count at this node
- * alone.
+ * Publishes the crash reports of one node: writes them to the store with retries, caches the most recent ones
+ * for peers without access to the store, and removes expired records. Reports that exceed the limits below
+ * are not written and affect this node only.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import { ConditionVariable } from '../../../common/condition-variable.js';
@@ -13,34 +10,30 @@
 import { type CrashReportMessage, MAX_REPORTS } from '../../../protocol/service/crash-report-peer.js';
 import { CRASH_EXPIRY_MS, parseCrashReport, reportTimeMs } from '../../../state/service/replicas/index.js';
 
-/** Most records in one transaction: the store's limit of entries. */
+/** Limit of the store. */
 const MAX_RECORDS_PER_TRANSACTION = 100;
-/** Rate limit of a node's reports, and burst. Chosen, not measured: a crash's requests fit the burst. */
+/** Rate limit of a node's reports. The burst has room for all requests that one crash interrupts. */
 const REPORTS_PER_SECOND = 20;
 const REPORT_BURST = 200;
-/**
- * Most reports that wait for the store. Chosen, not measured: bounds the memory of a node during an outage.
- */
+/** Bounds the memory used during an outage of the store. */
 const MAX_PENDING_REPORTS = 1_000;
-/** Backoff after a failed write, milliseconds, randomized by half. Chosen, not measured. */
+/** Backoff after failed writes: doubles up to the maximum, with jitter of 50 %. */
 const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1_000;
-/** Interval of removing expired records, milliseconds. Chosen, not measured: short against their expiry. */
 const SWEEP_INTERVAL_MS = 60_000;
-/** Time after expiry at which any node removes a record, ms. Chosen: the writer has had its time again. */
+/** Time after expiry for which only the writer of a record removes it. */
 const ORPHAN_GRACE_MS = CRASH_EXPIRY_MS;
 
 function toMessage({ key, value }: RecordWrite): CrashReportMessage {
   return { key, value: value.toString('utf8') };
 }
 
-/** The reports of one node. */
 export class CrashReports {
-  /** Records not written yet, by key. */
+  /** Records that wait to be written, by key. */
   private readonly pending = new Map<string, RecordWrite>();
-  /** Records that this node wrote and removes after expiry. */
+  /** Records written by this node, which removes them after expiry. */
   private written: RecordWrite[] = [];
-  /** The newest reports, of this node and of others, by key. */
+  /** Most recent reports of all nodes by key, in insertion order. */
   private readonly recentByKey = new Map<string, CrashReportMessage>();
   private readonly pendingAdded = new ConditionVariable();
   private readonly rateLimit = new TokenBucket(REPORTS_PER_SECOND, REPORT_BURST);
@@ -50,22 +43,22 @@
     private readonly clock: Clock = SYSTEM_CLOCK,
   ) {}
 
-  /** Reports that the store has not accepted yet, at most `MAX_REPORTS`. */
+  /** Up to `MAX_REPORTS` reports that are not in the store yet. */
   get unwritten(): readonly CrashReportMessage[] {
     return [...this.pending.values()].slice(0, MAX_REPORTS).map(toMessage);
   }
 
-  /** The newest reports that this node knows, at most `MAX_REPORTS`. */
+  /** Up to `MAX_REPORTS` most recent reports of all nodes. */
   get recent(): readonly CrashReportMessage[] {
     return [...this.recentByKey.values()];
   }
 
-  /** Whether this very report is known. */
+  /** Whether a report with the same key and value is cached. */
   has({ key, value }: CrashReportMessage): boolean {
     return this.recentByKey.get(key)?.value === value;
   }
 
-  /** Keeps a report for peers that ask for the newest. */
+  /** Caches a report and evicts the oldest one over `MAX_REPORTS`. */
   addRecent(message: CrashReportMessage): void {
     this.recentByKey.delete(message.key);
     this.recentByKey.set(message.key, message);
@@ -73,7 +66,7 @@
     if (this.recentByKey.size > MAX_REPORTS && oldest !== undefined) this.recentByKey.delete(oldest);
   }
 
-  /** Queues a report for the store, from which all other nodes read it; drops it over the limits. */
+  /** Queues a report for writing to the store; over the limits it is only cached. */
   enqueue(record: RecordWrite): void {
     this.addRecent(toMessage(record));
     if (this.pending.size >= MAX_PENDING_REPORTS || this.rateLimit.take() > 0) return;
@@ -81,12 +74,12 @@
     this.pendingAdded.notifyAll();
   }
 
-  /** Resolves when a report waits for the store, after `ms` milliseconds at the latest. */
+  /** Resolves when a report is queued, after `ms` milliseconds, or when `signal` is aborted. */
   waitForPending(ms: number, signal: AbortSignal): Promise<void> {
     return this.pendingAdded.waitWithTimeout(ms, signal, this.clock);
   }
 
-  /** Whether a record cannot be parsed, or expired more than `sinceMs` milliseconds ago. */
+  /** Whether a record is malformed, or expired more than `sinceMs` milliseconds ago. */
   isExpired(record: Pick<RecordWrite, 'key' | 'value'>, sinceMs = 0): boolean {
     const report = parseCrashReport(record);
     return !report || reportTimeMs(report) < this.store.nowMs() - CRASH_EXPIRY_MS - sinceMs;
@@ -97,7 +90,7 @@
     await Promise.all([this.writeContinuously(signal), this.sweepPeriodically(signal)]);
   }
 
-  /** Removes records whose writers are gone for good. */
+  /** Removes records that their writers should have removed already. */
   async removeOrphaned(records: readonly StoredRecord[]): Promise<void> {
     const orphaned = records.filter((record) => this.isExpired(record, ORPHAN_GRACE_MS));
     await this.remove(orphaned);
@@ -114,9 +107,7 @@
     }
   }
 
-  /**
-   * Writes a batch; false when it must be retried. A retry after a lost answer writes the same bytes again.
-   */
+  /** Returns false if the batch must be retried. Retries are idempotent: they write the same bytes. */
   private async writeBatch(): Promise<boolean> {
     const writes = [...this.pending.values()].slice(0, MAX_RECORDS_PER_TRANSACTION);
     const outcome = await this.store.transact({ conditions: [], writes, removals: [] });
@@ -139,7 +130,10 @@
     this.written = this.written.filter((record) => !removed.includes(record));
   }
 
-  /** Removes the first `MAX_RECORDS`; resolves to those removed, none on failure: the next sweep retries. */
+  /**
+   * Removes one transaction's worth of records. Returns those removed; after a failure none, until the next
+   * sweep.
+   */
   private async remove(records: readonly RecordWrite[]): Promise<readonly RecordWrite[]> {
     const removals = records.slice(0, MAX_RECORDS_PER_TRANSACTION);
     if (removals.length === 0) return [];
--- a/src/coordination/service/requests/execution-count.ts
+++ b/src/coordination/service/requests/execution-tracker.ts
@@ -1,12 +1,13 @@
-/** Tells whether a request may have run, and counts it for its tenant once, while any attempt may run. */
+/**
+ * Tracks the attempts of one request and counts the request once for its tenant while any attempt may run.
+ */
 
-/** Counts a request of a tenant; call what it returns if the request turns out not to have run. */
+/** Counts one execution for a tenant. The returned function reverts the count if the request did not run. */
 export type ExecutionCounter = (tenant: string) => () => void;
 
-/** Identifies an attempt. */
+/** Opaque identity of an attempt. */
 export type AttemptToken = object;
 
-/** The attempts of one request. */
 export class ExecutionTracker {
   private readonly attempts = new Set<AttemptToken>();
   private readonly queuedLocally = new Set<AttemptToken>();
@@ -17,12 +18,12 @@
     private readonly countExecution: ExecutionCounter,
   ) {}
 
-  /** Attempts that run, may have run, or are still queued at this node. */
+  /** Number of attempts that are queued locally, are running, or may have run. */
   get attemptCount(): number {
     return this.attempts.size;
   }
 
-  /** An attempt starts: queued here until it is handed over. */
+  /** Starts an attempt, which is queued locally until it is handed over. */
   start(): AttemptToken {
     const token = {};
     this.queuedLocally.add(token);
@@ -32,19 +33,22 @@
     return token;
   }
 
-  /** An attempt was handed over, after which it may run, or was not accepted and is queued here again. */
+  /**
+   * Records that an attempt was handed over to a replica or another node (`mayRun`), or that it was not
+   * accepted there and is queued locally again.
+   */
   recordHandOver(token: AttemptToken, mayRun: boolean): void {
     if (mayRun) this.queuedLocally.delete(token);
     else this.queuedLocally.add(token);
   }
 
-  /** An attempt has an outcome. One that was withdrawn may report afterwards that it has not run: it counts once. */
+  /** Records the outcome of an attempt. Safe to call for an attempt that was cancelled before. */
   recordOutcome(token: AttemptToken, isDeclined: boolean): void {
     this.queuedLocally.delete(token);
     if (isDeclined) this.discard(token);
   }
 
-  /** Discards the attempts queued here, which their caller aborts before they can run. */
+  /** Discards all locally queued attempts. The caller must abort them so that they cannot run. */
   cancelQueued(): void {
     for (const token of this.queuedLocally) this.discard(token);
     this.queuedLocally.clear();
--- a/src/coordination/service/requests/index.ts
+++ b/src/coordination/service/requests/index.ts
@@ -1,4 +1,4 @@
-export { CrashReportExchange } from './quarantine-exchange.js';
+export { CrashReportExchange } from './crash-report-exchange.js';
 export type { SendAttempt } from './relay-run.js';
 export type { RelayedRequest, RelayOutcome } from './relayed-request.js';
 export { RequestQuarantine } from './request-quarantine.js';
--- a/src/coordination/service/requests/relay-policy.ts
+++ b/src/coordination/service/requests/relay-policy.ts
@@ -1,67 +1,65 @@
 /**
- * Rules of the relay, as pure functions: when an attempt may start, when a hedge is sent, what the outcome of
- * an attempt means, and what the caller gets when no attempt is left. `relay-run.ts` applies them and holds
- * the state.
+ * Retry and hedging policy of the relay as pure functions: when an attempt may start, when a hedge is sent,
+ * how the outcome of an attempt is classified, and what the caller gets when no attempt is left.
  */
 import type { RouteKind } from '../../../protocol/service/routing-configuration.js';
 import type { QuarantineVerdict } from '../../../state/service/replicas/index.js';
 import type { AttemptOutcome, BufferedAnswer } from '../dispatch/index.js';
 import type { RelayOutcome } from './relayed-request.js';
 
-/** Retry-After where the dispatcher named none, ms. Chosen, not measured: short against time-outs. */
+/** Retry-After if the dispatcher did not provide one. */
 export const DEFAULT_RETRY_AFTER_MS = 100;
-/** Share of the target latency after which a hedge is sent. Chosen, not measured: half is left to answer. */
+/** Fraction of the target latency after which a hedge is sent. */
 const HEDGE_DELAY_FRACTION = 0.5;
-/** Least delay of a hedge, milliseconds. Chosen, not measured: a low target must not double every request. */
+/** Keeps routes with a low target latency from hedging every request. */
 const MIN_HEDGE_DELAY_MS = 60;
-/** Least remaining time in which an attempt starts, ms. Chosen, not measured: too short to be answered. */
+/** Minimum time before the deadline at which an attempt may still start. */
 const MIN_ATTEMPT_TIME_MS = 5;
-/** Statuses from here on are failures of the replica. */
 const FIRST_SERVER_ERROR_STATUS = 500;
 
-/** Whether a request may run more than once, and so be retried after an attempt that may have run. */
+/** Whether a request may run more than once, and so be retried after an attempt with an unknown outcome. */
 export function isSafeToRetry(kind: RouteKind): boolean {
   return kind === 'safe';
 }
 
-/** Time without an answer after which a hedge is sent, milliseconds, from the route's target latency. */
+/** Time without a response after which a hedge is sent. */
 export function hedgeDelayMs(targetLatencyMs: number): number {
   return Math.max(MIN_HEDGE_DELAY_MS, targetLatencyMs * HEDGE_DELAY_FRACTION);
 }
 
-/** Whether too little time is left to start an attempt; both on the monotonic clock, milliseconds. */
+/** Whether too little time is left to start an attempt. Both times are on the monotonic clock. */
 export function isTooLateToStart(nowMs: number, deadlineMs: number): boolean {
   return nowMs >= deadlineMs - MIN_ATTEMPT_TIME_MS;
 }
 
-/** What decides on another attempt. */
+/** State of a request that decides whether another attempt may start. */
 export interface AttemptInput {
-  /** Attempts that have no outcome yet. */
+  /** Attempts without an outcome. */
   readonly pendingAttempts: number;
   /** Attempts that failed and may have run. */
   readonly failedAttempts: number;
   readonly maxAttempts: number;
-  /** Whether the dispatcher rejected the request: it is not sent again. */
+  /** Whether the dispatcher rejected the request, which ends its attempts. */
   readonly isDeclined: boolean;
   readonly isHedged: boolean;
   readonly verdict: QuarantineVerdict;
 }
 
-/** Whether an attempt may start, beside pending ones or alone. A suspected request gets no hedge. */
+/** Whether an attempt may start. Requests suspected of crashing replicas are not hedged. */
 export function mayStartAttempt(input: AttemptInput): boolean {
   const { pendingAttempts, failedAttempts, maxAttempts, isDeclined, isHedged, verdict } = input;
   if (isDeclined || failedAttempts + pendingAttempts >= maxAttempts || verdict.kind === 'held') return false;
   return pendingAttempts === 0 || (isHedged && verdict.kind === 'clear');
 }
 
-/** What the outcome of an attempt means for its request. */
+/** Meaning of an attempt's outcome for its request. */
 export type OutcomeClass =
   | { readonly kind: 'answer'; readonly answer: BufferedAnswer; readonly isServed: boolean }
-  /** No outcome of the request: an attempt that was aborted, or a hedge for which there was no slot. */
+  /** No effect: the attempt was aborted, or no slot was free for a hedge. */
   | { readonly kind: 'ignored' }
-  /** Rejected by the dispatcher; has not run. */
+  /** Rejected by the dispatcher. Did not run. */
   | { readonly kind: 'declined'; readonly reason: string }
-  /** May have run. `isFinal`: it must not run twice, so that there is no other attempt. */
+  /** May have run. `isFinal`: must not be retried, since the request may run only once. */
   | {
       readonly kind: 'failed';
       readonly reason: string;
@@ -69,7 +67,7 @@
       readonly answer?: BufferedAnswer;
     };
 
-/** Judges an attempt's outcome. An error status is the final answer where a request must not run twice. */
+/** Classifies an attempt's outcome. An error status is final for requests that may run only once. */
 export function classifyOutcome(
   outcome: AttemptOutcome,
   isHedge: boolean,
@@ -85,7 +83,7 @@
   return { kind: 'failed', reason: `status ${answer.status}`, isFinal: false, answer };
 }
 
-/** What is known of a request for which no attempt is left. */
+/** State of a request for which no attempt is left. */
 export interface ExhaustedInput {
   readonly lastErrorAnswer: BufferedAnswer | undefined;
   readonly verdict: QuarantineVerdict;
@@ -96,15 +94,17 @@
 }
 
 /**
- * What the caller gets when no attempt is left: the last error of a replica; else, where it has not run, a
- * rejection with Retry-After, which for a quarantined request is the end of its quarantine; else a failure
- * that promises nothing.
+ * Outcome when no attempt is left: the last error response of a replica; otherwise, if the request did not
+ * run, a rejection with Retry-After, which for a quarantined request is the end of the quarantine; otherwise
+ * a failure.
  */
 export function exhaustedOutcome(input: ExhaustedInput): RelayOutcome {
   const { lastErrorAnswer, verdict, mayHaveRun, attempts } = input;
   if (lastErrorAnswer) return { kind: 'answered', answer: lastErrorAnswer, attempts };
   const isQuarantined = verdict.kind === 'held';
-  const reason = isQuarantined ? `${verdict.ends} replicas have ended under this request` : input.lastReason;
+  const reason = isQuarantined
+    ? `quarantined: ${verdict.ends} replicas crashed while running it`
+    : input.lastReason;
   if (mayHaveRun) return { kind: 'failed', reason, isTimeout: false, attempts };
   const retryAfterMs = isQuarantined ? verdict.retryAfterMs : input.retryAfterMs;
   return { kind: 'refused', reason, retryAfterMs, attempts };
--- a/src/coordination/service/requests/relay-run.ts
+++ b/src/coordination/service/requests/relay-run.ts
@@ -1,13 +1,10 @@
 /**
- * One relayed request, from its first attempt to the outcome that its caller gets.
- *
- * Owns: the attempts of the request and their abort signal. Relies on the rules of `relay-policy.ts`, on
- * dispatch for sending, and on the quarantine for its verdict. Attempts that fail are retried as the rules
- * allow until the deadline.
+ * Runs one relayed request: starts attempts, retries and hedges by `relay-policy.ts` until there is an
+ * outcome.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import type { BufferedAnswer, DispatchCall, DispatchResult } from '../dispatch/index.js';
-import { type ExecutionCounter, ExecutionTracker } from './execution-count.js';
+import { type ExecutionCounter, ExecutionTracker } from './execution-tracker.js';
 import {
   classifyOutcome,
   DEFAULT_RETRY_AFTER_MS,
@@ -21,27 +18,24 @@
 import type { RequestQuarantine } from './request-quarantine.js';
 
 /**
- * Time after the deadline in which the replica may still end the request by itself, milliseconds: it knows
- * the remaining time, and an abort would cost the connection. Chosen, not measured; the connections that it
- * saves are in docs/incidents/connections-after-time-outs.md.
+ * Time after the deadline before a pending attempt is aborted. Replicas know the deadline and normally end
+ * the request themselves, which keeps the connection reusable; an abort closes it.
  */
 const ABORT_GRACE_MS = 250;
 
-/** Sends an attempt; `isRepeatable` says whether the request may run more than once. Never rejects. */
+/** Sends an attempt. `isRepeatable`: the request may run more than once. The promise never rejects. */
 export type SendAttempt = (call: DispatchCall, isRepeatable: boolean) => Promise<DispatchResult>;
 
-/** An attempt with its outcome. */
+/** A completed attempt. */
 interface Attempt {
   readonly result: DispatchResult;
   readonly isHedge: boolean;
 }
 
-/** One request under way. */
 export class RelayRun {
   private readonly deadlineMs: number;
   private readonly isRepeatable: boolean;
   private readonly pending = new Set<Promise<Attempt>>();
-  /** IDs of the replicas that were used. */
   private readonly usedReplicaIds = new Set<string>();
   private readonly controller = new AbortController();
   private readonly executionTracker: ExecutionTracker;
@@ -49,12 +43,12 @@
   private isDeclined = false;
   private retryAfterMs = DEFAULT_RETRY_AFTER_MS;
   private mayHaveRun = false;
-  /** Whether a replica took it: only then does another attempt draw on the retry budget. */
+  /** Whether any attempt reached a replica; only then do further attempts consume retry budget. */
   private hasReachedReplica = false;
-  /** Earliest time of a hedge, on the monotonic clock. */
+  /** Earliest time of a hedge on the monotonic clock. */
   private hedgeAtMs = 0;
   private lastErrorAnswer: BufferedAnswer | undefined;
-  private lastReason = 'none available';
+  private lastReason = 'no attempt was started';
 
   constructor(
     private readonly request: RelayedRequest,
@@ -68,7 +62,7 @@
     this.executionTracker = new ExecutionTracker(request.tenant, countExecution);
   }
 
-  /** Runs it to its end. Never rejects. */
+  /** Runs the request to its outcome. Never rejects. */
   async run(): Promise<RelayOutcome> {
     const { signal } = this.request;
     const onCallerAbort = () => this.controller.abort();
@@ -92,7 +86,7 @@
     }
   }
 
-  /** Starts an attempt if one may start; the final outcome if none is pending and none may start. */
+  /** Starts an attempt if allowed. Returns the final outcome if none is pending and none may start. */
   private startOrFinish(): RelayOutcome | undefined {
     if (this.request.signal.aborted) return { kind: 'cancelled', attempts: this.attempts };
     const hasPending = this.pending.size > 0;
@@ -156,7 +150,7 @@
     };
   }
 
-  /** The next outcome of a pending attempt, the time of a hedge, or the deadline, whichever comes first. */
+  /** Resolves with the first of: the outcome of a pending attempt, the hedge timer, the deadline. */
   private async nextEvent(): Promise<Attempt | 'timeout' | 'hedge'> {
     const nowMs = monotonicMs();
     const remainingMs = Math.max(0, this.deadlineMs - nowMs);
@@ -173,7 +167,7 @@
     }
   }
 
-  /** The final outcome, or `undefined` to go on. */
+  /** Returns the final outcome, or `undefined` to continue. */
   private handleOutcome({ result, isHedge }: Attempt): RelayOutcome | undefined {
     const verdict = classifyOutcome(result.outcome, isHedge, this.isRepeatable);
     if (verdict.kind === 'ignored') return undefined;
@@ -204,16 +198,16 @@
     return exhaustedOutcome({ lastErrorAnswer, verdict, mayHaveRun, lastReason, retryAfterMs, attempts });
   }
 
-  /** At the deadline attempts queued here are withdrawn; where no other was made, the request has not run. */
+  /** Cancels locally queued attempts. If there were no others, the request did not run and is rejected. */
   private timedOut(): RelayOutcome {
     this.executionTracker.cancelQueued();
     const attemptsMade = this.executionTracker.attemptCount;
     if (attemptsMade === 0) {
-      // At once: a turn later another request's arrival could make the queue send what was just withdrawn.
+      // Must be synchronous: otherwise the queue could still dispatch the attempts that were just cancelled.
       this.controller.abort();
       return this.exhausted();
     }
-    this.lastReason = `the time is over; ${attemptsMade} attempt(s) made; before: ${this.lastReason}`;
+    this.lastReason = `deadline exceeded after ${attemptsMade} attempt(s); last reason: ${this.lastReason}`;
     return this.failed(true);
   }
 
@@ -222,8 +216,8 @@
   }
 
   /**
-   * An abort costs the attempt its connection. So attempts still pending after an answer are left to end, and
-   * at the deadline the replica gets `REPLICA_END_MS` to end them.
+   * Aborts pending attempts. An abort closes the connection to the replica, so attempts still pending after
+   * an answer are left to complete, and those pending at the deadline get `ABORT_GRACE_MS` to do so.
    */
   private finish(outcome: RelayOutcome): RelayOutcome {
     if (outcome.kind === 'failed' && outcome.isTimeout)
--- a/src/coordination/service/requests/relayed-request.ts
+++ b/src/coordination/service/requests/relayed-request.ts
@@ -1,47 +1,45 @@
-/** A request that the relay runs, and the outcomes that its caller can get. */
+/** Input and outcome of the request relay. */
 import type { Route } from '../../../protocol/service/routing-configuration.js';
 import type { RoutingSnapshot } from '../../../state/service/configuration/index.js';
 import type { BufferedAnswer } from '../dispatch/index.js';
 
-/** A request to relay. */
 export interface RelayedRequest {
   readonly id: string;
   readonly method: string;
   readonly path: string;
   readonly host: string;
-  /** Tenant on whose behalf it runs, if any. */
   readonly tenant?: string;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
   readonly route: Route;
   readonly snapshot: RoutingSnapshot;
-  /** Time on the monotonic clock until which the caller waits, milliseconds. */
+  /** On the monotonic clock. */
   readonly deadlineMs: number;
   /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
-  /** Whether a hedge may be sent while the first attempt is silent. */
+  /** Whether a second attempt may be sent while the first one has not responded. */
   readonly isHedged: boolean;
-  /** 0 is the most urgent. */
+  /** 0 is the highest. */
   readonly priority: number;
-  /** Flow that fair queueing charges for its use of replicas. */
+  /** Flow that fair queueing charges for the use of replicas. */
   readonly flow: string;
-  /** Whether it is background work, which yields to interactive requests. */
+  /** Background work yields to interactive requests. */
   readonly isBackground: boolean;
-  /** Latency target: time on the monotonic clock at which the answer is wanted, milliseconds. */
+  /** Latency target as a time on the monotonic clock. */
   readonly targetAtMs: number;
 }
 
-/** What the caller gets. `attempts` are the IDs of the replicas that were used. */
+/** Outcome for the caller. `attempts` holds the IDs of the replicas that were used. */
 export type RelayOutcome =
   | { readonly kind: 'answered'; readonly answer: BufferedAnswer; readonly attempts: readonly string[] }
-  /** Did not run and will not run: any request may be retried after `retryAfterMs` milliseconds. */
+  /** Did not run and will not run: safe to retry after `retryAfterMs`. */
   | {
       readonly kind: 'refused';
       readonly reason: string;
       readonly retryAfterMs: number;
       readonly attempts: readonly string[];
     }
-  /** May have run: only a request that may run twice can be retried. */
+  /** May have run: only safe to retry if the request may run more than once. */
   | {
       readonly kind: 'failed';
       readonly reason: string;
--- a/src/coordination/service/requests/request-quarantine.ts
+++ b/src/coordination/service/requests/request-quarantine.ts
@@ -1,10 +1,7 @@
 /**
- * Quarantine of requests that crash replicas. Senders ask for a verdict before each attempt and report each
- * crash; the rules of the verdict are in `crash-history.ts`.
- *
- * Owns: the crash history of this node. Relies on the store to share reports with all nodes
- * (docs/design/retries-hedges-and-quarantine.md) and to hold them for nodes that start later. It never waits for the store:
- * without it a node decides by what it knows, and exchanges reports with peers (`quarantine-exchange.ts`).
+ * Quarantines requests that crash replicas. Senders request a verdict before each attempt and report crashes;
+ * the rules are in `crash-history.ts`. Reports are shared with all nodes through the store. Verdicts never
+ * wait for the store: they use the reports known to this node.
  */
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
@@ -28,14 +25,12 @@
 const CLEAR: QuarantineVerdict = { kind: 'clear' };
 const CRASH_ADDRESS = { table: FOLLOWED_TABLE, partition: CRASH_PARTITION } as const;
 
-/** Dependencies of the quarantine. */
 export interface QuarantineServices {
   readonly store: RecordStore;
   readonly metrics: Pick<ServiceMetrics, 'quarantinedRequests' | 'suspectRequests'>;
   readonly logger: DecisionLogger;
 }
 
-/** The quarantine of one node. */
 export class RequestQuarantine implements FeedHandler<readonly StoredRecord[]> {
   readonly table = FOLLOWED_TABLE;
   readonly reports: CrashReports;
@@ -46,33 +41,29 @@
     this.reports = new CrashReports(services.store);
   }
 
-  /** Whether this node has read what others reported before it started. */
+  /** Whether the reports in the store have been read since this process started. */
   get hasLoadedReports(): boolean {
     return this.hasLoaded;
   }
 
-  /**
-   * Whether a request may be sent to a replica now. The digest is computed only if some request is suspected.
-   */
+  /** Whether a request may be sent to a replica now. */
   evaluate(request: IdentifiedRequest): QuarantineVerdict {
     if (this.history.size === 0) return CLEAR;
     return this.history.verdictOf(digestOf(request), this.services.store.nowMs());
   }
 
-  /** Counts a request that its verdict kept from being sent. */
+  /** Counts a request that was not sent because of its verdict. */
   countQuarantined(service: string): void {
     this.services.metrics.quarantinedRequests.inc({ service });
   }
 
-  /**
-   * Reports that a replica crashed while it ran the request. Not for one that was leaving: it ended by plan.
-   */
+  /** Reports that a replica crashed while running the request. Not to be called for a planned shutdown. */
   reportCrash(request: IdentifiedRequest, { id, address }: AttemptedReplica): void {
     const crash = { digest: digestOf(request), address, endedAtMs: this.services.store.nowMs() };
     if (this.addCrash(crash, 'here', id)) this.reports.enqueue(toCrashRecord(crash, id));
   }
 
-  /** Reports that a replica answered the request, which clears it: it does not crash replicas. */
+  /** Reports that a replica answered the request, which clears it of suspicion. */
   reportServed(request: IdentifiedRequest): void {
     if (this.history.size === 0) return;
     const digest = digestOf(request);
@@ -82,7 +73,7 @@
     this.reports.enqueue(toAnswerRecord(run));
   }
 
-  /** Adds reports of a peer, and shares those that are new here with all nodes. */
+  /** Adds reports of a peer and publishes those that are new to this node. */
   addFromPeer(messages: readonly CrashReportMessage[]): void {
     for (const message of messages) {
       if (this.reports.has(message)) continue;
@@ -97,7 +88,7 @@
     this.services.metrics.suspectRequests.set({}, this.history.size);
   }
 
-  /** Applies what it read at once: other partitions of the table may not be readable yet. */
+  /** Applies the records immediately, since other partitions of the table may not be readable yet. */
   async readAll() {
     const read = await readPartition(this.services.store, FOLLOWED_TABLE, CRASH_PARTITION);
     if (read.isOk()) this.replaceAll(read.value.content);
@@ -114,7 +105,7 @@
     if (value !== undefined) this.addReport({ key, value });
   }
 
-  /** Adds a report of another node; false when it cannot be parsed or has expired. */
+  /** Adds a report of another node. Returns false if it is malformed or has expired. */
   private addReport(record: Pick<StoredRecord, 'key' | 'value'>): boolean {
     const report = parseCrashReport(record);
     if (!report || this.reports.isExpired(record)) return false;
@@ -124,7 +115,7 @@
     return true;
   }
 
-  /** Adds a crash and logs the verdict that follows; false when it was known. */
+  /** Adds a crash and logs the resulting verdict. Returns false if the crash was known. */
   private addCrash(crash: Crash, source: 'here' | 'another node', replica: string): boolean {
     const nowMs = this.services.store.nowMs();
     this.history.expireBefore(nowMs - CRASH_EXPIRY_MS);
--- a/test/coordination/service/requests/execution-count.test.ts
+++ b/test/coordination/service/requests/execution-tracker.test.ts
@@ -1,8 +1,8 @@
-/** How often a request is counted for its tenant, whatever its attempts report and when. */
+/** A request is counted exactly once for its tenant, in whichever order its attempts report. */
 import { expect } from 'chai';
-import { ExecutionTracker } from '../../../../src/coordination/service/requests/execution-count.js';
+import { ExecutionTracker } from '../../../../src/coordination/service/requests/execution-tracker.js';
 
-describe('the count of executions of a request', () => {
+describe('ExecutionTracker', () => {
   let countedExecutions: number;
   let tracker: ExecutionTracker;
 
@@ -16,7 +16,7 @@
     });
   });
 
-  it('is one while any attempt may run, and none after all were declined', () => {
+  it('counts one execution while any attempt may run, and none after all were declined', () => {
     const [first, second] = [tracker.start(), tracker.start()];
     tracker.recordHandOver(first, true);
     expect(countedExecutions).to.equal(1);
@@ -26,7 +26,7 @@
     expect(countedExecutions).to.equal(0);
   });
 
-  it('stays one when a withdrawn attempt reports afterwards that it was declined, and another may have run', () => {
+  it('still counts one execution when a cancelled attempt is declined later and another may have run', () => {
     const [handedOver, queued] = [tracker.start(), tracker.start()];
     tracker.recordHandOver(handedOver, true);
     tracker.cancelQueued();
--- a/test/coordination/service/requests/relay-policy.test.ts
+++ b/test/coordination/service/requests/relay-policy.test.ts
@@ -1,4 +1,4 @@
-/** Rules of the relay: when another attempt starts, what an outcome means, what the caller gets at the end. */
+/** Retry and hedging rules of the relay. */
 import { expect } from 'chai';
 import {
   type AttemptInput,
@@ -19,21 +19,21 @@
 };
 const answerOf = (status: number) => ({ status }) as never;
 
-describe('rules of the relay', () => {
-  it('start attempts up to the maximum of the route, pending ones included', () => {
+describe('relay policy', () => {
+  it('starts attempts up to the maximum of the route, including pending ones', () => {
     expect(mayStartAttempt(FIRST)).to.equal(true);
     expect(mayStartAttempt({ ...FIRST, failedAttempts: 2 })).to.equal(true);
     expect(mayStartAttempt({ ...FIRST, failedAttempts: 2, pendingAttempts: 1 })).to.equal(false);
     expect(mayStartAttempt({ ...FIRST, failedAttempts: 3 })).to.equal(false);
   });
 
-  it('start none after a rejection or in quarantine', () => {
+  it('starts no attempt after a rejection or for a quarantined request', () => {
     expect(mayStartAttempt({ ...FIRST, isDeclined: true })).to.equal(false);
     const verdict = { kind: 'held', ends: 3, retryAfterMs: 1 } as const;
     expect(mayStartAttempt({ ...FIRST, verdict })).to.equal(false);
   });
 
-  it('start a hedge only for hedged requests under which no replica crashed', () => {
+  it('starts a hedge only for hedged requests that are not suspected of crashing a replica', () => {
     const withPending = { ...FIRST, pendingAttempts: 1 };
     expect(mayStartAttempt(withPending)).to.equal(true);
     expect(mayStartAttempt({ ...withPending, isHedged: false })).to.equal(false);
@@ -42,17 +42,17 @@
     expect(mayStartAttempt({ ...FIRST, verdict })).to.equal(true);
   });
 
-  it('delay a hedge by half of the target latency, but not below the least delay', () => {
+  it('delays a hedge by half of the target latency, but at least by the minimum delay', () => {
     expect(hedgeDelayMs(400)).to.equal(200);
     expect(hedgeDelayMs(10)).to.equal(60);
   });
 
-  it('start nothing that no replica could answer before the deadline', () => {
+  it('starts no attempt that cannot be answered before the deadline', () => {
     expect(isTooLateToStart(994, 1_000)).to.equal(false);
     expect(isTooLateToStart(995, 1_000)).to.equal(true);
   });
 
-  it('retry an attempt that may have run only where the request may run twice', () => {
+  it('retries an attempt that may have run only if the request may run twice', () => {
     const unknown = { kind: 'unknown', reason: 'reset' } as const;
     expect(classifyOutcome(unknown, false, true)).to.include({ kind: 'failed', isFinal: false });
     expect(classifyOutcome(unknown, false, false)).to.include({ kind: 'failed', isFinal: true });
@@ -63,14 +63,14 @@
     expect(classifyOutcome(served, false, true)).to.include({ kind: 'answer', isServed: true });
   });
 
-  it('ignore a hedge without a slot, and attempts that were aborted', () => {
+  it('ignores hedges without a free slot and aborted attempts', () => {
     const declined = { kind: 'declined', reason: 'full', isFull: true } as const;
     expect(classifyOutcome(declined, true, true)).to.deep.equal({ kind: 'ignored' });
     expect(classifyOutcome(declined, false, true)).to.deep.equal({ kind: 'declined', reason: 'full' });
     expect(classifyOutcome({ kind: 'cancelled' }, false, true)).to.deep.equal({ kind: 'ignored' });
   });
 
-  it('promise that a request has not run only where no attempt may have run', () => {
+  it('reports that a request did not run only if no attempt may have run', () => {
     const input = {
       lastErrorAnswer: undefined,
       verdict: { kind: 'clear' },
--- a/test/coordination/service/requests/replica-restart.test.ts
+++ b/test/coordination/service/requests/replica-restart.test.ts
@@ -1,6 +1,6 @@
 /**
- * Replicas that start again under the id that they had, before real nodes: what ran there has ended, what was believed of them
- * is believed no more, and records that other writers leave in their table name no replica.
+ * Replicas that restart under the same ID: their requests have ended, and latency, failures and versions of the
+ * previous process no longer apply. Invalid records of other writers do not become replicas.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -17,13 +17,13 @@
 } from '../../../support/service-system.js';
 import { until } from '../../../support/wait.js';
 
-/** Less than a replica that says nothing is waited for: the route's time-out is 2 s. */
+/** Less than the route's timeout, which would end requests to an unresponsive replica. */
 const MAX_RESPONSE_MS = 1_200;
 const EVENTS = 40;
 const EVENT_MS = 25;
 const SEED = 43;
 
-describe('a replica that restarts under its ID', () => {
+describe('restarted replicas and invalid records', () => {
   let system: ServiceSystem;
   let node: ServiceNodeProcess;
   let requests = 0;
@@ -50,47 +50,47 @@
       ({ message, context }) => message === 'belief-changed' && String(context.change).startsWith(change),
     );
 
-  it('has ended what it ran, also where its connections stay silent: the caller gets an outcome at once', async () => {
+  it('ends requests at a restarted replica at once, even if its old connections are not closed', async () => {
     system.configure(usualConfiguration(2, { lookup: { kind: 'unsafe', timeoutMs: 4_000 } }));
     const replica = await system.addApplication();
     await startNode();
     replica.isSilent = true;
     const startedAt = monotonicMs();
     const pendingAnswer = lookup();
-    await until('it is asked', () => replica.connectionCount() > 0);
+    await until('the replica has a connection', () => replica.connectionCount() > 0);
     await replica.startAgain({ isDark: true });
     expect((await pendingAnswer)?.status).to.equal(502);
     expect(monotonicMs() - startedAt).to.be.lessThan(MAX_RESPONSE_MS);
-    expect(replica.received, 'it may have run, so it is not sent again').to.have.length(0);
+    expect(replica.received, 'the request may have run, so it is not retried').to.have.length(0);
     expect((await lookup())?.status).to.equal(200);
   });
 
-  it('gets the request again where that is safe to retry', async () => {
+  it('retries a request at a restarted replica if the request is safe to retry', async () => {
     const replica = await system.addApplication();
     await startNode();
     replica.isSilent = true;
     const pendingAnswer = lookup();
-    await until('it is asked', () => replica.connectionCount() > 0);
+    await until('the replica has a connection', () => replica.connectionCount() > 0);
     await replica.startAgain({ isDark: true });
     expect((await pendingAnswer)?.status).to.equal(200);
   });
 
-  it('does not inherit the latency and the failures of its former incarnation', async () => {
+  it('resets the latency and failures of a restarted replica', async () => {
     const slow = await system.addApplication({ workMs: 400 });
     await system.addApplication({ workMs: 5 });
     await startNode();
     for (let count = 0; count < 6; count += 1) await lookup();
     slow.workMs = 5;
     await slow.startAgain();
-    await until('the next life is known', () => hasLogged('restarted, started at'));
+    await until('the restart is detected', () => hasLogged('restarted, started at'));
     const before = slow.received.length;
-    await until('it is used like the other', async () => {
+    await until('the restarted replica receives requests', async () => {
       await lookup();
       return slow.received.length > before;
     });
   });
 
-  it('continues no stream: the items continue elsewhere and become whole', async () => {
+  it('completes the items of a restarted replica on other replicas', async () => {
     const engines = await Promise.all(
       [1, 2, 3].map(() => system.addEngine({ events: EVENTS, workMs: EVENT_MS })),
     );
@@ -99,38 +99,43 @@
     const submitted = job('job-1');
     expect(await system.trainer.submit(node.url, submitted)).to.equal(202);
     const [busy] = engines as [ReplicaServer];
-    await until('it runs items', () => busy.running > 0);
+    await until('the replica runs items', () => busy.running > 0);
     await busy.startAgain({ isDark: true });
     expectWhole(await system.trainer.readAll([node.url], 'job-1', 6), submitted, EVENTS);
   });
 
-  it('is loaded with the newest version again when it restarted with an older one', async () => {
+  it('loads the newest version on a replica that restarted with an older one', async () => {
     const engines = await Promise.all([1, 2].map(() => system.addEngine()));
     await startNode();
     const [engine] = engines as [ReplicaServer];
     system.nameVersion(2);
-    await until('all have it', () => engines.every(({ versions }) => versions.get(MODEL) === 2));
+    await until('both replicas have version 2', () =>
+      engines.every(({ versions }) => versions.get(MODEL) === 2),
+    );
     engine.versions.set(MODEL, 1);
     await engine.startAgain();
-    await until('it has it again', () => engine.versions.get(MODEL) === 2);
-    expect(engine.orders.at(-1)?.expected, 'orders are counted anew').to.equal(0);
+    await until('the restarted replica has version 2', () => engine.versions.get(MODEL) === 2);
+    expect(engine.orders.at(-1)?.expected, 'the command count starts from 0').to.equal(0);
   });
 
-  it('is not loaded by a late load command for its former incarnation once it has newer weights', async () => {
+  it('ignores a delayed load command for the previous process of a replica', async () => {
     const engine = await system.addEngine();
     await startNode();
     engine.ordersToDelay = 1;
     engine.lateOrderMs = 2_500;
     system.nameVersion(2);
-    await until('an order is lost', () => engine.orders.length > 0);
+    await until('a command is delayed', () => engine.orders.length > 0);
     await engine.startAgain();
     system.nameVersion(3);
-    await until('it has the newest', () => engine.versions.get(MODEL) === 3);
-    await until('the late one has come', () => engine.orders.length > 1 && engine.ordersToDelay === 0);
+    await until('the replica has version 3', () => engine.versions.get(MODEL) === 3);
+    await until(
+      'the delayed command has arrived',
+      () => engine.orders.length > 1 && engine.ordersToDelay === 0,
+    );
     expect(engine.versions.get(MODEL)).to.equal(3);
   });
 
-  it('shows in its report that it has restarted before its record does', async () => {
+  it('detects a restart from the report of a replica before its record changes', async () => {
     const engine = await system.addEngine();
     await startNode();
     engine.versions.set(MODEL, 1);
@@ -138,10 +143,10 @@
     await engine.startAgain();
     system.store.rows.put(TABLE.replicas, engine.id, row);
     system.nameVersion(2);
-    await until('the next life is known and loaded', () => engine.versions.get(MODEL) === 2);
+    await until('the restarted replica has version 2', () => engine.versions.get(MODEL) === 2);
   });
 
-  it('is not ready again by a late record of its former incarnation once it is draining', async () => {
+  it('keeps a replica draining when a delayed record of its previous process arrives', async () => {
     const [leaving, staying] = (await Promise.all([system.addApplication(), system.addApplication()])) as [
       ReplicaServer,
       ReplicaServer,
@@ -150,16 +155,16 @@
     const before = leaving.row();
     await leaving.startAgain({ clockStepMs: 5 });
     leaving.announce('draining');
-    await until('it drains', () => hasLogged('draining'));
+    await until('the replica is draining', () => hasLogged('draining'));
     const received = leaving.received.length;
     system.store.rows.put(TABLE.replicas, leaving.id, { ...before, born: leaving.bornMs - 5 });
-    await until('the late record is heard of', () => hasLogged('possibly a delayed announcement'));
+    await until('the delayed record is logged', () => hasLogged('possibly a delayed announcement'));
     for (let count = 0; count < 20; count += 1) expect((await lookup())?.status).to.equal(200);
     expect(leaving.received.length).to.equal(received);
     expect(staying.received.length).to.be.greaterThan(0);
   });
 
-  it('and records of other writers: nothing is sent to an address that no valid record named', async () => {
+  it('sends no requests to the addresses of invalid records', async () => {
     const replica = await system.addApplication();
     const withdrawn = await system.addApplication();
     withdrawn.withdraw();
@@ -182,46 +187,46 @@
     const randomRows = fc.sample(fc.json({ maxDepth: 8 }), { numRuns: 40, seed: SEED });
     for (const [at, text] of randomRows.entries())
       rows.put(TABLE.replicas, `drawn-${at}`, JSON.parse(text) as object);
-    await until('they are heard of', () => hasLogged('invalid announcement'));
+    await until('the invalid records are logged', () => hasLogged('invalid announcement'));
     for (let count = 0; count < 30; count += 1) expect((await lookup())?.status).to.equal(200);
     expect(withdrawn.received).to.have.length(0);
     expect(replica.received.length).to.be.at.least(30);
     expect(node.child.exitCode).to.equal(null);
   });
 
-  it('is unavailable while its record is invalid, and available with its own next one', async () => {
+  it('does not use a replica while its record is invalid', async () => {
     const [one, other] = (await Promise.all([system.addApplication(), system.addApplication()])) as [
       ReplicaServer,
       ReplicaServer,
     ];
     await startNode();
     system.store.rows.put(TABLE.replicas, one.id, { service: APPLICATION_SERVICE, addr: one.address });
-    await until('it is gone', () => hasLogged('gone with its record'));
+    await until('the replica is removed', () => hasLogged('gone with its record'));
     const received = one.received.length;
     for (let count = 0; count < 10; count += 1) expect((await lookup())?.status).to.equal(200);
     expect(one.received.length).to.equal(received);
     expect(other.received.length).to.be.at.least(10);
     one.beat();
-    await until('it is used again', async () => {
+    await until('the replica receives requests again', async () => {
       await Promise.all([lookup(), lookup(), lookup(), lookup()]);
       return one.received.length > received;
     });
   });
 
-  it('in a zone that is out of use gets nothing until the zone is back in use', async () => {
+  it('sends no requests to an evacuated zone until the evacuation ends', async () => {
     const [otherZone, evacuatedZone] = (await Promise.all([
       system.addApplication({ zone: 'zone-b' }),
       system.addApplication({ zone: 'zone-a' }),
     ])) as [ReplicaServer, ReplicaServer];
     await startNode();
     system.store.rows.put(TABLE.operator, 'evacuate/zone-a', {});
-    await until('the zone is out of use', () => hasLogged('out of use'));
+    await until('the zone is evacuated', () => hasLogged('out of use'));
     for (let count = 0; count < 10; count += 1) expect((await lookup())?.status).to.equal(200);
     expect(evacuatedZone.received).to.have.length(0);
     expect(otherZone.received).to.have.length(10);
     await otherZone.startAgain();
     system.store.rows.remove(TABLE.operator, 'evacuate/zone-a');
-    await until('it is used again', async () => {
+    await until('the replica receives requests again', async () => {
       await lookup();
       return evacuatedZone.received.length > 0;
     });
--- a/test/coordination/service/requests/request-quarantine.test.ts
+++ b/test/coordination/service/requests/request-quarantine.test.ts
@@ -1,15 +1,6 @@
 /**
- * Requests that crash the replicas which run them.
- *
- * What users saw: one kind of request refused for seconds, again and again, on a day on which nothing else was wrong.
- *
- * The order of events: a request ends the replica that runs it; the silent attempt has been doubled by a second one, which ends
- * the next replica; the route allows a third attempt. The caller comes back at another node with a new identifier, and that
- * node knows nothing of all this. Once the replicas are back after some seconds, so is the request.
- *
- * The cause: a run that ends its replica was taken for a fault of the replica, which is to be tried again elsewhere; nothing of
- * it outlived the try. The evidence: the first test below on the code as it was; six tries of one request at three nodes ended 18
- * replicas, three each, and were answered 502.
+ * A request that crashes replicas must be quarantined on all nodes: retries, hedges and repeats by the caller
+ * would otherwise crash one replica after the other until the whole service rejects requests.
  */
 import { expect } from 'chai';
 import { itemIds } from '../../../../emulator/clients/job-trainer.js';
@@ -25,22 +16,22 @@
 
 const REPLICAS = 4;
 const ROUNDS = 6;
-/** Replicas that one request may end, whatever becomes of it. */
+/** Maximum number of replicas that one request may crash. */
 const MAX_CRASHES = 3;
-/** It may be tried once more after this time when it has ended two, seconds. */
+/** Quarantine after the second crash; the one after the third is longer. */
 const SHORT_QUARANTINE_S = 4;
 const FATAL_PATH = `${LOOKUP_PATH}fatal`;
-const FATAL_BODY = 'ends whoever runs it';
-/** Longer than a request needs to end a replica, and long enough that it is doubled meanwhile, milliseconds. */
+const FATAL_BODY = 'crashes the replica';
+/** Long enough that a hedge is sent while the replica works. */
 const WORK_MS = 300;
 
-describe('a request that crashes the replicas which run it', () => {
+describe('RequestQuarantine', () => {
   let system: ServiceSystem;
   let nodes: ServiceNodeProcess[];
   let crashed: ReplicaServer[];
   let requestCount = 0;
 
-  /** Starts the next life of each replica that was ended. */
+  /** Restarts all crashed replicas. */
   async function restartCrashed(): Promise<void> {
     const toRestart = system.replicas.filter(
       (replica) => crashed.includes(replica) && !restarted.has(replica),
@@ -65,7 +56,7 @@
 
   const sendFatal = (node: ServiceNodeProcess) => system.lookup(node, nextId(), {}, FATAL_PATH, FATAL_BODY);
 
-  /** Sends it to each node in turn, at each one once its replicas are back. */
+  /** Sends the crashing request to each node in turn, after restarting crashed replicas. */
   async function sendRepeatedly(rounds: number): Promise<(number | undefined)[]> {
     const statuses: (number | undefined)[] = [];
     for (let round = 0; round < rounds; round += 1) {
@@ -92,13 +83,13 @@
 
   afterEach(() => system.stop());
 
-  it('crashes three at most, however often and at whichever node it is sent', async () => {
+  it('limits a request to three crashed replicas, however often and to whichever node it is sent', async () => {
     const statuses = await sendRepeatedly(ROUNDS);
     expect(crashed.length, statuses.join()).to.be.within(1, MAX_CRASHES);
     expect(statuses.at(-1)).to.equal(503);
   });
 
-  it('is refused with Retry-After, and has not run then', async () => {
+  it('rejects a quarantined request with Retry-After without running it', async () => {
     await sendRepeatedly(ROUNDS);
     const before = system.replicas.flatMap((replica) => replica.received).length;
     const answer = await sendFatal(nodes[0] as ServiceNodeProcess);
@@ -107,8 +98,8 @@
     expect(system.replicas.flatMap((replica) => replica.received).length).to.equal(before);
   });
 
-  it('stays quarantined after all nodes were killed', async () => {
-    await until('every node holds it for long', async () => {
+  it('keeps a request quarantined after all nodes were killed', async () => {
+    await until('every node has it in long quarantine', async () => {
       await sendRepeatedly(nodes.length);
       const waits: number[] = [];
       for (const node of nodes) waits.push(Number((await sendFatal(node))?.headers['retry-after']));
@@ -123,7 +114,7 @@
     expect(crashed.length).to.equal(before);
   });
 
-  it('is distinguished from one that many callers repeat and that runs at each crash', async () => {
+  it('does not quarantine a popular request that runs during each crash', async () => {
     const popular = () =>
       system.lookup(nodes[0] as ServiceNodeProcess, nextId(), {}, `${LOOKUP_PATH}popular`);
     for (let round = 0; round < ROUNDS; round += 1) {
@@ -135,24 +126,24 @@
       );
       await Promise.all([sendFatal(node), popular(), popular(), popular()]);
       await restartCrashed();
-      await until('it is served', async () => (await popular())?.status === 200);
+      await until('the popular request is served', async () => (await popular())?.status === 200);
     }
     expect(crashed.length).to.be.within(1, MAX_CRASHES);
     expect((await sendFatal(nodes[0] as ServiceNodeProcess))?.status).to.equal(503);
   });
 
-  it('is quarantined at a node that the store rejects, and through that node at all others', async () => {
+  it('quarantines a request at a node that cannot reach the store, and through it at all others', async () => {
     const [cut, ...served] = nodes as [ServiceNodeProcess, ...ServiceNodeProcess[]];
     await until('the nodes know each other', () =>
       nodes.every((node) => node.log.some(({ context }) => context.subject === 'peers')),
     );
     cut.proxy.set('cut');
-    await until('the store is out of reach', async () => (await system.status(cut.readyUrl)) === 503);
-    await until('it is held at a node that is cut off', async () => {
+    await until('the node has lost the store', async () => (await system.status(cut.readyUrl)) === 503);
+    await until('the disconnected node quarantines it', async () => {
       await restartCrashed();
       return (await sendFatal(cut))?.status === 503 && crashed.length > 1;
     });
-    await until('all others hold it', async () => {
+    await until('all other nodes quarantine it', async () => {
       const statuses: (number | undefined)[] = [];
       for (const node of served) statuses.push((await sendFatal(node))?.status);
       return statuses.every((status) => status === 503);
@@ -160,7 +151,7 @@
     expect(crashed.length).to.be.at.most(MAX_CRASHES);
   });
 
-  it('does not keep others of its route and caller from being served', async () => {
+  it('does not affect other requests of the same route and caller', async () => {
     await sendRepeatedly(ROUNDS);
     await restartCrashed();
     for (const node of nodes) {
@@ -172,8 +163,8 @@
   });
 });
 
-describe('an item that crashes the replicas which run it', () => {
-  it('crashes three at most, is not dead for it, and does not keep the other items from being listed', async () => {
+describe('RequestQuarantine of job items', () => {
+  it('limits an item to three crashed replicas, does not mark it dead, and lists the other items', async () => {
     const system = await ServiceSystem.start();
     const crashed: ReplicaServer[] = [];
     const watch = (replica: ReplicaServer) => {
@@ -190,7 +181,7 @@
       const results = await system.trainer.readAll([node.url], submitted.id, itemIds(submitted).length - 1);
       expect(results.map(({ state }) => state)).to.deep.equal(results.map(() => 'completed'));
       expect(results.map(({ id }) => id)).not.to.include(itemIds(submitted)[0]);
-      await until('the item is held for long', () =>
+      await until('the item is in long quarantine', () =>
         node.log.some(
           ({ message, context }) => message === 'request-suspected' && context.ends === MAX_CRASHES,
         ),
--- a/test/coordination/service/requests/service-relay.test.ts
+++ b/test/coordination/service/requests/service-relay.test.ts
@@ -1,4 +1,4 @@
-/** A relayed request at its deadline: what was never handed over has not run. Without a network. */
+/** A request that reaches its deadline before it was handed over must be reported as not run. */
 import { expect } from 'chai';
 import { monotonicMs } from '../../../../src/common/clock.js';
 import { ServiceMetrics } from '../../../../src/common/service-metrics.js';
@@ -21,7 +21,7 @@
   maxAttempts: 3,
 } as unknown as Route;
 
-describe('a relayed request at its deadline', () => {
+describe('ServiceRelay at the deadline', () => {
   let calls: DispatchCall[];
   let countedExecutions: number;
 
@@ -30,7 +30,7 @@
     countedExecutions = 0;
   });
 
-  /** Relays a request whose attempts end only when they are aborted; `onCall` plays the queue or the other node. */
+  /** Relays a request whose attempts end only when aborted. `onCall` stands in for the queue or a remote node. */
   function relay(onCall: (call: DispatchCall) => void) {
     const quarantine = new RequestQuarantine({
       store: {} as never,
@@ -71,7 +71,7 @@
     } as unknown as RelayedRequest);
   }
 
-  it('has not run while it is queued here: it is rejected, withdrawn at once and not counted', async () => {
+  it('rejects a locally queued request, aborts it at once and does not count it', async () => {
     const outcome = await relay(() => {});
     expect(outcome.kind).to.equal('refused');
     if (outcome.kind === 'refused') expect(outcome.retryAfterMs).to.be.greaterThan(0);
@@ -79,13 +79,13 @@
     expect(countedExecutions).to.equal(0);
   });
 
-  it('may have run once it was handed over: it fails, and counts', async () => {
+  it('fails and counts a request that was handed over, since it may have run', async () => {
     const outcome = await relay((call) => call.onHandOver?.(true));
     expect(outcome).to.include({ kind: 'failed', isTimeout: true });
     expect(countedExecutions).to.equal(1);
   });
 
-  it('has not run when it was handed over, not taken, and is queued here again', async () => {
+  it('rejects a request that was handed over but not accepted, and does not count it', async () => {
     const outcome = await relay((call) => {
       call.onHandOver?.(true);
       call.onHandOver?.(false);
--- a/test/coordination/service/requests/service-requests.test.ts
+++ b/test/coordination/service/requests/service-requests.test.ts
@@ -1,4 +1,4 @@
-/** Requests of callers through serving nodes: routing, whole answers, retries, refusals, limits, planned stops. */
+/** Requests through a serving node: routing, complete responses, retries, rejections, limits and shutdown. */
 import { spawnSync } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { expect } from 'chai';
@@ -17,7 +17,7 @@
 } from '../../../support/service-system.js';
 import { until } from '../../../support/wait.js';
 
-describe('requests through a serving node', () => {
+describe('service node', () => {
   let system: ServiceSystem;
   let node: ServiceNodeProcess;
 
@@ -70,7 +70,7 @@
     }
   });
 
-  it('never relays a response without a length that was cut by a reset', async () => {
+  it('never relays a truncated response without a length', async () => {
     const replica = await system.addApplication();
     await startNode();
     replica.unframedCuts = 2;
@@ -81,7 +81,7 @@
     expect(replica.unframedCuts).to.equal(0);
   });
 
-  it('gives a response that ended with its connection no length, since it may be cut', async () => {
+  it('relays a response delimited by connection close without a length, since it may be truncated', async () => {
     const replica = await system.addApplication();
     await startNode();
     replica.unframedCuts = 1;
@@ -93,7 +93,7 @@
     expect(answer?.headers.connection).to.equal('close');
   });
 
-  it('sends a hedge while the first replica is silent', async () => {
+  it('sends a hedge while the first replica does not respond', async () => {
     const [first, second] = [await system.addApplication(), await system.addApplication()];
     await startNode();
     first.isSilent = true;
@@ -112,7 +112,7 @@
     expect(replicas.reduce((sum, replica) => sum + replica.received.length, 0)).to.equal(3);
   });
 
-  it('does not retry a request that runs at most once, and does not promise that it did not run', async () => {
+  it('neither retries an unsafe request nor reports that it did not run', async () => {
     system.configure(usualConfiguration(2, { lookup: { kind: 'unsafe' } }));
     const replicas = [await system.addApplication(), await system.addApplication()];
     for (const replica of replicas) replica.isSilent = true;
@@ -122,7 +122,7 @@
     expect(replicas.reduce((sum, replica) => sum + replica.received.length, 0)).to.be.at.most(1);
   });
 
-  it('gives the final outcome at the time-out of the route', async () => {
+  it('answers 504 at the timeout of the route', async () => {
     system.configure(usualConfiguration(2, { lookup: { timeoutMs: 500 } }));
     const replica = await system.addApplication();
     replica.isSilent = true;
@@ -133,7 +133,7 @@
     expect(performance.now() - startedAt).to.be.lessThan(2_000);
   });
 
-  it('keeps the connection to a replica that ends the request itself at the deadline', async () => {
+  it('reuses the connection to a replica that ends the request itself at the deadline', async () => {
     system.configure(usualConfiguration(2, { lookup: { timeoutMs: 500 } }));
     const replica = await system.addApplication({ workMs: 60_000 });
     await startNode();
@@ -154,17 +154,17 @@
     const refused = await system.lookup(node, 'request-2');
     expect(refused?.status).to.equal(503);
     expect(Number(refused?.headers['retry-after'])).to.be.greaterThan(0);
-    expect(performance.now() - sentAtMs, 'once it is known, before the time-out').to.be.lessThan(1_900);
+    expect(performance.now() - sentAtMs, 'rejected before the timeout').to.be.lessThan(1_900);
     const alsoRefused = await system.lookup(node, 'request-3', { [HEADER.deadlineMs]: '300' });
-    expect(alsoRefused?.status, 'held for longer than the time left').to.equal(503);
+    expect(alsoRefused?.status, 'waits for longer than the remaining time').to.equal(503);
     await until('the rejections are logged', () => rejectionOf(node, 'request-3') !== undefined);
     expect(Number(rejectionOf(node, 'request-2')?.leftMs)).to.be.greaterThan(500);
-    expect(Number(rejectionOf(node, 'request-3')?.waitedMs), 'on arrival').to.be.lessThan(20);
+    expect(Number(rejectionOf(node, 'request-3')?.waitedMs), 'rejected on arrival').to.be.lessThan(20);
     await running;
     expect(system.replicas[0]?.received.map(({ id }) => id)).to.deep.equal(['request-1']);
   });
 
-  it('does not run at a replica that has the address of another', async () => {
+  it('does not run a request on a different replica that has taken over the address', async () => {
     const replica = await system.addApplication();
     await startNode();
     replica.id = 'another-replica';
@@ -173,7 +173,7 @@
     expect(replica.received).to.have.length(0);
   });
 
-  it('stops the replica when the caller leaves', async () => {
+  it('aborts the request at the replica when the caller disconnects', async () => {
     const replica = await system.addApplication({ workMs: 60_000 });
     await startNode();
     const controller = new AbortController();
@@ -193,11 +193,11 @@
     expect(replica.openedConnections, 'one for each request').to.equal(2);
   });
 
-  it('sends nothing to a replica that is draining or gone', async () => {
+  it('sends no requests to a draining replica', async () => {
     const [leaving, staying] = [await system.addApplication(), await system.addApplication()];
     await startNode();
     leaving.announce('draining');
-    await until('the node has seen it', () =>
+    await until('the node has noticed', () =>
       node.log.some((record) => record.context.name === leaving.id && record.context.change === 'draining'),
     );
     const before = leaving.received.length;
@@ -206,7 +206,7 @@
     expect(staying.received.length).to.be.at.least(8);
   });
 
-  it('puts a configuration in force, and never an older one after it', async () => {
+  it('applies a newer configuration and ignores an older one', async () => {
     await system.addApplication();
     await startNode();
     system.configure(usualConfiguration(5, { lookup: { pathPrefix: '/moved/' } }));
@@ -215,7 +215,7 @@
       return answer?.status === 200;
     });
     system.configure(usualConfiguration(4));
-    await until('the older one was seen', () =>
+    await until('the older configuration is logged', () =>
       node.log.some((record) => record.context.change === 'older than the one in force'),
     );
     expect((await system.lookup(node, 'request-2', {}, '/moved/x'))?.status).to.equal(200);
@@ -240,7 +240,7 @@
     expect(second.received.length).to.be.within(9, 11);
   });
 
-  it('continues to serve while the store is silent, and follows it afterwards', async () => {
+  it('continues to serve while the store does not respond, and applies changes afterwards', async () => {
     await system.addApplication();
     await startNode();
     system.store.mode = 'silent';
@@ -248,24 +248,24 @@
       expect((await system.lookup(node, `request-${index}`))?.status).to.equal(200);
     system.store.mode = 'answering';
     system.configure(usualConfiguration(2, { lookup: { pathPrefix: '/moved/' } }));
-    await until('the new configuration is in force', async () => {
+    await until('the new configuration is applied', async () => {
       return (await system.lookup(node, 'late', {}, '/moved/x'))?.status === 200;
     });
   });
 
-  it('reads the tables whole when the history is forgotten', async () => {
+  it('reloads the tables when the store has lost its change history', async () => {
     await system.addApplication();
     await startNode();
     system.store.mode = 'reset';
     system.configure(usualConfiguration(3, { lookup: { pathPrefix: '/moved/' } }));
     system.store.rows.forgetHistory();
     system.store.mode = 'answering';
-    await until('the new configuration is in force', async () => {
+    await until('the new configuration is applied', async () => {
       return (await system.lookup(node, 'late', {}, '/moved/x'))?.status === 200;
     });
   });
 
-  it('finishes running requests after SIGTERM, and is not ready at once', async () => {
+  it('completes running requests after SIGTERM and reports not ready at once', async () => {
     const replica = await system.addApplication({ workMs: 1_500 });
     await startNode();
     const pending = system.lookup(node, 'request-1');
@@ -279,29 +279,29 @@
     await until('the process has ended', () => node.child.exitCode === 0);
   });
 
-  it('stays up on SIGHUP, also when the settings are wrong', async () => {
+  it('reloads settings on SIGHUP and keeps running if they are invalid', async () => {
     await system.addApplication();
     await startNode();
     node.child.kill('SIGHUP');
-    await until('the settings were read', () =>
+    await until('the settings are reloaded', () =>
       node.log.some((record) => record.context.change === 'settings read again'),
     );
     expect((await system.lookup(node, 'request-1'))?.status).to.equal(200);
     const settings = readFileSync(node.settingsFile, 'utf8');
     writeFileSync(node.settingsFile, settings.replace('bounds.leaseMs=1000', 'bounds.leaseMs=2500'));
     node.child.kill('SIGHUP');
-    await until('the new settings are in force', () =>
+    await until('the new settings are applied', () =>
       node.log.some((record) => String(record.context.detail).includes('leaseMs 1000 to 2500')),
     );
     writeFileSync(node.settingsFile, settings.replace('listen.front=', 'listen.wrong='));
     node.child.kill('SIGHUP');
-    await until('the wrong settings are refused', () =>
+    await until('the invalid settings are rejected', () =>
       node.log.some((record) => String(record.context.detail).includes('listen.front: is missing')),
     );
     expect((await system.lookup(node, 'request-2'))?.status).to.equal(200);
   });
 
-  it('checks a settings file without starting, and names the field that is wrong', async () => {
+  it('checks a settings file without starting and names the invalid field', async () => {
     await system.addApplication();
     await startNode();
     const check = () =>
@@ -318,7 +318,7 @@
     expect(wrong.stderr).to.contain(`${node.settingsFile}: node: is missing`);
   });
 
-  it('answers bad requests with the field that is wrong', async () => {
+  it('names the invalid field in the response to a bad request', async () => {
     await system.addApplication();
     await startNode();
     const missing = await system.lookup(node, '');
@@ -337,7 +337,7 @@
     expect((await system.lookup(node, 'request-3'))?.status).to.equal(200);
   });
 
-  it('does not start with wrong settings, and names the field', async () => {
+  it('does not start with invalid settings and names the field', async () => {
     let message = '';
     try {
       await system.addNode('node-1', { 'listen.front': 'nowhere' });
@@ -347,7 +347,7 @@
     expect(message).to.contain('ended with 2');
   });
 
-  it('reports its items, its oldest job and its singleton tasks', async () => {
+  it('exports metrics of its items, oldest job and singleton tasks', async () => {
     await system.addEngine({ events: 2_000, workMs: 20 });
     await startNode();
     const trainer = { host: HOST, path: JOB_PATH, model: MODEL, minVersion: 1, groups: 3, groupSize: 2 };
@@ -360,8 +360,8 @@
     await until('the items are counted', async () =>
       /thymecove_items\{state="open"\} 6\n/.test(await metrics()),
     );
-    await until('four run', async () => /thymecove_items\{state="waiting"\} 2\n/.test(await metrics()));
-    await until('the duty is held', async () => /thymecove_duties_held 1\n/.test(await metrics()));
+    await until('four items run', async () => /thymecove_items\{state="waiting"\} 2\n/.test(await metrics()));
+    await until('the task is held', async () => /thymecove_duties_held 1\n/.test(await metrics()));
     expect(Number(/^thymecove_oldest_job_seconds (\S+)/m.exec(await metrics())?.[1])).to.be.greaterThan(0);
   });
 
@@ -375,7 +375,7 @@
     );
   });
 
-  it('is served again by the next process after a kill', async () => {
+  it('serves requests again after the process was killed and restarted', async () => {
     await system.addApplication();
     await startNode();
     await kill(node);
--- a/test/coordination/service/requests/tenants.test.ts
+++ b/test/coordination/service/requests/tenants.test.ts
@@ -1,4 +1,4 @@
-/** Tenants and their keys: who may send what, on whose behalf it runs, and that changes of keys reach every node in time. */
+/** Authentication of tenants by API key, ownership of jobs, and propagation of key changes to all nodes. */
 import { expect } from 'chai';
 import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
 import { HEADER } from '../../../../platform/names.js';
@@ -15,11 +15,11 @@
 import { until } from '../../../support/wait.js';
 
 const UNAUTHORIZED = 401;
-/** Time within which a change of keys must be in force at every node that other nodes reach, milliseconds. */
+/** Time within which a key change must apply on every node that is reachable by other nodes. */
 const KEY_CHANGE_BOUND_MS = 3_000;
 const JOB = { host: HOST, path: JOB_PATH, model: MODEL, minVersion: 1, groups: 1, groupSize: 2 };
 
-describe('tenants', () => {
+describe('tenant authentication', () => {
   let system: ServiceSystem;
   let application: ReplicaServer;
 
@@ -37,7 +37,7 @@
     return node;
   }
 
-  it('are named to the replica by their key alone, and the key is kept from it and from the log', async () => {
+  it('identifies tenants to the replica by their key alone, and neither forwards nor logs the key', async () => {
     const node = await startNode('node-1');
     const headers = { ...bearing('large-key-2'), [HEADER.tenant]: 'small' };
     expect((await system.lookup(node, 'request-1', headers))?.status).to.equal(200);
@@ -47,7 +47,7 @@
     expect(JSON.stringify(node.log)).to.not.contain('large-key-2');
   });
 
-  it('need a known key before any replica is chosen, but not on public routes', async () => {
+  it('requires a valid key, except on public routes', async () => {
     const node = await startNode('node-1');
     expect((await system.lookup(node, 'request-1'))?.status).to.equal(UNAUTHORIZED);
     const unknown = await system.lookup(node, 'request-2', bearing('nobody-has-this'));
@@ -66,37 +66,37 @@
     expect(JSON.stringify(node.log)).to.not.contain('nobody-has-this');
   });
 
-  it('need no key where the configuration has no tenants, and headers pass unchanged', async () => {
+  it('requires no key if the configuration has no tenants, and forwards the authorization header', async () => {
     system.configure(usualConfiguration(3));
     const node = await startNode('node-1');
     expect((await system.lookup(node, 'request-1', bearing('own')))?.status).to.equal(200);
     expect(application.received[0]?.authorization).to.equal('Bearer own');
   });
 
-  it('get 503, never 401, from a node that knows no configuration', async () => {
+  it('answers 503 instead of 401 on a node without a configuration', async () => {
     system.store.mode = 'silent';
     const node = await system.addNode('node-1');
     expect((await system.lookup(node, 'request-1', bearing('large-key-1')))?.status).to.equal(503);
     expect((await system.lookup(node, 'request-2', bearing('unknown')))?.status).to.equal(503);
   });
 
-  it('lose and gain keys with each configuration, also the last key', async () => {
+  it('adds and revokes keys with each configuration, including the last key', async () => {
     const node = await startNode('node-1');
     expect((await system.lookup(node, 'request-1', bearing('small-key-1')))?.status).to.equal(200);
     system.configure(tenantConfiguration(3, [LARGE, { ...SMALL, apiKeys: [] }]));
-    await until('the last key is taken away', async () => {
+    await until('the last key is revoked', async () => {
       const answer = await system.lookup(node, 'request-2', bearing('small-key-1'));
       return answer?.status === UNAUTHORIZED;
     });
     system.configure(tenantConfiguration(4, [LARGE, { ...SMALL, apiKeys: ['small-key-2'] }]));
-    await until('the new key is known', async () => {
+    await until('the new key is accepted', async () => {
       const answer = await system.lookup(node, 'request-3', bearing('small-key-2'));
       return answer?.status === 200;
     });
     expect((await system.lookup(node, 'request-4', bearing('small-key-1')))?.status).to.equal(UNAUTHORIZED);
   });
 
-  it('lose a key also at a node rejected by the store, as another node reports, and never get it back', async () => {
+  it('revokes a key through another node on a node without access to the store, and permanently', async () => {
     const connectedNode = await startNode('node-1');
     const rejectedNode = await startNode('node-2');
     await until('the nodes know each other', () =>
@@ -105,7 +105,7 @@
     rejectedNode.proxy.set('cut');
     system.configure(tenantConfiguration(3, [{ ...LARGE, apiKeys: ['large-key-2'] }, SMALL]));
     const changedAt = performance.now();
-    await until('the key is no longer taken', async () => {
+    await until('the key is rejected', async () => {
       const answer = await system.lookup(rejectedNode, 'request-1', bearing('large-key-1'));
       return answer?.status === UNAUTHORIZED;
     });
@@ -121,17 +121,17 @@
     );
   });
 
-  it('get 503 for a key that a node cannot judge, since neither the store nor another node answers it', async () => {
+  it('answers 503 for an unknown key while neither the store nor another node is reachable', async () => {
     const node = await startNode('node-1');
     node.proxy.set('cut');
-    await until('the store is out of reach', async () => {
+    await until('the node has lost the store', async () => {
       const answer = await system.lookup(node, 'request-1', bearing('added-meanwhile'));
       return answer?.status === 503 && Number(answer.headers['retry-after']) > 0;
     });
     expect((await system.lookup(node, 'request-2', bearing('large-key-1')))?.status).to.equal(200);
   });
 
-  describe('own their jobs', () => {
+  describe('job ownership', () => {
     let nodes: string[];
     let engine: ReplicaServer;
 
@@ -142,7 +142,7 @@
       system.trainer.key = 'large-key-1';
     });
 
-    it('also by another of their keys, and after the first one was taken away', async () => {
+    it('allows access with another key of the tenant after the first one was revoked', async () => {
       const job = { ...JOB, id: 'job-1', scoringPath: `${SCORING_PATH}x` };
       expect(await system.trainer.submit(nodes[0] as string, job)).to.equal(202);
       system.configure(tenantConfiguration(3, [{ ...LARGE, apiKeys: ['large-key-2'] }, SMALL]));
@@ -155,7 +155,7 @@
       expect(await system.trainer.end(nodes[0] as string, job.id)).to.equal(200);
     });
 
-    it('and no other tenant learns that a job exists', async () => {
+    it('hides the jobs of a tenant from other tenants', async () => {
       engine.workMs = 300;
       const job = { ...JOB, id: 'job-1' };
       expect(await system.trainer.submit(nodes[0] as string, job)).to.equal(202);
