--- a/src/coordination/service/leadership/leader-lease.ts
+++ b/src/coordination/service/leadership/leader-lease.ts
@@ -1,12 +1,8 @@
 /**
- * Leader lease of a singleton task, such as commanding weight loads: at most one node acts.
- *
- * Owns: this node's view of the lease record and its epoch, which is the fencing token. Before each action
- * the record is written, conditional on its version; an action may begin only while that confirmation is
- * fresh. The record names the targets of recent actions and when each had begun at the latest: a successor
- * acts at once on all targets but those on which another machine may have acted within the handover guard.
- * Relies on: the store (conditional writes, its clock), the session monitor (loss of the leader). Without the
- * store nothing is confirmed, so nobody acts.
+ * Leader lease of a singleton task, such as scheduling weight loads. Before each action the leader confirms
+ * the lease by a conditional write; the action may begin only while the confirmation is fresh. The record
+ * lists the targets of recent actions, so that a successor waits for the handover guard only on those
+ * targets.
  */
 import { ConditionVariable } from '../../../common/condition-variable.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -25,32 +21,32 @@
 import { acquisitionReason, confirmationValidityMs, guardedActions, isTakenOver } from './lease-rules.js';
 import { addActions, isUnguarded, type RecentAction } from './recent-actions.js';
 
-/** A confirmed right to act once. */
+/** Permission to begin one action. */
 export interface LeaseConfirmation {
   /** Fencing token. */
   readonly epoch: number;
-  /** Whether an action may still begin under it. Ask right before the action. */
+  /** Whether the action may still begin. Must be checked immediately before the action. */
   isFresh(): boolean;
 }
 
-/** Actions that begin together and share one confirmation. */
+/** Targets that share one confirmation. */
 interface Batch {
   readonly targets: Set<string>;
   readonly confirmation: Promise<LeaseConfirmation | undefined>;
 }
 
-/** One lease as one node sees it. It is read together with the heartbeats of sessions. */
+/** A node's view of one lease. */
 export class LeaderLease {
   private lastKnown: VersionedLease | undefined;
-  /** When this epoch's holder was first seen, on the session monitor's observed time, milliseconds. */
+  /** When the current epoch was first seen, in observed time of the session monitor. */
   private holderSeenAtMs = 0;
-  /** 0 while the lease is not held. */
+  /** 0 while this node does not hold the lease. */
   private heldEpoch = 0;
   private isAcquiring = false;
   private readonly acquired = new ConditionVariable();
-  /** Actions whose confirmation has not been requested yet. */
+  /** Collects targets for the next confirmation. */
   private batch: Batch | undefined;
-  /** Resolves when the confirmation requested last is answered. */
+  /** Settles when the store has answered the latest confirmation. */
   private lastConfirmation: Promise<unknown> = Promise.resolve();
   private readonly address: RecordAddress;
 
@@ -59,7 +55,7 @@
     private readonly task: string,
     private readonly self: OwnerReference,
     private readonly sessions: SessionMonitor,
-    /** Time between actions of leaders on two machines on one target, milliseconds. */
+    /** Minimum time between actions of leaders on different machines on the same target. */
     private readonly handoverGuardMs: () => number,
     private readonly logger: DecisionLogger,
     private readonly time: TimeSources = SYSTEM_TIME,
@@ -67,12 +63,12 @@
     this.address = leaseAddress(task);
   }
 
-  /** Whether this node believes that it holds the lease. */
+  /** Whether this node holds the lease as far as it knows. */
   get isHeld(): boolean {
     return this.heldEpoch > 0;
   }
 
-  /** Fencing token: rises with each change of the holder; 0 while this node does not hold the lease. */
+  /** Fencing token: increases with each change of the holder; 0 while this node does not hold the lease. */
   get epoch(): number {
     return this.heldEpoch;
   }
@@ -83,18 +79,21 @@
     return holder?.node ? holder : undefined;
   }
 
-  /** Resolves while the lease is held, or when `signal` is aborted. */
+  /** Resolves when the lease is held or `signal` is aborted. */
   async waitUntilHeld(signal: AbortSignal): Promise<void> {
     while (!this.isHeld && !signal.aborted) await this.acquired.wait(signal);
   }
 
-  /** Notes the records that were read; acquires the lease if wanted, and free or its holder lost. */
+  /**
+   * Applies the records read from the store. If `wantsLease`, acquires a lease that is free or whose holder
+   * is lost.
+   */
   observe(records: readonly StoredRecord[], wantsLease: boolean): void {
     this.applyRecord(records.find((record) => record.key === this.address.key));
     if (!this.isHeld && wantsLease && !this.isAcquiring) void this.tryAcquire();
   }
 
-  /** Releases the lease. If the write fails, a successor waits until this node counts as lost. */
+  /** Releases the lease. If the write fails, a successor has to wait until this node is considered lost. */
   async release(): Promise<void> {
     if (!this.isHeld || !this.lastKnown) return;
     const { content, version } = this.lastKnown;
@@ -103,16 +102,15 @@
     this.logChange('resigned');
   }
 
-  /** Whether no other machine may have acted on `target` within the handover guard. */
+  /** Whether no other machine can have acted on `target` within the handover guard. */
   allowsAction(target: string): boolean {
     return isUnguarded(this.guardedActions, target, this.self.node);
   }
 
   /**
-   * Has the store confirm the lease before an action on `target`; `undefined` when it does not. After a
-   * suspension of the machine the confirmation is older than the monotonic clock says, and the estimate of
-   * the store's clock is behind until the store has answered: freshness takes both into account, so no action
-   * begins later than its record says.
+   * Confirms the lease in the store before an action on `target`; resolves to `undefined` on failure.
+   * Freshness also covers a suspension of the machine, which the monotonic clock does not count and after
+   * which the estimate of the store's clock is behind: no action begins later than its record says.
    */
   confirm(target: string): Promise<LeaseConfirmation | undefined> {
     this.batch ??= this.openBatch();
@@ -120,7 +118,7 @@
     return this.batch.confirmation;
   }
 
-  /** Collects targets until the previous request is answered and this turn of the event loop is over. */
+  /** Opens a batch that collects targets until the previous confirmation has settled. */
   private openBatch(): Batch {
     const targets = new Set<string>();
     const confirmation = this.lastConfirmation.then(() => {
@@ -164,7 +162,7 @@
     if (previous?.epoch !== content.epoch) this.holderSeenAtMs = this.sessions.observedTimeMs;
     this.lastKnown = { content, version: record.version };
     if (this.isHeld && isTakenOver(content, this.self, this.heldEpoch))
-      this.handleLoss(`taken by ${content.holder.node}`);
+      this.handleLoss(`acquired by ${content.holder.node}`);
   }
 
   private async tryAcquire(): Promise<void> {
@@ -188,10 +186,11 @@
     this.sessions.notifyHolding();
     this.acquired.notifyAll();
     const otherActions = recent.filter((action) => action.node !== this.self.node);
-    this.logChange('taken', `${reason}, ${otherActions.length} targets must wait`);
+    // `taken`: acquired.
+    this.logChange('taken', `${reason}, ${otherActions.length} targets under the handover guard`);
   }
 
-  /** Whether the record was written. Without an answer it counts as not; the next scan shows which. */
+  /** Returns whether the record was written; false also if that is unknown, until the next scan shows it. */
   private async write(version: number, content: LeaseContent): Promise<boolean> {
     const value = Buffer.from(JSON.stringify(content), 'utf8');
     const outcome = await this.store.transact({
@@ -214,6 +213,7 @@
 
   private logChange(change: string, detail?: string): void {
     const epoch = this.lastKnown?.content.epoch ?? 0;
+    // The event `duty-changed` and its key `duty` stand for a change of a singleton task's leader.
     this.logger.record({ event: 'duty-changed', duty: this.task, change, epoch, detail });
   }
 }
--- a/src/coordination/service/leadership/lease-record.ts
+++ b/src/coordination/service/leadership/lease-record.ts
@@ -1,39 +1,41 @@
-/** The stored record of a leader lease, in the sessions' table: one scan reads leases and heartbeats. */
+/**
+ * Stored record of a leader lease. It is in the session table, so that one scan reads leases and heartbeats.
+ */
 import type { RecordAddress, StoredRecord } from '../../../protocol/record-store.js';
 import type { OwnerReference } from '../../../state/service/jobs/index.js';
 import { SESSION_TABLE } from '../membership/index.js';
 import type { RecentAction } from './recent-actions.js';
 
-/** Stored; the names of fields stay. "act" is an action of the leader, `holder` the leader. */
+/** Stored format. */
 export interface LeaseContent {
   readonly holder: OwnerReference;
-  /** Rises with each change of the leader; serves as fencing token. */
+  /** Increases with each change of the holder; serves as fencing token. */
   readonly epoch: number;
-  /** Confirmations of this leader. */
+  /** Number of confirmations by this holder. */
   readonly acts: number;
-  /** How long after its confirmation the last action may still begin, milliseconds. */
+  /** Validity of the last confirmation. */
   readonly validMs: number;
-  /** Actions of this and earlier leaders within the handover guard; nodes of version 0.1.0 leave them out. */
+  /** Actions of this and earlier holders within the handover guard; absent in records of version 0.1.0. */
   readonly recent?: readonly RecentAction[];
 }
 
-/** A lease as read or written last. */
+/** A lease with the version of its record. */
 export interface VersionedLease {
   readonly content: LeaseContent;
-  /** Version of the record; 0 while there is none. */
+  /** 0 if the record does not exist. */
   readonly version: number;
 }
 
-/** Holder of a lease that was released. */
+/** Holder of a released lease. */
 export const NO_HOLDER: OwnerReference = { node: '', life: '' };
 
-/** The lease while there is no record of it. */
 export const ABSENT_LEASE: VersionedLease = {
   content: { holder: NO_HOLDER, epoch: 0, acts: 0, validMs: 0, recent: [] },
   version: 0,
 };
 
 export function leaseAddress(task: string): RecordAddress {
+  // The prefix `duty/` stands for a singleton task.
   return { table: SESSION_TABLE, partition: '', key: `duty/${task}` };
 }
 
--- a/src/coordination/service/leadership/lease-rules.ts
+++ b/src/coordination/service/leadership/lease-rules.ts
@@ -1,28 +1,25 @@
-/** Rules of leader leases: acquisition, validity of a confirmation, and the handover guard. */
+/** Rules of leader leases: acquisition, validity of confirmations, and the handover guard. */
 import type { OwnerReference } from '../../../state/service/jobs/index.js';
 import type { LeaseContent } from './lease-record.js';
 import { ANY_TARGET, type RecentAction } from './recent-actions.js';
 
 /**
- * Age that a confirmation may have when an action begins, milliseconds: `VALIDITY_ANSWERS` usual answers of
- * the store, within these bounds. Chosen, not measured. With less no confirmation of a slow store is fresh;
- * more delays a successor as long.
+ * A confirmation is valid for `VALIDITY_FACTOR` response times of the store, within these bounds. A shorter
+ * validity would expire before a slow store responds; a longer one delays a successor.
  */
 const MIN_VALIDITY_MS = 250;
 const MAX_VALIDITY_MS = 3_000;
 const VALIDITY_FACTOR = 4;
-/** Safety margin added to the handover guard, milliseconds. Chosen, not measured. */
 const HANDOVER_GUARD_MARGIN_MS = 250;
 
-/** Validity of a confirmation; `answerMs` is the usual time of an answer of the store. Milliseconds. */
+/** Validity of a confirmation, given the typical response time of the store. */
 export function confirmationValidityMs(answerMs: number): number {
   return Math.min(MAX_VALIDITY_MS, Math.max(MIN_VALIDITY_MS, Math.round(answerMs * VALIDITY_FACTOR)));
 }
 
 /**
- * Why `self` may acquire the lease of `holder`; `undefined` when it may not. A process on the holder's
- * machine is its successor. `isLost` is asked only about other
- * machines.
+ * Reason for which `self` may acquire the lease of `holder`; `undefined` if it may not. A process on the same
+ * machine may acquire it immediately, since its predecessor has ended.
  */
 export function acquisitionReason(
   holder: OwnerReference,
@@ -34,7 +31,7 @@
   return isLost() ? `${holder.node} is lost` : undefined;
 }
 
-/** Whether the record shows that `self` no longer leads with `heldEpoch`. */
+/** Whether the record shows that `self` no longer holds the lease with `heldEpoch`. */
 export function isTakenOver(
   { holder, epoch }: LeaseContent,
   self: OwnerReference,
@@ -44,8 +41,8 @@
 }
 
 /**
- * Actions from which a leader on another machine must keep the handover guard. A record that names none is of
- * a node of version 0.1.0, which may have begun an action on any target until now.
+ * Actions that are still within the handover guard. A record of version 0.1.0 lists none, so its holder is
+ * assumed to have acted on any target until now.
  */
 export function guardedActions(
   { recent, holder }: LeaseContent,
--- a/src/coordination/service/leadership/recent-actions.ts
+++ b/src/coordination/service/leadership/recent-actions.ts
@@ -1,32 +1,27 @@
-/**
- * Recent actions of a task's leaders, such as load commands to replicas. A leader on another machine keeps
- * the handover guard from each of them. Field names of `RecentAction` are stored in the lease record.
- */
+/** Recent actions of a task's leaders, such as load commands to replicas, for the handover guard. */
 
-/** One action, or the newest one of a node on a target. */
+/** Stored format: the latest action of a node on a target. */
 export interface RecentAction {
   readonly target: string;
-  /** Node that acted. */
   readonly node: string;
-  /** When it had begun at the latest, on the store's clock, milliseconds. */
+  /** Latest possible start of the action on the store's clock. */
   readonly begunByMs: number;
 }
 
-/** Stands for every target. */
+/** Matches every target. */
 export const ANY_TARGET = '*';
 
 /**
- * Actions that are stored one by one; beyond, those of a node are merged into one on every target. Chosen,
- * not measured: one for each replica of a large site, in a record of some tens of kilobytes.
+ * Over this limit the actions of each node are merged into one on `ANY_TARGET`, to bound the record's size.
  */
 const MAX_ACTIONS = 500;
 
-/** Whether none of the actions is one of another machine on `target`. */
+/** Whether no other node has a recent action on `target`. */
 export function isUnguarded(recent: readonly RecentAction[], target: string, node: string): boolean {
   return !recent.some((action) => action.node !== node && [target, ANY_TARGET].includes(action.target));
 }
 
-/** The actions with `added`, each of which replaces the node's earlier action on the same target. */
+/** Adds actions, each of which replaces the node's earlier action on the same target. */
 export function addActions(
   recent: readonly RecentAction[],
   added: readonly RecentAction[],
--- a/test/coordination/service/leadership/leader-lease.test.ts
+++ b/test/coordination/service/leadership/leader-lease.test.ts
@@ -1,4 +1,4 @@
-/** Leader lease: when a successor may act, and on what. */
+/** A successor must not act on a target within the handover guard of an action of another machine. */
 import { expect } from 'chai';
 import { err, ok } from 'neverthrow';
 import { silentDecisionLogger } from '../../../../src/common/decision-logger.js';
@@ -12,19 +12,18 @@
 } from '../../../../src/protocol/record-store.js';
 
 const TASK = 'orders';
-/** Handover guard between actions of two machines on one target, milliseconds. */
 const HANDOVER_GUARD_MS = 3_000;
-/** Time after which no action of an earlier holder is guarded any more, milliseconds. */
+/** Longer than any action of an earlier holder is guarded. */
 const AFTER_GUARD_MS = 10_000;
 
-/** A store with one record and a clock that stands still until a test moves it. */
+/** A store with one record and a manual clock. */
 class LeaseStore {
   record: StoredRecord | undefined;
   clockMs = 1_000;
   transactions = 0;
   private version = 0;
 
-  /** What a node takes the clock to be. A suspended one is behind by its suspension until the store answers again. */
+  /** Lag of the node's estimate of the store's clock after a suspension, until the next response. */
   clockLagMs = 0;
 
   averageLatencyMs = () => 0;
@@ -45,7 +44,7 @@
   }
 }
 
-describe('a leader lease', () => {
+describe('LeaderLease', () => {
   let store: LeaseStore;
   let isLost: boolean;
 
@@ -55,7 +54,7 @@
     suspendedMs = 0;
   });
 
-  /** Added to the time of day: a suspension, which the monotonic clock does not count. */
+  /** Suspension time, which the time of day includes and the monotonic clock does not. */
   let suspendedMs = 0;
   const time = { monotonicMs: () => performance.now(), timeOfDayMs: () => performance.now() + suspendedMs };
 
@@ -78,13 +77,13 @@
     return lease;
   }
 
-  /** A successor on another machine, which takes the lease when its holder is lost. */
+  /** Acquires the lease on another machine after its holder was lost. */
   async function successor(node: string): Promise<LeaderLease> {
     isLost = true;
     return acquire(leaseAt(node, `${node}-life`));
   }
 
-  it('lets a successor act at once on targets without a recent action of its predecessor, on others after the handover guard', async () => {
+  it('lets a successor act at once on targets without recent actions, and on others after the handover guard', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     expect(await first.confirm('replica-1')).to.not.equal(undefined);
     const second = await successor('node-2');
@@ -96,7 +95,7 @@
     expect(second.allowsAction('replica-1')).to.equal(true);
   });
 
-  it('guards recent actions of all machines that held it, not only of the last one', async () => {
+  it('guards recent actions of all previous holders, not only of the last one', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     await first.confirm('replica-1');
     const second = await successor('node-2');
@@ -114,7 +113,7 @@
     expect(after.allowsAction('replica-1')).to.equal(true);
   });
 
-  it('guards actions after it was released', async () => {
+  it('guards actions after a release', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     await first.confirm('replica-1');
     await first.release();
@@ -122,7 +121,7 @@
     expect(second.allowsAction('replica-1')).to.equal(false);
   });
 
-  it('confirms actions that begin together with one write that names them all', async () => {
+  it('confirms actions that begin together with a single write that lists all targets', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     const before = store.transactions;
     const together = ['replica-1', 'replica-2', 'replica-3'].map((target) => first.confirm(target));
@@ -133,7 +132,7 @@
       expect(second.allowsAction(target)).to.equal(false);
   });
 
-  it('confirms an action that begins while another confirmation is open with a write of its own', async () => {
+  it('confirms an action that begins during another confirmation with a separate write', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     const early = first.confirm('replica-1');
     await Promise.resolve();
@@ -144,7 +143,7 @@
     expect(second.allowsAction('replica-2')).to.equal(false);
   });
 
-  it('guards all targets after a holder of an earlier build, which names no actions', async () => {
+  it('guards all targets if the record of an earlier version lists no actions', async () => {
     const value = { holder: { node: 'node-1', life: 'life-1' }, epoch: 1, acts: 7, validMs: 250 };
     const write = { table: 'sessions', partition: '', key: `duty/${TASK}` };
     await store.transact({
@@ -158,7 +157,7 @@
     expect(second.allowsAction('replica-1')).to.equal(true);
   });
 
-  it('confirms no action that begins after the machine was suspended', async () => {
+  it('expires a confirmation when the machine was suspended', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     const confirmation = await first.confirm('replica-1');
     expect(confirmation?.isFresh()).to.equal(true);
@@ -166,7 +165,7 @@
     expect(confirmation?.isFresh()).to.equal(false);
   });
 
-  it('confirms no action that would begin later than recorded, by the clock of a machine that was suspended', async () => {
+  it('does not confirm an action later than recorded when the clock estimate lags after a suspension', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     store.clockMs += AFTER_GUARD_MS;
     store.clockLagMs = AFTER_GUARD_MS;
@@ -175,14 +174,14 @@
     expect((await successor('node-2')).allowsAction('replica-1')).to.equal(false);
   });
 
-  it('confirms nothing once another machine has taken it', async () => {
+  it('confirms no action after another machine has acquired the lease', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     await successor('node-2');
     expect(await first.confirm('replica-1')).to.equal(undefined);
     expect(first.isHeld).to.equal(false);
   });
 
-  it('guards all targets after more actions than are stored one by one', async () => {
+  it('guards all targets when there are too many actions to store individually', async () => {
     const first = await acquire(leaseAt('node-1', 'life-1'));
     await Promise.all(Array.from({ length: 2_000 }, (_, index) => first.confirm(`replica-${index}`)));
     expect(store.record?.value.length).to.be.lessThan(60_000);
