--- a/src/coordination/service/weights/index.ts
+++ b/src/coordination/service/weights/index.ts
@@ -1,1 +1,1 @@
-export { LoadScheduler } from './load-commander.js';
+export { LoadScheduler } from './load-scheduler.js';
--- a/src/coordination/service/weights/load-execution.ts
+++ b/src/coordination/service/weights/load-execution.ts
@@ -1,10 +1,8 @@
 /**
- * Executes one load command: confirms the lease, checks the replica, sends the command and waits until the
- * replica has loaded.
- *
- * Relies on: the lease (fencing token), the replica's report and its count of commands, which makes a late
- * command void. An unanswered command may have been accepted, so it is awaited like an accepted one;
- * repeating it later is safe.
+ * Executes one load command: confirms the lease, checks the replica's report, sends the command and waits
+ * until the version is loaded. A replica rejects a delayed command by its fencing token and expected command
+ * count, so retries are safe. An unanswered command may have been accepted and is awaited like an accepted
+ * one.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -20,17 +18,16 @@
 import { firstPollDelayMs, type LoadDurations, nextPollDelayMs } from './load-timing.js';
 
 const LOAD_MODE: LoadMode = 'retain';
-/** Longest wait for a report or the answer to a command, milliseconds. Chosen, not measured. */
+/** For reports and commands. */
 const CALL_TIMEOUT_MS = 800;
-/** Time after which a load whose end was not seen is planned again. Chosen, not measured. */
+/** Time after which a load that was not seen to complete is scheduled again. */
 const LOAD_TIMEOUT_MS = 4_000;
-/** Time after which an idle replica without the version counts as not loading. Chosen, not measured. */
+/** Time after which a replica that is idle and lacks the version is considered not to be loading. */
 const IDLE_TIMEOUT_MS = LOAD_TIMEOUT_MS / 2;
 
 /** Outcomes after which the replica may be loading. */
 const MAY_BE_LOADING: ReadonlySet<string> = new Set(['accepted', 'unanswered']);
 
-/** What commands are executed with. */
 export interface LoadExecutionServices {
   readonly directory: ReplicaDirectory;
   readonly client: ReplicaClient;
@@ -40,38 +37,36 @@
   readonly logger: DecisionLogger;
 }
 
-/** A version that a replica should load. */
+/** A version for a replica to load. */
 export interface LoadTask {
   readonly state: ReplicaState;
   readonly model: string;
   readonly version: number;
 }
 
-/** How an execution ended. */
 export type LoadResult =
   /** The store did not confirm the lease. */
   | 'unconfirmed'
-  /** Nothing was loaded: the replica is busy, restarted or rejected it, or the confirmation expired. */
+  /** Not loaded: the replica is busy, has restarted or rejected the command, or the confirmation expired. */
   | 'retry-later'
-  /** The replica has loaded, or nothing more is known of it. */
+  /** The version is loaded, or the replica's state is unknown. */
   | 'ended';
 
-/** What a report says of the wanted load. */
+/** State of the task according to a report. */
 type LoadProgress = 'restarted' | 'loaded' | 'behind';
 
-/** What two leaders are fenced by: a replica that restarts is a new one, but at the same address. */
+/** Target of the lease's handover guard: the address, which a replica keeps when it restarts. */
 export function addressOf({ replica }: ReplicaState): string {
   return replica.address;
 }
 
-/** Executes commands of one node. */
 export class LoadExecution {
   constructor(
     private readonly services: LoadExecutionServices,
     private readonly durations: LoadDurations,
   ) {}
 
-  /** Executes one command; resolves when the load has ended. */
+  /** Resolves when the load has ended. */
   async execute(task: LoadTask, signal: AbortSignal): Promise<LoadResult> {
     const { state } = task;
     const { client, lease, directory } = this.services;
@@ -99,7 +94,7 @@
     const outcome = answer.isOk() ? answer.value : 'unanswered';
     metrics.loadCommands.inc({ outcome });
     logger.record({
-      event: 'order-given',
+      event: 'order-given', // A load command was sent.
       replica: state.replica.id,
       model,
       version,
@@ -122,7 +117,7 @@
     return 'ended';
   }
 
-  /** How the load has ended; `undefined` while it may go on. */
+  /** Returns `undefined` while the replica may still be loading. */
   private async checkLoad(task: LoadTask, startedAtMs: number): Promise<LoadResult | undefined> {
     const { state, model, version } = task;
     const { client, directory } = this.services;
@@ -142,9 +137,9 @@
   }
 
   /**
-   * Takes over what a report knows before the replica's announcement does: a later incarnation, or newer
-   * versions. A report that names no start is taken for one of the known incarnation; while the replica is
-   * unavailable nothing is taken over.
+   * Updates the directory if a report shows a restart or the loaded version before the replica's announcement
+   * does. A report without a start time is assumed to be from the known process. Unavailable replicas are not
+   * updated.
    */
   private applyReport({ state, model, version }: LoadTask, report: ReplicaReport): LoadProgress {
     const { replica } = state;
--- a/src/coordination/service/weights/load-priority.ts
+++ b/src/coordination/service/weights/load-priority.ts
@@ -1,51 +1,46 @@
 /**
- * In which order replicas load when several models are behind. Jobs may use the newest version of their model
- * and the one before, and a job lasts as long as its longest samples, which begin first. So a few replicas
- * for every model come before many for one: each load goes to the model of which the smallest share of
- * replicas can serve its jobs.
+ * Order of loads when several models are behind. Jobs may use the newest version of their model or the one
+ * before. Each load goes to the model with the smallest fraction of usable replicas, so that every model gets
+ * a few replicas before one model gets many.
  */
 
-/** A replica that should have the newest version of a model. */
+/** A replica that is assigned to a model. */
 export interface AssignedReplica {
   readonly id: string;
-  /** Version that it has. */
+  /** Loaded version. */
   readonly version: number;
-  /** Whether it loads the newest version now. */
+  /** Whether the newest version is being loaded. */
   readonly isLoading: boolean;
 }
 
-/** A model with the replicas that follow it, those first that should load first. */
+/** A model and its replicas in the order in which they should load. */
 export interface ModelAssignment {
   readonly model: string;
   readonly newest: number;
   readonly replicas: readonly AssignedReplica[];
 }
 
-/** One load to begin. */
 export interface NextLoad {
   readonly id: string;
   readonly model: string;
 }
 
-/**
- * Weight of replicas that cannot serve a model's jobs, relative to 1 for
- * those that can, but not with its newest version. Chosen, not measured.
- */
+/** Weight of replicas without a usable version, relative to 1 for replicas that lack only the newest one. */
 const UNUSABLE_WEIGHT = 2;
 
-/** One model while loads are assigned. */
+/** Counts for one model while loads are ordered. */
 interface ModelProgress {
   readonly model: string;
   readonly newest: number;
   readonly total: number;
   readonly outdated: AssignedReplica[];
-  /** Replicas that have, or will soon have, the newest version. */
+  /** Replicas that have the newest version or are about to load it. */
   current: number;
-  /** Replicas that have, or will soon have, a version that jobs may use. */
+  /** Replicas that have a version usable by jobs or are about to load it. */
   usable: number;
 }
 
-/** Missing loads, the most urgent first. Replicas that `isFree` rejects are skipped. */
+/** Returns the missing loads, most urgent first. Replicas for which `isFree` is false are skipped. */
 export function prioritizeLoads(
   models: readonly ModelAssignment[],
   isFree: (id: string) => boolean,
@@ -83,7 +78,6 @@
   return version >= newest - 1;
 }
 
-/** The larger, the more urgent is a load for the model. */
 function urgencyOf({ total, current, usable }: ModelProgress): number {
   return (UNUSABLE_WEIGHT * (total - usable) + (total - current)) / total;
 }
--- a/src/coordination/service/weights/load-scheduler.ts
+++ b/src/coordination/service/weights/load-scheduler.ts
@@ -1,11 +1,7 @@
 /**
- * Commands model replicas to load the newest named weight version. One node, the leader of that task, sends
- * the commands; a command is fenced by the lease's epoch. Few replicas load at once, so that the others go on
- * serving.
- *
- * Owns: the loads under way and the pauses after failures. Relies on: the lease, the replicas' announcements,
- * the demand of the jobs that this node knows. Without the store no lease is confirmed and no command is
- * sent; no replica is paused for that.
+ * Schedules loads of the newest weight versions on model replicas. Only the leader of this singleton task
+ * sends commands, fenced by the epoch of its lease. Only a fraction of the replicas of a service loads at a
+ * time, so that the others continue to serve.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { RoutingTable } from '../../../state/service/configuration/index.js';
@@ -16,50 +12,45 @@
 import { maxUsefulReplicas, type PlannedModel, planReplicas } from './weight-plan.js';
 
 /**
- * Share of a service's replicas that load at once at most. Chosen, not measured: the others go on serving,
- * and more loads at a time share the bandwidth that brings the weights.
+ * Maximum fraction of a service's replicas that load at a time. Concurrent loads also share network
+ * bandwidth.
  */
 const LOADING_FRACTION = 0.25;
-/** Interval between passes over all services while the lease is held, milliseconds. Chosen, not measured. */
 const PASS_INTERVAL_MS = 50;
-/** Pause of one replica after a command that failed, milliseconds. Chosen, not measured. */
+/** Delay before another command to a replica after a failed one. */
 const RETRY_DELAY_MS = 600;
-/** Pause of all commands after the store has not confirmed the lease, milliseconds. Chosen, not measured. */
+/** Delay before any command after the store did not confirm the lease. */
 const CONFIRMATION_RETRY_DELAY_MS = 150;
 
-/** What commands are decided and executed with. */
 export interface LoadSchedulerServices extends LoadExecutionServices {
   readonly routing: RoutingTable;
   readonly versions: WeightVersions;
-  /** Tokens that recent jobs of a model required. */
+  /** Tokens required by recent jobs of a model. */
   readonly demandOf: (model: string) => number;
-  /** Requests of the largest recent job of a model, 0 while none is known. */
+  /** Requests of the largest recent job of a model; 0 if unknown. */
   readonly requestsOf: (model: string) => number;
 }
 
-/** A load under way. */
 interface ActiveLoad {
   readonly model: string;
-  /** When its command was decided, on the monotonic clock, milliseconds. */
+  /** On the monotonic clock. */
   readonly startedAtMs: number;
 }
 
-/** The commander of one node; it acts only while the lease is held. */
 export class LoadScheduler {
-  /** Loads under way, by the incarnation of the replica that loads. */
   private readonly activeLoads = new Map<ReplicaState, ActiveLoad>();
   private readonly durations = new LoadDurations();
   private readonly execution: LoadExecution;
-  /** End of a replica's pause, on the monotonic clock, milliseconds. */
+  /** On the monotonic clock. */
   private readonly pausedUntilMs = new WeakMap<ReplicaState, number>();
-  /** When the lease may be confirmed again, on the monotonic clock, milliseconds. */
+  /** On the monotonic clock. */
   private confirmationPausedUntilMs = 0;
 
   constructor(private readonly services: LoadSchedulerServices) {
     this.execution = new LoadExecution(services, this.durations);
   }
 
-  /** Sends commands until `signal` is aborted. */
+  /** Runs until `signal` is aborted; sends commands only while the lease is held. */
   async run(signal: AbortSignal): Promise<void> {
     const { lease } = this.services;
     while (!signal.aborted) {
@@ -96,12 +87,12 @@
     }
   }
 
-  /** Slots of one replica of the service. */
+  /** Slots of the first replica, used for all replicas of the service. */
   private slotsOf([first]: readonly ReplicaState[]): number {
     return (first && this.services.routing.current?.slotsOf(first.replica)) ?? 1;
   }
 
-  /** Loads to command, the most urgent first; at most one for each replica. */
+  /** Loads to start, most urgent first, at most one per replica. */
   private nextTasks(states: readonly ReplicaState[], targets: readonly PlannedModel[]): LoadTask[] {
     const byId = new Map(states.map((state) => [state.replica.id, state]));
     const models = [...planReplicas(states, targets)].map(([model, planned]) =>
@@ -120,7 +111,7 @@
     return [...tasksByReplica.values()];
   }
 
-  /** The replicas of a model, those furthest behind first, then those with the fewest requests. */
+  /** Orders the replicas of a model by lag, then by fewest running requests. */
   private toAssignment(model: string, planned: readonly ReplicaState[]): ModelAssignment {
     const replicas = [...planned]
       .sort((left, right) => left.versionOf(model) - right.versionOf(model) || left.inFlight - right.inFlight)
@@ -132,7 +123,10 @@
     return { model, newest: this.services.versions.newestOf(model), replicas };
   }
 
-  /** The end of a load is seen late; the next load begins when a load usually ends. */
+  /**
+   * Whether a load is probably still running, by the duration of earlier loads. The end of a load is detected
+   * with a delay, and the next load need not wait for that.
+   */
   private isLikelyLoading(state: ReplicaState): boolean {
     const startedAtMs = this.activeLoads.get(state)?.startedAtMs;
     return startedAtMs !== undefined && monotonicMs() - startedAtMs < this.durations.uncontendedMs;
@@ -143,7 +137,7 @@
     return !this.activeLoads.has(state) && !isPaused && this.services.lease.allowsAction(addressOf(state));
   }
 
-  /** A lease that is not confirmed pauses all commands alike; everything else pauses its replica alone. */
+  /** A failed confirmation delays all commands; any other failure delays only those to the same replica. */
   private async load(task: LoadTask, signal: AbortSignal): Promise<void> {
     const result = await this.execution.execute(task, signal);
     if (result === 'unconfirmed')
--- a/src/coordination/service/weights/load-timing.ts
+++ b/src/coordination/service/weights/load-timing.ts
@@ -1,37 +1,36 @@
-/** How long loads take, and when a loading replica is asked for a report. Times in milliseconds. */
+/** Durations of loads, and the resulting schedule for polling a loading replica. */
 
-/** Loads whose times are kept. Chosen, not measured: enough that one that met no contention is among them. */
+/** Enough to include a load without contention. */
 const MAX_SAMPLES = 8;
-/** Interval of reports while the usual time is unknown or long exceeded. Chosen, not measured. */
+/** Used while the expected duration is unknown or far exceeded. */
 const SLOW_POLL_INTERVAL_MS = 350;
-/** Share of the usual time before the first report, and the interval after it. Chosen, not measured. */
+/** Fraction of the expected duration before the first poll. */
 const FIRST_POLL_FRACTION = 0.9;
 const FAST_POLL_INTERVAL_MS = 60;
-/** Multiple of the usual time up to which the short interval applies. Chosen, not measured. */
+/** Multiple of the expected duration up to which the fast interval applies. */
 const FAST_POLL_FACTOR = 2;
 
-/** The times of recent loads. */
+/** Durations of recent loads. */
 export class LoadDurations {
   private readonly recent: number[] = [];
 
-  /** Notes how long a load took, as seen from outside. */
   record(durationMs: number): void {
     this.recent.push(durationMs);
     if (this.recent.length > MAX_SAMPLES) this.recent.shift();
   }
 
-  /** Time that a load takes without contention; infinite while none was seen. */
+  /** Duration of a load without contention; infinite if unknown. */
   get uncontendedMs(): number {
     return Math.min(...this.recent, Number.POSITIVE_INFINITY);
   }
 }
 
-/** Time from a command to the first report. */
+/** Delay from the command to the first poll. */
 export function firstPollDelayMs(uncontendedMs: number): number {
   return Number.isFinite(uncontendedMs) ? uncontendedMs * FIRST_POLL_FRACTION : SLOW_POLL_INTERVAL_MS;
 }
 
-/** Time to the next report, `elapsedMs` after the command. */
+/** Delay to the next poll, `elapsedMs` after the command. */
 export function nextPollDelayMs(uncontendedMs: number, elapsedMs: number): number {
   const isFastPolling = Number.isFinite(uncontendedMs) && elapsedMs < uncontendedMs * FAST_POLL_FACTOR;
   return isFastPolling ? FAST_POLL_INTERVAL_MS : SLOW_POLL_INTERVAL_MS;
--- a/src/coordination/service/weights/weight-plan.ts
+++ b/src/coordination/service/weights/weight-plan.ts
@@ -1,23 +1,21 @@
 /**
- * Which replicas follow which model. Replicas cannot load every version of several models in time, and each
- * load takes capacity from running requests. So each model gets a share of the replicas, and only these are
- * brought to its newest version. The plan follows from versions and demand alone: a replica stays with the
- * model that it is least behind of, so a new leader continues the plan of the one before. Replicas that no
- * model's work needs follow none: they keep their version and get no commands.
+ * Assigns replicas to models, since a replica cannot keep up with the versions of several models. Only
+ * assigned replicas load the newest version of a model; unneeded replicas keep their version. The plan
+ * depends only on loaded versions and demand, and a replica stays with the model that it is least behind on,
+ * so a new leader continues the plan of its predecessor.
  */
 
-/** A replica as the plan sees it. */
 export interface PlannedReplica {
   readonly id: string;
   versionOf(model: string): number;
 }
 
-/** A model, its newest named version, and its demand on the replicas, in any unit common to all models. */
+/** A model with its newest version, and its demand in any unit common to all models. */
 export interface PlannedModel {
   readonly model: string;
   readonly version: number;
   readonly demand: number;
-  /** Most replicas that its work can use. Default: all. */
+  /** Default: all replicas. */
   readonly maxReplicas?: number;
 }
 
@@ -27,22 +25,22 @@
   readonly lag: number;
 }
 
-/** Least replicas of a model, if there are enough: one can load or fail while another serves. */
+/** Replicas of each model if there are enough, so that one can load or fail while another serves. */
 const MIN_REDUNDANT_REPLICAS = 2;
-/**
- * Replicas beyond those that the requests of a model's largest job fill: a factor and a number on top, since
- * a zone may be lost, and loads, slow replicas and failures take others away. Chosen, not measured.
- */
+/** Spare capacity over a model's largest job, for the loss of a zone, loads, and slow or failed replicas. */
 const SPARE_FACTOR = 1.5;
 const SPARE_REPLICAS = 2;
 
-/** Replicas that a model can use; infinite while `requests` of its largest recent job is 0 (unknown). */
+/**
+ * Maximum number of replicas that a model can use, given the requests of its largest recent job; infinite if
+ * `requests` is 0 (unknown).
+ */
 export function maxUsefulReplicas(requests: number, slots: number): number {
   if (requests === 0) return Number.POSITIVE_INFINITY;
   return Math.ceil((requests / Math.max(1, slots)) * SPARE_FACTOR) + SPARE_REPLICAS;
 }
 
-/** Replicas by model. Every model gets at least one replica, if there is any. */
+/** Returns the replicas of each model. Every model gets at least one if there are any replicas. */
 export function planReplicas<R extends PlannedReplica>(
   replicas: readonly R[],
   models: readonly PlannedModel[],
@@ -55,7 +53,9 @@
   return plan;
 }
 
-/** Replicas for each model: the same small number for all, the rest by demand per replica, up to `most`. */
+/**
+ * Number of replicas per model: an equal base share, and the rest by demand per replica up to `maxReplicas`.
+ */
 export function shareReplicas(count: number, models: readonly PlannedModel[]): Map<string, number> {
   const baseShare = Math.max(1, Math.min(MIN_REDUNDANT_REPLICAS, Math.floor(count / models.length)));
   const shares = new Map(models.map(({ model }) => [model, baseShare]));
@@ -73,12 +73,11 @@
   return shares;
 }
 
-/** Demand per replica that a model has so far. */
 function demandPerReplica({ model, demand }: PlannedModel, shares: ReadonlyMap<string, number>): number {
   return demand / (shares.get(model) ?? 1);
 }
 
-/** All pairs, those least behind first; ties in an order that is the same on every node. */
+/** All pairs of replica and model, least lag first. The order of ties is the same on every node. */
 function candidatesByLag<R extends PlannedReplica>(
   replicas: readonly R[],
   models: readonly PlannedModel[],
--- a/test/coordination/service/weights/load-scheduler.test.ts
+++ b/test/coordination/service/weights/load-scheduler.test.ts
@@ -1,11 +1,11 @@
-/** Orders to load weight versions: one giver at a time, late orders void, every model within reach of its versions. */
+/** Load commands: one leader at a time, delayed commands have no effect, and every model gets replicas. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
 import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
 import {
   LoadScheduler,
   type LoadSchedulerServices,
-} from '../../../../src/coordination/service/weights/load-commander.js';
+} from '../../../../src/coordination/service/weights/load-scheduler.js';
 import {
   maxUsefulReplicas,
   planReplicas,
@@ -21,7 +21,7 @@
 
 const LEASE_MS = 1_000;
 
-describe('load commands', () => {
+describe('LoadScheduler', () => {
   let system: ServiceSystem;
   let engines: ReplicaServer[];
 
@@ -40,13 +40,13 @@
       engines.every((engine) => engine.versions.get(MODEL) === version),
     );
 
-  /** At no replica do two holders order within the lease time of each other, and fencing tokens never fall. */
+  /** Commands of different leaders to a replica are at least a lease apart, with increasing fencing tokens. */
   function expectHandoverGuard(): void {
     for (const { orders } of engines)
       for (const [index, order] of orders.entries()) {
         const before = orders[index - 1];
         if (!before || before.holder === order.holder) continue;
-        expect(order.atMs - before.atMs, 'time between two holders').to.be.greaterThan(LEASE_MS);
+        expect(order.atMs - before.atMs, 'time between commands of two leaders').to.be.greaterThan(LEASE_MS);
         expect(order.fence, 'fencing token').to.be.greaterThan(before.fence);
       }
   }
@@ -59,7 +59,7 @@
     return nodes;
   }
 
-  it('bring every replica to the newest version, few at a time', async () => {
+  it('brings every replica to the newest version by one leader and one command per version', async () => {
     await startNodes(3);
     system.nameVersion(2);
     await untilAllHaveVersion(2);
@@ -71,7 +71,7 @@
     for (const engine of engines) expect(engine.orders.map((order) => order.version)).to.deep.equal([2, 3]);
   });
 
-  it('begin the next load when the one before should be over, also when that one takes longer', async () => {
+  it('starts the next load at the expected end of the previous one, even if that takes longer', async () => {
     const [slow, ...others] = engines as [ReplicaServer, ...ReplicaServer[]];
     await startNodes(1);
     system.nameVersion(2);
@@ -85,10 +85,10 @@
     expect(slow.versions.get(MODEL)).to.equal(2);
   });
 
-  it('are continued by another node when the leader is killed, with the handover guard between them', async () => {
+  it('continues on another node after the handover guard when the leader is killed', async () => {
     const nodes = await startNodes(3);
     system.nameVersion(2);
-    await until('orders are given', () => engines.some((engine) => engine.orders.length > 0));
+    await until('commands are sent', () => engines.some((engine) => engine.orders.length > 0));
     const leader = nodes.find((node) => node.name === leaseHolder()) as ServiceNodeProcess;
     await kill(leader);
     system.nameVersion(3);
@@ -97,7 +97,7 @@
     expectHandoverGuard();
   });
 
-  it('are not sent by a paused leader before the store has confirmed its lease', async () => {
+  it('sends no command from a resumed leader before the store has confirmed its lease', async () => {
     const nodes = await startNodes(2);
     system.nameVersion(2);
     await untilAllHaveVersion(2);
@@ -105,7 +105,7 @@
     leader.child.kill('SIGSTOP');
     system.nameVersion(3);
     await until(
-      'another node gives orders',
+      'another node sends commands',
       () => leaseHolder() !== leader.name && engines.some((engine) => engine.orders.length > 1),
     );
     leader.child.kill('SIGCONT');
@@ -115,7 +115,7 @@
     expectHandoverGuard();
   });
 
-  it('are void when they arrive late', async () => {
+  it('sends commands that have no effect when they arrive late', async () => {
     const [engine] = engines;
     if (engine) {
       engine.ordersToDelay = 1;
@@ -126,18 +126,21 @@
     await untilAllHaveVersion(2);
     system.nameVersion(3);
     await untilAllHaveVersion(3);
-    await until('the late order has come', () => (engine?.orders[0]?.atMs ?? 0) + 6_500 < performance.now());
+    await until(
+      'the delayed command has arrived',
+      () => (engine?.orders[0]?.atMs ?? 0) + 6_500 < performance.now(),
+    );
     expect(engine?.versions.get(MODEL)).to.equal(3);
   });
 
-  it('are not sent while the store is silent, and go on afterwards', async () => {
+  it('sends no commands while the store does not respond, and continues afterwards', async () => {
     await startNodes(2);
     system.nameVersion(2);
     await untilAllHaveVersion(2);
     system.store.mode = 'silent';
     system.nameVersion(3);
     const before = engines.flatMap((engine) => engine.orders).length;
-    await until('the store was tried', () =>
+    await until('the store failure is logged', () =>
       system.nodes.some((node) => node.log.some((record) => record.context.change === 'store silent')),
     );
     expect(engines.flatMap((engine) => engine.orders).length).to.equal(before);
@@ -146,7 +149,7 @@
   });
 });
 
-describe('load commands without a store', () => {
+describe('LoadScheduler with a simulated lease', () => {
   const IDS = ['r1', 'r2', 'r3', 'r4'];
   const UNCONFIRMED_ATTEMPTS = 20;
   let directory: ReplicaDirectory;
@@ -183,7 +186,7 @@
 
   const addressAt = (index: number) => `127.0.0.1:${index + 1}`;
 
-  /** Gives orders under a lease until `enough` replicas were ordered. */
+  /** Runs a scheduler until it has sent `minCommands` commands. */
   async function runScheduler(minCommands: number, lease: object): Promise<void> {
     const report = { modelVersions: new Map(), isBusy: false, commandCount: 0, waiting: 0, running: 0 };
     const client = {
@@ -206,12 +209,12 @@
       logger: { record: () => {} },
     };
     const running = new LoadScheduler(services as unknown as LoadSchedulerServices).run(controller.signal);
-    await until('orders are given', () => commandedIds.length >= minCommands);
+    await until('commands are sent', () => commandedIds.length >= minCommands);
     controller.abort();
     await running;
   }
 
-  it('pause no replica: after an outage those furthest behind come first', async () => {
+  it('delays no replica after failed confirmations, and starts with those furthest behind', async () => {
     let attempts = 0;
     const confirm = async () => {
       attempts += 1;
@@ -223,7 +226,7 @@
     expect(commandedIds.slice(0, IDS.length - 1).sort()).to.deep.equal(['r2', 'r3', 'r4']);
   });
 
-  it('skip a replica at an address within the handover guard of another machine', async () => {
+  it('skips a replica whose address is within the handover guard of another machine', async () => {
     const confirmed: string[] = [];
     const confirm = async (target: string) => {
       confirmed.push(target);
@@ -235,7 +238,7 @@
   });
 });
 
-describe('the plan of replicas for models', () => {
+describe('planReplicas', () => {
   const replica = (id: string, versions: Record<string, number>) => ({
     id,
     versionOf: (model: string) => versions[model] ?? 1,
@@ -252,7 +255,7 @@
     expect(new Set([...plan.values()].flat().map(({ id }) => id))).to.have.length(6);
   });
 
-  it('leaves a replica with the model that it is least behind of', () => {
+  it('keeps a replica with the model that it is least behind on', () => {
     const replicas = [replica('r1', { a: 1, b: 7 }), replica('r2', { a: 4, b: 1 })];
     const plan = planReplicas(replicas, [
       { model: 'a', version: 5, demand: 1 },
@@ -262,7 +265,7 @@
     expect(plan.get('b')?.map(({ id }) => id)).to.deep.equal(['r1']);
   });
 
-  it('gives the replicas that cannot be shared evenly to the models with the most work', () => {
+  it('gives replicas that cannot be shared evenly to the models with the highest demand', () => {
     const models = [
       { model: 'a', version: 2, demand: 35 },
       { model: 'b', version: 2, demand: 100 },
@@ -273,7 +276,7 @@
     expect([...shareReplicas(2, models).values()]).to.deep.equal([1, 1, 1]);
   });
 
-  it('leaves out replicas that no work can use, and keeps those that a model has', () => {
+  it('leaves out replicas that no model can use and keeps existing assignments', () => {
     const ids = Array.from({ length: 300 }, (_, index) => `r${String(index).padStart(3, '0')}`);
     const maxUseful = maxUsefulReplicas(72, 8);
     expect(maxUseful).to.be.within(10, 20);
@@ -292,7 +295,7 @@
     expect(maxUsefulReplicas(0, 8)).to.equal(Number.POSITIVE_INFINITY);
   });
 
-  it('gives one model all replicas, and more models than replicas at least one each', () => {
+  it('gives all replicas to a single model, and one to each model if there are more models than replicas', () => {
     const replicas = ['r1', 'r2', 'r3'].map((id) => replica(id, {}));
     expect(planReplicas(replicas, [{ model: 'a', version: 2, demand: 0 }]).get('a')).to.have.length(3);
     const models = ['a', 'b', 'c', 'd', 'e'].map((model) => ({ model, version: 2, demand: 1 }));
