--- a/src/coordination/service/usage/usage-accounting.ts
+++ b/src/coordination/service/usage/usage-accounting.ts
@@ -1,4 +1,6 @@
-/** Usage accounting of one node: counts per tenant, their storage, and reports while this node leads. */
+/**
+ * Usage accounting of one node: counts requests per tenant, stores the counts, and reports them while leader.
+ */
 import type { DecisionLogger } from '../../../common/decision-logger.js';
 import type { ServiceMetrics } from '../../../common/service-metrics.js';
 import type { RecordStore, StoredRecord } from '../../../protocol/record-store.js';
@@ -13,7 +15,6 @@
 import { UsageWindows } from './usage-window.js';
 import { UsageWriter } from './usage-writer.js';
 
-/** What accounting works with. */
 export interface UsageAccountingServices {
   readonly settings: UsageSettings;
   readonly sink: UsageSink;
@@ -25,7 +26,6 @@
   readonly logger: DecisionLogger;
 }
 
-/** The accounting of one process. */
 export class UsageAccounting {
   readonly counter: UsageCounter;
   readonly lease: LeaderLease;
@@ -51,12 +51,12 @@
     });
   }
 
-  /** Stores counts and reports until `signal` is aborted. */
+  /** Stores and reports counts until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this.writer.run(signal), this.reporter.run(signal)]);
   }
 
-  /** Notes the lease records that were read; acquires the free lease of reporting if `mayLead`. */
+  /** Applies the lease records read from the store; if `mayLead`, tries to acquire the reporting lease. */
   observe(records: readonly StoredRecord[], mayLead: boolean): void {
     this.lease.observe(
       records,
@@ -64,12 +64,12 @@
     );
   }
 
-  /** Stores counts that are not stored yet; stops at the abort. */
+  /** Stores pending counts; returns early when `signal` is aborted. */
   flush(signal: AbortSignal): Promise<void> {
     return this.writer.flush(signal);
   }
 
-  /** Sets the gauges. */
+  /** Updates the gauges. */
   measure(): void {
     this.services.metrics.usageLost.set({}, this.counter.lostRequests);
   }
--- a/src/coordination/service/usage/usage-reporter.ts
+++ b/src/coordination/service/usage/usage-reporter.ts
@@ -1,11 +1,7 @@
 /**
- * Reports usage, as a singleton task. The report of a window is decided, that is stored, before it is sent,
- * so that any successor sends the very same; it is decided as soon as every node has closed the window, at
- * the latest when it must be sent to be in time.
- *
- * Owns: the progress of this leadership. Relies on: the lease (a confirmation for each report), the store,
- * the usage collector. While the store fails, nothing is decided; while the collector fails, reports are
- * retried, and then the lease is released.
+ * Reports usage to the collector as a singleton task. The report of a window is decided, that is, stored
+ * before it is sent, so that a successor sends the same report. It is decided when every node has closed the
+ * window, or when waiting longer would miss the due time.
  */
 import { monotonicMs, sleep } from '../../../common/clock.js';
 import type { DecisionLogger } from '../../../common/decision-logger.js';
@@ -16,55 +12,49 @@
 import type { UsageWindows } from './usage-window.js';
 import { LOOKBACK_WINDOWS, missingNodes, sumByTenant } from './window-counts.js';
 
-/** All reports are actions on one target: the handover guard covers every window. */
+/** Lease target of all reports: the handover guard applies to every window. */
 const LEASE_TARGET = 'usage';
-/** Interval of passes while this node leads, milliseconds. Chosen, not measured. */
 const PASS_INTERVAL_MS = 300;
-/** Time after its end at which a window is first checked: nodes close it before. Chosen, not measured. */
+/** Time after the end of a window, by which nodes have normally closed it. */
 const FIRST_CHECK_MS = 400;
-/** Time left for sending between the latest decision and the due time. Chosen, not measured. */
+/** Time reserved for sending between the latest decision and the due time. */
 const SEND_MARGIN_MS = 2_500;
 const SEND_TIMEOUT_MS = 2_000;
-/** Pause between reports: a backlog must not use up the rate that all share. Chosen, not measured. */
+/** Limits the request rate while a backlog is sent. */
 const REPORT_SPACING_MS = 50;
-/** Pause after a failed report, milliseconds. Chosen, not measured. */
 const RETRY_DELAY_MS = 250;
-/** Failures in a row that release the lease: another node may reach the collector. Chosen, not measured. */
+/** Failures after which the lease is released, since another node may be able to reach the collector. */
 const MAX_CONSECUTIVE_FAILURES = 4;
-/** Time for which a node that has released the lease does not acquire it. Chosen, not measured. */
+/** Time for which a node does not acquire the lease again after releasing it. */
 const LEADERSHIP_PAUSE_MS = 15_000;
-/** Most windows that a new leader reports late. Chosen, not measured. */
+/** Maximum number of past windows that a new leader reports. */
 const MAX_BACKLOG = 200;
-/** Windows before the last reported one whose counts (for `missingNodes`) and reports are kept. */
+/** Windows retained before the last reported one; `missingNodes` needs the counts. */
 const RETAINED_COUNT_WINDOWS = LOOKBACK_WINDOWS;
 const RETAINED_REPORT_WINDOWS = 60;
-/** Missing nodes that a log line names. */
 const MAX_LOGGED_NODES = 5;
 
-/** What reporting works with. */
 export interface UsageReporterServices {
   readonly repository: UsageRepository;
   readonly lease: LeaderLease;
   readonly sink: UsageSink;
   readonly windows: UsageWindows;
-  /** Time after the end of a window at which its report is due, milliseconds. */
+  /** Time after the end of a window at which its report is due. */
   readonly dueMs: number;
   readonly nodeName: string;
   readonly metrics: ServiceMetrics;
   readonly logger: DecisionLogger;
 }
 
-/** Progress of one leadership. */
 interface LeadershipProgress {
-  /** Epoch of the lease that it belongs to. */
+  /** Epoch of the lease. */
   readonly epoch: number;
-  /** Decided and not yet accepted, the oldest first. */
+  /** Decided reports that the collector has not accepted, oldest first. */
   readonly unreported: StoredReport[];
   /** The next window to decide. */
   nextWindow: number;
 }
 
-/** The reporter of one node; it acts only while the lease is held. */
 export class UsageReporter {
   private progress: LeadershipProgress | undefined;
   private failures = 0;
@@ -72,12 +62,12 @@
 
   constructor(private readonly services: UsageReporterServices) {}
 
-  /** Whether this node may acquire the lease: not for `REST_MS` after failed reports. */
+  /** False for `LEADERSHIP_PAUSE_MS` after failed reports. */
   get mayAcquireLease(): boolean {
     return monotonicMs() >= this.pausedUntilMs;
   }
 
-  /** Reports until `signal` is aborted. */
+  /** Runs until `signal` is aborted; reports only while the lease is held. */
   async run(signal: AbortSignal): Promise<void> {
     const { lease } = this.services;
     while (!signal.aborted) {
@@ -99,7 +89,7 @@
     }
   }
 
-  /** Progress of this leadership, read from the store once per epoch; `undefined` when the store fails. */
+  /** Progress in the current epoch, initially read from the store; `undefined` if that fails. */
   private async currentProgress(): Promise<LeadershipProgress | undefined> {
     const { lease, repository, windows } = this.services;
     const { epoch } = lease;
@@ -114,7 +104,7 @@
     return this.progress;
   }
 
-  /** Decides the next window if it may be decided now. Returns whether it is decided. */
+  /** Decides the next window if possible. Returns whether it was decided. */
   private async decide(progress: LeadershipProgress): Promise<boolean> {
     const { repository, windows, dueMs, nodeName } = this.services;
     const window = progress.nextWindow;
@@ -130,7 +120,7 @@
     return true;
   }
 
-  /** Sends decided reports, the oldest first. Returns whether none is left. */
+  /** Sends decided reports, oldest first. Returns whether all were accepted. */
   private async sendAll({ unreported }: LeadershipProgress, signal: AbortSignal): Promise<boolean> {
     for (let report = unreported[0]; report !== undefined; report = unreported[0]) {
       if (signal.aborted || !(await this.send(report))) return false;
@@ -140,7 +130,7 @@
     return true;
   }
 
-  /** Sends a report under a fresh confirmation. Returns whether it was accepted; a repeat is safe. */
+  /** Sends a report under a fresh lease confirmation. Returns whether it was accepted. Idempotent. */
   private async send(report: StoredReport): Promise<boolean> {
     const { lease, sink, nodeName, repository } = this.services;
     if (!lease.allowsAction(LEASE_TARGET)) return false;
@@ -152,6 +142,7 @@
     const answer = await sink.report({ window, counts }, sender, SEND_TIMEOUT_MS);
     const outcome = answer.isOk() ? answer.value : `unanswered: ${answer.error.failure}`;
     this.logSending(report, outcome, confirmation.epoch, monotonicMs() - startedAtMs);
+    // `taken`: the collector accepted the report.
     if (outcome !== 'taken') {
       await this.handleFailure();
       return false;
@@ -202,7 +193,7 @@
   }
 }
 
-/** Whether a window may be decided: no node may add to it, or it must be sent now. Milliseconds. */
+/** Whether a window is complete, or must be decided now to meet its due time. */
 function isDecidable(missing: readonly string[], sinceEndMs: number, dueMs: number): boolean {
   return missing.length === 0 || sinceEndMs >= dueMs - SEND_MARGIN_MS;
 }
--- a/src/coordination/service/usage/usage-window.ts
+++ b/src/coordination/service/usage/usage-window.ts
@@ -1,19 +1,18 @@
-/** Numbered windows of time in which usage is counted: window k begins k lengths after the start of 1970. */
+/** Time windows in which usage is counted. Window k begins k lengths after the Unix epoch. */
 
-/** Windows of one length. */
 export class UsageWindows {
   constructor(
-    /** Time of day, milliseconds since the start of 1970. */
+    /** Milliseconds since the Unix epoch. */
     private readonly now: () => number,
     private readonly lengthMs: number,
   ) {}
 
-  /** The window that contains the present. */
+  /** Number of the window that contains the current time. */
   get current(): number {
     return Math.floor(this.now() / this.lengthMs);
   }
 
-  /** Time since the end of a window, milliseconds; negative while it lasts. */
+  /** Time since the end of a window; negative before its end. */
   sinceEndMs(window: number): number {
     return this.now() - (window + 1) * this.lengthMs;
   }
--- a/src/coordination/service/usage/usage-writer.ts
+++ b/src/coordination/service/usage/usage-writer.ts
@@ -1,37 +1,37 @@
 /**
- * Stores what this process counts: soon after a request was sent, limited by the rate that the store bears of
- * all nodes together, and once more when a window is over, which closes it. A node that has closed a window
- * has nothing to add to it, so that its report need not wait for longer. Writes are repeated until the store
- * answers; `closedUpTo` only rises.
+ * Stores the counts of this process soon after each change, at a rate limited across all nodes, and once more
+ * after the end of a window, which closes it: a node adds nothing to a closed window, so its report need not
+ * wait for that node. Failed writes are retried.
  */
 import { type Clock, SYSTEM_CLOCK } from '../../../common/clock.js';
 import type { UsageRepository, UsageSource } from '../../../state/service/usage/index.js';
 import type { UsageCounter } from './usage-counter.js';
 import type { UsageWindows } from './usage-window.js';
 
-/** Least time between two writes of a node, per node of the fleet: 200 writes a second together. */
+/**
+ * Interval between writes of a node, per node of the fleet: limits all nodes together to 200 writes per
+ * second.
+ */
 const WRITE_SPACING_PER_NODE_MS = 5;
-/** Time after its end at which a window is closed, all its requests counted. Chosen, not measured. */
+/** Delay after the end of a window until it is closed, when all its requests are counted. */
 const CLOSE_DELAY_MS = 150;
-/** Windows before the current one that a new process closes for its predecessor on this node. */
+/** Past windows that a new process closes on behalf of its predecessor on this node. */
 const CLOSED_AT_STARTUP = 2;
-/** Windows after which counts are no longer requested by any reporter. Chosen, not measured. */
+/** Windows after which no reporter requests the counts. */
 const RETAINED_WINDOWS = 12;
 
-/** A window as stored. */
+/** State of a window in the store. */
 interface WrittenWindow {
   version: number;
-  /** State of the counter that was written. */
+  /** Change counter of the snapshot that was written. */
   changes: number;
   isClosed: boolean;
 }
 
 const UNWRITTEN: WrittenWindow = { version: 0, changes: 0, isClosed: false };
 
-/** The writer of one process. */
 export class UsageWriter {
   private readonly written = new Map<number, WrittenWindow>();
-  /** The last window that is closed. */
   private lastClosedWindow: number;
   private lastWriteAtMs = Number.NEGATIVE_INFINITY;
 
@@ -46,7 +46,7 @@
     this.lastClosedWindow = windows.current - CLOSED_AT_STARTUP - 1;
   }
 
-  /** Writes until `signal` is aborted. */
+  /** Runs until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const window = this.nextWindow();
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Stores what is not stored yet, without pauses. Resolves when all is stored, or at the abort. */
+  /** Stores all pending counts without rate limit; returns early when `signal` is aborted. */
   async flush(signal: AbortSignal): Promise<void> {
     for (let window = this.changedWindow(); window !== undefined; window = this.changedWindow()) {
       if (signal.aborted) return;
@@ -67,7 +67,7 @@
     return this.fleetSize() * WRITE_SPACING_PER_NODE_MS;
   }
 
-  /** The next window to write: one whose counts have changed, or one to close. */
+  /** The next window to write: one with changed counts, or one to close. */
   private nextWindow(): number | undefined {
     const changed = this.changedWindow();
     if (changed !== undefined) return changed;
@@ -110,7 +110,7 @@
     );
     this.lastWriteAtMs = this.clock.now();
     if (saved.isErr() && saved.error.failure !== 'conflict') return;
-    // A conflict means that the window is reported and cleared: nothing can be added to it.
+    // On a conflict the window has been reported and cleared, so nothing can be added to it.
     const version = saved.isOk() ? saved.value : before.version;
     this.written.set(window, { version, changes, isClosed });
     this.dropOld();
--- a/src/coordination/service/usage/window-counts.ts
+++ b/src/coordination/service/usage/window-counts.ts
@@ -1,14 +1,13 @@
-/** What is stored of a window before it is decided: its sums, and which nodes may still add to it. */
+/** Evaluates the stored counts of a window: totals by tenant, and nodes that may still add to it. */
 import type { TenantCounts } from '../../../protocol/service/usage.js';
 import type { StoredCount } from '../../../state/service/usage/index.js';
 
-/** Windows before one whose closing shows which nodes run. Chosen, not measured; see `missingNodes`. */
+/** Number of preceding windows that show which nodes are running; see `missingNodes`. */
 export const LOOKBACK_WINDOWS = 2;
 
 /**
- * Nodes that may still add to a window: those that closed one of the `EARLIER_WINDOWS` before it and not this
- * one. A node that is cut off for a while is waited for; one that is gone for good delays two windows and
- * then none.
+ * Nodes that may still add to a window: those that closed one of the preceding `LOOKBACK_WINDOWS`, but not
+ * this one. A node that has stopped for good therefore delays at most that many windows.
  */
 export function missingNodes(counts: readonly StoredCount[], window: number): string[] {
   const closedCounts = (from: number, to: number) =>
@@ -18,7 +17,7 @@
   return [...activeNodes].filter((node) => !closed.has(node));
 }
 
-/** Requests of a window by tenant, all processes together, tenants in the order of their names. */
+/** Requests of a window by tenant over all processes, sorted by tenant name. */
 export function sumByTenant(counts: readonly StoredCount[], window: number): TenantCounts {
   const totals = new Map<string, number>();
   for (const count of counts) {
--- a/test/coordination/service/usage/usage.test.ts
+++ b/test/coordination/service/usage/usage.test.ts
@@ -1,4 +1,4 @@
-/** Usage of tenants: one report for each window, and never a second one that differs, whatever happens to nodes. */
+/** Usage reports: one per window without gaps, and never two different ones, also across node failures. */
 import { expect } from 'chai';
 import type { ReplicaServer } from '../../../../emulator/replica/replica-server.js';
 import { kill, type ServiceNodeProcess, ServiceSystem } from '../../../support/service-system.js';
@@ -7,11 +7,11 @@
 
 const WINDOW_MS = 1_000;
 const DUE_MS = 5_000;
-/** Time that the tests' nodes keep between two holders, milliseconds. */
+/** Handover guard of the test system's nodes. */
 const HANDOVER_GUARD_MS = 1_000;
 const KEYS = ['large-key-1', 'large-key-2', 'small-key-1'];
 
-describe('usage of tenants', () => {
+describe('UsageAccounting', () => {
   let system: ServiceSystem;
   let application: ReplicaServer;
   let nodes: ServiceNodeProcess[];
@@ -40,13 +40,13 @@
     }
   }
 
-  /** Waits until all windows up to now are reported. */
+  /** Waits until all windows up to the current one are reported. */
   async function untilReported(): Promise<void> {
     const last = Math.floor(Date.now() / WINDOW_MS);
     await until('all windows are reported', () => system.usage.reports.some(({ window }) => window > last));
   }
 
-  /** Requests by window and tenant that a report leaves out or adds, in all. */
+  /** Total number of requests that reports omit or add, over all windows and tenants. */
   function miscountedRequests(): number {
     const reported = new Map(system.usage.reports.map(({ window, counts }) => [window, counts]));
     const begun = begunByWindow([application], WINDOW_MS);
@@ -57,7 +57,7 @@
     return wrong;
   }
 
-  /** No window is left out between the first and the last report. */
+  /** Expects a report for every window between the first and the last one. */
   function expectNoGaps(): void {
     const windows = [...new Set(system.usage.reports.map(({ window }) => window))].sort((a, b) => a - b);
     const [first = 0] = windows;
@@ -69,10 +69,10 @@
     return nodes.find((node) => node.name === name) as ServiceNodeProcess;
   }
 
-  /** A request at the edge of a window may be counted on either side of it, a moment before it begins to run. */
+  /** A request is counted just before it begins to run, so at the edge of a window possibly in the earlier one. */
   const EDGE_TOLERANCE = 4;
 
-  it('is reported for each window by one node, as the replicas began the requests', async () => {
+  it('reports each window from one node, with the requests that replicas began', async () => {
     await untilReported();
     await send(nodes, 60);
     await untilReported();
@@ -86,7 +86,7 @@
     expect(total).to.equal(60);
   });
 
-  it('is written beside the heartbeats and leases of nodes, not among them', async () => {
+  it('writes no counts or reports into the shared partition', async () => {
     await untilReported();
     await send(nodes, 6);
     await untilReported();
@@ -96,7 +96,7 @@
     expect(shared).to.deep.equal([]);
   });
 
-  it('leaves out what a replica did not run, and calls that need no key', async () => {
+  it('omits requests that a replica did not run', async () => {
     await untilReported();
     const full = await system.addApplication({ slots: 0 });
     await send(nodes, 30);
@@ -109,7 +109,7 @@
     expect(total).to.equal(30);
   });
 
-  it('goes on when the leader is killed, with the handover guard between the two', async () => {
+  it('continues on another node after the handover guard when the leader is killed', async () => {
     await untilReported();
     await send(nodes, 20);
     const killed = currentLeader();
@@ -124,7 +124,7 @@
     expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
-  it('is reported as decided when all nodes are killed in the middle of a window', async () => {
+  it('reports all requests when all nodes are killed in the middle of a window', async () => {
     await untilReported();
     await send(nodes, 20);
     await Promise.all(nodes.map((node) => kill(node)));
@@ -137,7 +137,7 @@
     expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
-  it('is the same report again when its answer was lost', async () => {
+  it('sends the same report again when the response was lost', async () => {
     await untilReported();
     system.usage.answersToLose = 1;
     const before = system.usage.reports.length;
@@ -148,12 +148,12 @@
     expect(reportBreaches(system.usage.reports, HANDOVER_GUARD_MS)).to.deep.equal([]);
   });
 
-  it('waits for the counts of a node that the store rejected for a while', async () => {
+  it('waits for the counts of a node that was disconnected from the store for a while', async () => {
     await untilReported();
     const disconnected = nodes.find((node) => node !== currentLeader()) as ServiceNodeProcess;
     disconnected.proxy.set('cut');
     await send([disconnected], 10);
-    await until('a window is over', () => Date.now() % WINDOW_MS > WINDOW_MS / 2);
+    await until('half of a window has passed', () => Date.now() % WINDOW_MS > WINDOW_MS / 2);
     disconnected.proxy.set('pass');
     await system.untilReady(disconnected);
     await untilReported();
@@ -161,7 +161,7 @@
     expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
-  it('is not reported by a leader that was paused between its decision and its report', async () => {
+  it('sends no report from a resumed leader within the handover guard of its successor', async () => {
     await untilReported();
     const pausedLeader = currentLeader();
     system.usage.delayMs = 0;
@@ -178,11 +178,11 @@
     expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
-  it('is handed to another node by one that the collector does not answer', async () => {
+  it('releases the lease when the collector does not accept reports', async () => {
     await untilReported();
     const first = currentLeader();
     system.usage.mode = 'busy';
-    await until('the duty was given back', () =>
+    await until('the lease is released', () =>
       first.log.some(({ context }) => context.duty === 'usage' && context.change === 'resigned'),
     );
     system.usage.mode = 'answering';
--- a/test/coordination/service/usage/window-counts.test.ts
+++ b/test/coordination/service/usage/window-counts.test.ts
@@ -1,4 +1,4 @@
-/** When a window of usage is complete, and what it sums up to. */
+/** Completeness and totals of a usage window. */
 import { expect } from 'chai';
 import { missingNodes, sumByTenant } from '../../../../src/coordination/service/usage/window-counts.js';
 import type { StoredCount } from '../../../../src/state/service/usage/index.js';
@@ -10,21 +10,21 @@
   isClosed: true,
 });
 
-describe('the counts of a window', () => {
-  it('are complete once every running node has closed it', () => {
+describe('missingNodes and sumByTenant', () => {
+  it('lists running nodes until they have closed the window', () => {
     const counts = [closed(5, 'a'), closed(5, 'b'), closed(6, 'a')];
     expect(missingNodes(counts, 6)).to.deep.equal(['b']);
     expect(missingNodes([...counts, { ...closed(6, 'b'), isClosed: false }], 6)).to.deep.equal(['b']);
     expect(missingNodes([...counts, closed(6, 'b')], 6)).to.deep.equal([]);
   });
 
-  it('are waited for from a node that missed one window, not from one that missed two', () => {
+  it('lists a node that missed one window, but not one that missed two', () => {
     const cutOff = [closed(4, 'a'), closed(4, 'b'), closed(5, 'a'), closed(6, 'a')];
     expect(missingNodes(cutOff, 6)).to.deep.equal(['b']);
     expect(missingNodes([...cutOff, closed(7, 'a')], 7)).to.deep.equal([]);
   });
 
-  it('count those of all processes of a node, and of nodes that are new', () => {
+  it('sums the counts of all processes of a node and of new nodes', () => {
     const counts = [
       closed(6, 'a', { y: 1, x: 2 }),
       { ...closed(6, 'a', { x: 3 }), isClosed: false },
