--- a/test/coordination/service/requests/request-quarantine.test.ts
+++ b/test/coordination/service/requests/request-quarantine.test.ts
@@ -21,7 +21,7 @@
 /** Quarantine after the second crash; the one after the third is longer. */
 const SHORT_QUARANTINE_S = 4;
 const FATAL_PATH = `${LOOKUP_PATH}fatal`;
-const FATAL_BODY = 'crashes the replica';
+const FATAL_BODY = 'ends whoever runs it';
 /** Long enough that a hedge is sent while the replica works. */
 const WORK_MS = 300;
 
