--- a/test/coordination/service/usage/usage.test.ts
+++ b/test/coordination/service/usage/usage.test.ts
@@ -178,7 +178,7 @@
     expect(miscountedRequests()).to.be.at.most(EDGE_TOLERANCE);
   });
 
-  it('releases the lease when the collector does not accept reports', async () => {
+  it('hands over to another node when the collector does not accept reports', async () => {
     await untilReported();
     const first = currentLeader();
     system.usage.mode = 'busy';
