--- a/test/coordination/service/requests/service-requests.test.ts
+++ b/test/coordination/service/requests/service-requests.test.ts
@@ -70,7 +70,7 @@
     }
   });
 
-  it('never relays a truncated response without a length', async () => {
+  it('never relays a response without a length that was truncated by a connection reset', async () => {
     const replica = await system.addApplication();
     await startNode();
     replica.unframedCuts = 2;
