--- a/test/coordination/service/jobs/item-run.test.ts
+++ b/test/coordination/service/jobs/item-run.test.ts
@@ -55,7 +55,7 @@
     placement,
     splitter: new TargetSplitter(),
     lengths: new LengthEstimator(),
-    quarantine: { judge: () => ({ kind: 'clear' }) },
+    quarantine: { evaluate: () => ({ kind: 'clear' }) },
   };
   const job: ItemJob = {
     jobId: 'job-1',
--- a/test/coordination/service/jobs/result-lister.test.ts
+++ b/test/coordination/service/jobs/result-lister.test.ts
@@ -29,7 +29,7 @@
     listings = [];
     notListed = new Set();
     const contents = {
-      fittingResults: (results: readonly string[]) => results.length,
+      countFittingResults: (results: readonly string[]) => results.length,
       appendResults: async (_head: JobHead, _position: number, results: readonly string[]) => {
         listings.push(results.map((result) => (JSON.parse(result) as { id: string }).id));
         return ok(undefined);
