--- a/src/coordination/resource/configuration/config-follower.ts
+++ b/src/coordination/resource/configuration/config-follower.ts
@@ -44,7 +44,7 @@
   }
 
   /** Catches up with the store now; true when the configuration is confirmed. */
-  async readNow(): Promise<boolean> {
+  async catchUp(): Promise<boolean> {
     const elapsed = startStopwatch();
     const head = await this.configuration.head();
     if (head.isErr()) return false;
@@ -52,9 +52,9 @@
     while (this.view.revision < head.value) {
       const entries = await this.configuration.entries(this.view.revision, head.value);
       if (entries.isErr()) return false;
-      const hasMoved = entries.value.filter((entry) => this.view.apply(entry)).length > 0;
+      const hasAdvanced = entries.value.filter((entry) => this.view.apply(entry)).length > 0;
       // A concurrent read may have applied the same entries.
-      if (!hasMoved && this.view.revision < head.value) return false;
+      if (!hasAdvanced && this.view.revision < head.value) return false;
     }
     this.hasLoaded = true;
     this.lease.confirm(elapsed);
@@ -66,14 +66,14 @@
     const page = await this.store.scan({ table: CONFIGURATION_TABLE, partition: '', limit: 1 });
     if (page.isErr()) return false;
     this.position = page.value.version;
-    return this.readNow();
+    return this.catchUp();
   }
 
   private async awaitChange(signal: AbortSignal): Promise<boolean> {
     const elapsed = startStopwatch();
     const answer = await this.store.changes(CONFIGURATION_TABLE, this.position, this.holdMs, signal);
     if (answer.isErr()) return answer.error.failure === 'history-lost' ? this.load() : false;
-    if (answer.value.changes.length > 0 && !(await this.readNow())) return false;
+    if (answer.value.changes.length > 0 && !(await this.catchUp())) return false;
     this.position = answer.value.version;
     this.lease.confirm(elapsed);
     return true;
--- a/src/coordination/resource/membership/machine-watch.ts
+++ b/src/coordination/resource/membership/machine-watch.ts
@@ -29,12 +29,12 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const listed = await this.machines.list();
-      if (listed.isOk()) await this.record(listed.value);
+      if (listed.isOk()) await this.commitChanges(listed.value);
       await sleep(this.intervalMs, signal);
     }
   }
 
-  private async record(listed: readonly Machine[]): Promise<void> {
+  private async commitChanges(listed: readonly Machine[]): Promise<void> {
     const changed = listed.filter((machine) => {
       const known = this.view.get('Machine', machine.name)?.spec;
       return known?.state !== machine.state || known.zone !== machine.zone;
--- a/src/coordination/resource/membership/node-registry.ts
+++ b/src/coordination/resource/membership/node-registry.ts
@@ -17,11 +17,11 @@
 
 const NODE_TABLE = 'nodes';
 /** Time without an answer of the store, as a share of the expiry, after which expiry starts anew. Chosen. */
-const GAP_FRACTION = 0.5;
+const OUTAGE_FRACTION = 0.5;
 
 /** Heartbeat interval, and age of the last heartbeat at which a node counts as dead. Milliseconds. */
-export interface RegistryOptions {
-  readonly beatMs: number;
+export interface NodeRegistryOptions {
+  readonly heartbeatIntervalMs: number;
   readonly expiryMs: number;
 }
 
@@ -30,7 +30,7 @@
   readonly state: 'alive' | 'dead';
 }
 
-interface Observed {
+interface ObservedNode {
   readonly record: NodeRecord;
   /** When the record was last seen to change, on this node's clock. */
   seenAtMs: number;
@@ -39,21 +39,21 @@
 /** The registry of one node. */
 export class NodeRegistry implements FeedHandler<readonly StoredRecord[]> {
   readonly table = NODE_TABLE;
-  private readonly nodes = new Map<string, Observed>();
+  private readonly nodes = new Map<string, ObservedNode>();
   private readonly feed: RecordFeed<readonly StoredRecord[]>;
   private heartbeat = 0;
-  private answeredAtMs = Number.NEGATIVE_INFINITY;
+  private lastResponseMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly store: RecordStore,
     readonly own: NodeRecord,
-    private readonly options: RegistryOptions,
+    private readonly options: NodeRegistryOptions,
     observer: LifecycleObserver,
   ) {
     this.nodes.set(own.id, { record: own, seenAtMs: Number.POSITIVE_INFINITY });
     const feedObserver: FeedObserver = {
       answered: () => {
-        this.noteAnswer();
+        this.recordResponse();
         observer.metrics.membersAlive.set(this.active().length);
       },
       changed: (table, change) => observer.logger.info(`feed ${table}: ${change}`),
@@ -68,7 +68,7 @@
 
   /** Nodes that may be alive, including this one, by identifier. */
   active(): NodeRecord[] {
-    return this.everyone().filter((node) => node.state === 'alive');
+    return this.allNodes().filter((node) => node.state === 'alive');
   }
 
   /** Other nodes that may be alive. */
@@ -77,7 +77,7 @@
   }
 
   /** All nodes that have not announced that they leave, by identifier. */
-  everyone(): KnownNode[] {
+  allNodes(): KnownNode[] {
     return [...this.nodes.values()]
       .map(({ record, seenAtMs }) => ({ ...record, state: this.stateOf(seenAtMs) }))
       .sort((left, right) => (left.id < right.id ? -1 : 1));
@@ -124,11 +124,11 @@
   }
 
   /** After an outage of the store every node gets the whole expiry time again. */
-  private noteAnswer(): void {
+  private recordResponse(): void {
     const now = monotonicMs();
-    if (now - this.answeredAtMs > this.options.expiryMs * GAP_FRACTION)
+    if (now - this.lastResponseMs > this.options.expiryMs * OUTAGE_FRACTION)
       for (const node of this.nodes.values()) node.seenAtMs = Math.max(node.seenAtMs, now);
-    this.answeredAtMs = now;
+    this.lastResponseMs = now;
   }
 
   private async heartbeatLoop(signal: AbortSignal): Promise<void> {
@@ -136,7 +136,7 @@
       this.heartbeat += 1;
       const value = Buffer.from(JSON.stringify({ record: this.own, beat: this.heartbeat }), 'utf8');
       await this.store.transact({ conditions: [], writes: [{ ...this.address, value }], removals: [] });
-      await sleep(this.options.beatMs, signal);
+      await sleep(this.options.heartbeatIntervalMs, signal);
     }
   }
 }
--- a/src/coordination/resource/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -34,7 +34,7 @@
 }
 
 /** The head of a back end's response; its body is not read yet. */
-export interface RelayedAnswer {
+export interface RelayedResponse {
   readonly backend: BackendEntry;
   readonly response: IncomingResponse;
   /** Must be called when the body has been read or discarded: it ends the count as in flight. */
@@ -44,14 +44,14 @@
 /** Dispatches of a request, the first one included. Chosen, not measured: bounds the load of retries. */
 const MAX_DISPATCHES = 3;
 /** Time by which the client's timeouts follow the deadline, milliseconds: the request's signal goes first. */
-const AFTER_DEADLINE_MS = 100;
+const DEADLINE_MARGIN_MS = 100;
 
 /**
  * Headers of one connection, and those that this node sets itself. Those of the platform's interface differ
  * (`platform/route-ingress.ts`): it drops what the `Connection` header lists, and forwards the caller's key
  * where no tenants are declared; here the bearer token is this node's own and is never forwarded.
  */
-const HOP_HEADERS = new Set([
+const UNFORWARDED_HEADERS = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -71,7 +71,7 @@
 export function endToEndHeaders(headers: Record<string, string | string[] | undefined>): HeaderMap {
   const kept: HeaderMap = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value !== undefined && !HOP_HEADERS.has(name)) kept[name] = value;
+    if (value !== undefined && !UNFORWARDED_HEADERS.has(name)) kept[name] = value;
   }
   return kept;
 }
@@ -102,7 +102,7 @@
   ) {}
 
   /** Dispatches a request; resolves at the head of the response. The error says whether it has run. */
-  async dispatch(context: RequestContext, request: ApplicationRequest): CoordinationResult<RelayedAnswer> {
+  async dispatch(context: RequestContext, request: ApplicationRequest): CoordinationResult<RelayedResponse> {
     const excluded = new Set<string>();
     let failure: CoordinationError | undefined;
     for (let dispatch = 0; dispatch < MAX_DISPATCHES; dispatch += 1) {
@@ -115,7 +115,7 @@
       failure = worseOf(failure, attempt.error.failure);
       if (!attempt.error.mayRetry) return err(failure);
       excluded.add(route.value.backend.name);
-      this.noteRetry(context, route.value.backend, attempt.error.failure);
+      this.recordRetry(context, route.value.backend, attempt.error.failure);
     }
     return err(failure ?? new CoordinationError('backend-failed', 'unknown', 'no back end answered'));
   }
@@ -147,7 +147,7 @@
     context: RequestContext,
     request: ApplicationRequest,
     route: Route,
-  ): Promise<Result<RelayedAnswer, FailedAttempt>> {
+  ): Promise<Result<RelayedResponse, FailedAttempt>> {
     const { backend, release } = route;
     const { service } = request;
     const sent = await this.client.send({
@@ -160,26 +160,26 @@
       },
       body: request.body.length > 0 ? request.body : undefined,
       signal: context.signal,
-      headTimeoutMs: Math.ceil(timeLeftMs(context)) + AFTER_DEADLINE_MS,
-      idleTimeoutMs: Math.ceil(timeLeftMs(context)) + AFTER_DEADLINE_MS,
+      headTimeoutMs: Math.ceil(timeLeftMs(context)) + DEADLINE_MARGIN_MS,
+      idleTimeoutMs: Math.ceil(timeLeftMs(context)) + DEADLINE_MARGIN_MS,
       freshConnection: !service.spec.repeatable,
     });
     if (sent.isErr()) {
       release();
-      return err(this.noteTransportFailure(context, service, backend, sent.error));
+      return err(this.recordTransportFailure(context, service, backend, sent.error));
     }
     const response = sent.value;
     if (response.headers[NOT_ADMITTED_HEADER] === 'true') {
       release();
       response.body.resume();
-      return err(this.noteNotAdmitted(service, backend, retryAfterMs(response.headers)));
+      return err(this.recordNotAdmitted(service, backend, retryAfterMs(response.headers)));
     }
     backend.noteSuccess();
     this.metrics.attempts.inc({ service: service.metadata.name, outcome: 'answered' });
     return ok({ backend, response, release });
   }
 
-  private noteNotAdmitted(
+  private recordNotAdmitted(
     service: ResourceOf<'Service'>,
     backend: BackendEntry,
     waitMs: number | undefined,
@@ -189,7 +189,7 @@
     return { failure: new CoordinationError('backend-refused', 'no', message, waitMs), mayRetry: true };
   }
 
-  private noteTransportFailure(
+  private recordTransportFailure(
     context: RequestContext,
     service: ResourceOf<'Service'>,
     backend: BackendEntry,
@@ -208,7 +208,7 @@
     return { failure, mayRetry: isSafeToRetry(service, error) };
   }
 
-  private noteRetry(context: RequestContext, backend: BackendEntry, failure: CoordinationError): void {
+  private recordRetry(context: RequestContext, backend: BackendEntry, failure: CoordinationError): void {
     this.decisions.record({
       kind: 'retry',
       subjects: [context.requestId],
@@ -220,14 +220,14 @@
 }
 
 /** Whether a complete response can be told from a cut one: it has a length, is chunked, or has no body. */
-export function hasDeclaredEnd(response: IncomingResponse, method: string): boolean {
+export function isSelfDelimited(response: IncomingResponse, method: string): boolean {
   const { status, headers } = response;
   if (method === 'HEAD' || status === 204 || status === 304) return true;
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
 /** The error for a response without a declared end: the request has run. */
-export function undeclaredEnd(backend: string): CoordinationError {
+export function closeDelimitedError(backend: string): CoordinationError {
   const message = `${backend} sent an answer whose end cannot be told from a cut`;
   return new CoordinationError('backend-failed', 'yes', message);
 }
--- a/src/coordination/resource/requests/index.ts
+++ b/src/coordination/resource/requests/index.ts
@@ -1,15 +1,15 @@
 export {
   ApplicationRelay,
   type ApplicationRequest,
+  closeDelimitedError,
   endToEndHeaders,
-  hasDeclaredEnd,
+  isSelfDelimited,
   REQUEST_ID_HEADER,
-  type RelayedAnswer,
+  type RelayedResponse,
   TIMEOUT_HEADER,
-  undeclaredEnd,
   writeRelayedHead,
 } from './application-relay.js';
 export { AT_CAPACITY_RETRY_MS, rejection } from './rejection.js';
 export { isPastDeadline, type RequestContext, timeLeftMs } from './request-context.js';
 export { isAllowedZone, isMachineLeaving, type RouteQuery, Router } from './router.js';
-export { NODE_TABLE, type NodeEvent, type NodeState, WorkGate } from './work-gate.js';
+export { NODE_TRANSITIONS, type NodeEvent, type NodeState, WorkGate } from './work-gate.js';
--- a/src/coordination/resource/requests/request-context.ts
+++ b/src/coordination/resource/requests/request-context.ts
@@ -18,7 +18,7 @@
 }
 
 /** Name of the reason with which the timer of a signal aborts it. */
-const TIMER_REASON = 'TimeoutError';
+const TIMEOUT_ERROR_NAME = 'TimeoutError';
 
 /**
  * Whether the deadline has passed, by the clock or by the timer of the signal, which may go off a little
@@ -26,6 +26,6 @@
  * busy processes).
  */
 export function isPastDeadline({ signal, deadlineMs }: RequestContext): boolean {
-  const hasTimedOut = signal.aborted && (signal.reason as Error | undefined)?.name === TIMER_REASON;
+  const hasTimedOut = signal.aborted && (signal.reason as Error | undefined)?.name === TIMEOUT_ERROR_NAME;
   return hasTimedOut || monotonicMs() >= deadlineMs;
 }
--- a/src/coordination/resource/requests/router.ts
+++ b/src/coordination/resource/requests/router.ts
@@ -86,7 +86,7 @@
   choose(query: RouteQuery): Result<Route, NoRoute> {
     const { candidates, rejected } = this.classify(query);
     const inputs = describeInputs(candidates, rejected);
-    if (candidates.length > 0) return ok(this.take(this.pick(candidates, query), inputs));
+    if (candidates.length > 0) return ok(this.reserve(this.pickLessLoaded(candidates, query), inputs));
     const isAtCapacity = rejected.some((one) => one.reason === 'at-capacity');
     return err({ reason: isAtCapacity ? 'at-capacity' : 'no-backend', inputs });
   }
@@ -144,7 +144,7 @@
     return backend.lifecycle.current === 'quarantined' ? 'quarantined' : undefined;
   }
 
-  private pick(candidates: readonly BackendEntry[], query: RouteQuery): BackendEntry {
+  private pickLessLoaded(candidates: readonly BackendEntry[], query: RouteQuery): BackendEntry {
     const newest = Math.max(...candidates.map((one) => one.version ?? 0));
     const preferred = query.preferNewest
       ? candidates.filter((one) => (one.version ?? 0) === newest)
@@ -154,7 +154,7 @@
     return second.load < first.load ? second : first;
   }
 
-  private take(backend: BackendEntry, inputs: DecisionInputs): Route {
+  private reserve(backend: BackendEntry, inputs: DecisionInputs): Route {
     backend.inFlight += 1;
     let released = false;
     const release = () => {
--- a/src/coordination/resource/requests/work-gate.ts
+++ b/src/coordination/resource/requests/work-gate.ts
@@ -14,7 +14,7 @@
 export type NodeState = 'starting' | 'serving' | 'leaving' | 'stopped';
 export type NodeEvent = 'configured' | 'stopRequested' | 'drained';
 
-export const NODE_TABLE = {
+export const NODE_TRANSITIONS = {
   starting: { configured: 'serving', stopRequested: 'leaving' },
   serving: { stopRequested: 'leaving' },
   leaving: { drained: 'stopped' },
--- a/src/coordination/resource/rollouts/delivery.ts
+++ b/src/coordination/resource/rollouts/delivery.ts
@@ -10,13 +10,13 @@
 import type { Batch, DrawRequest } from '../../../protocol/resource/trainer.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { DecisionLog } from '../../../state/resource/decision-log.js';
-import type { BatchLedger, DrawOutcome, DrawTerms } from '../../../state/resource/samples/index.js';
+import type { BatchLedger, DrawOptions, DrawOutcome } from '../../../state/resource/samples/index.js';
 import { isWithinBound } from '../../../state/resource/samples/index.js';
 import { type CoordinationResult, fromState } from '../coordination-error.js';
 import { newestPublished } from '../weights/index.js';
 
 /** Interval of draws while nothing is ready, milliseconds. Chosen, not measured. */
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 /**
  * Samples in a batch when the trainer declares no size; a transaction of the ledger limits it further.
  * Chosen.
@@ -40,31 +40,31 @@
     signal: AbortSignal,
   ): CoordinationResult<Batch> {
     const deadline = monotonicMs() + (request.waitMs ?? 0);
-    const terms = termsOf(trainer);
+    const terms = drawOptions(trainer);
     for (;;) {
       const outcome = await this.ledger.draw(terms, request);
       if (outcome.isErr()) return err(fromState(outcome.error));
-      this.noteDiscards(terms, outcome.value, requestId);
+      this.recordDiscards(terms, outcome.value, requestId);
       const { batch, references } = outcome.value;
-      const isLate = monotonicMs() >= deadline || signal.aborted;
-      if (batch.samples.length === 0 && !isLate) {
-        await sleep(POLL_MS, signal);
+      const hasTimedOut = monotonicMs() >= deadline || signal.aborted;
+      if (batch.samples.length === 0 && !hasTimedOut) {
+        await sleep(POLL_INTERVAL_MS, signal);
         continue;
       }
       if (!this.isStillFresh(terms, outcome.value)) continue;
-      this.noteDelivery(terms, references.length, requestId, batch);
+      this.recordDelivery(terms, references.length, requestId, batch);
       return ok(batch);
     }
   }
 
   /** The last check before the response: a version may have been published after the draw. */
-  private isStillFresh(terms: DrawTerms, outcome: DrawOutcome): boolean {
+  private isStillFresh(terms: DrawOptions, outcome: DrawOutcome): boolean {
     return outcome.references.every((sample) =>
       isWithinBound(sample.oldestVersion, newestPublished(this.view, sample.model), terms.stalenessBound),
     );
   }
 
-  private noteDiscards(terms: DrawTerms, outcome: DrawOutcome, requestId: string): void {
+  private recordDiscards(terms: DrawOptions, outcome: DrawOutcome, requestId: string): void {
     for (const { sample, reason, newest } of outcome.discarded) {
       this.metrics.samples.inc({ trainer: terms.trainer, outcome: reason });
       this.decisions.record({
@@ -77,7 +77,7 @@
     }
   }
 
-  private noteDelivery(terms: DrawTerms, count: number, requestId: string, batch: Batch): void {
+  private recordDelivery(terms: DrawOptions, count: number, requestId: string, batch: Batch): void {
     if (count === 0) return;
     this.metrics.samples.inc({ trainer: terms.trainer, outcome: 'handed-out' }, count);
     this.decisions.record({
@@ -90,7 +90,7 @@
   }
 }
 
-function termsOf(trainer: ResourceOf<'Trainer'>): DrawTerms {
+function drawOptions(trainer: ResourceOf<'Trainer'>): DrawOptions {
   return {
     trainer: trainer.metadata.name,
     models: trainer.spec.models,
--- a/src/coordination/resource/rollouts/event-transcript.ts
+++ b/src/coordination/resource/rollouts/event-transcript.ts
@@ -26,7 +26,7 @@
 /** Collects whole events, engine by engine. */
 export class EventTranscript {
   private readonly parts: Part[] = [];
-  private carry: Buffer = Buffer.alloc(0);
+  private partialEvent: Buffer = Buffer.alloc(0);
   private ended = false;
 
   /** Whether the end marker was received. */
@@ -41,23 +41,23 @@
 
   /** Begins the part of another engine; an unfinished event of the one before is dropped. */
   beginPart(engine: string): void {
-    this.carry = Buffer.alloc(0);
+    this.partialEvent = Buffer.alloc(0);
     this.parts.push({ engine, chunks: [] });
   }
 
   /** Adds received bytes; returns the whole events that they complete. */
   append(bytes: Buffer): Buffer {
-    const joined = this.carry.length === 0 ? bytes : Buffer.concat([this.carry, bytes]);
+    const joined = this.partialEvent.length === 0 ? bytes : Buffer.concat([this.partialEvent, bytes]);
     const at = joined.lastIndexOf(EVENT_END);
     if (at < 0) {
-      this.carry = joined;
+      this.partialEvent = joined;
       return Buffer.alloc(0);
     }
-    const whole = joined.subarray(0, at + EVENT_END.length);
-    this.carry = joined.subarray(at + EVENT_END.length);
-    this.parts.at(-1)?.chunks.push(whole);
-    this.ended = whole.subarray(-END_EVENT.length).equals(END_EVENT);
-    return whole;
+    const complete = joined.subarray(0, at + EVENT_END.length);
+    this.partialEvent = joined.subarray(at + EVENT_END.length);
+    this.parts.at(-1)?.chunks.push(complete);
+    this.ended = complete.subarray(-END_EVENT.length).equals(END_EVENT);
+    return complete;
   }
 
   /** The text and the reported weight versions of its tokens. Error: a malformed event. */
@@ -67,7 +67,7 @@
     let finishReason = '';
     const segments: Segment[] = [];
     for (const part of this.parts) {
-      const chunks = chunksOf(part);
+      const chunks = parseChunks(part);
       if (chunks.isErr()) return err(chunks.error);
       for (const chunk of chunks.value) {
         appendSegment(segments, part.engine, chunk.weight_version, tokens, chunk.tokens);
@@ -80,7 +80,7 @@
   }
 }
 
-function chunksOf(part: Part): Result<EngineChunk[], string> {
+function parseChunks(part: Part): Result<EngineChunk[], string> {
   const chunks: EngineChunk[] = [];
   for (const line of Buffer.concat(part.chunks).toString('utf8').split('\n')) {
     const event = parseEventLine(line);
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -97,10 +97,10 @@
     const run: Run = { context, request, transcript: new EventTranscript(), excluded: new Set() };
     let lastFailure: CoordinationError | undefined;
     for (let count = 0; count < MAX_DISPATCHES; count += 1) {
-      if (context.signal.aborted) return err(this.abandoned(context, run.transcript));
+      if (context.signal.aborted) return err(this.cancellationError(context, run.transcript));
       const dispatched = await this.dispatch(run);
       const attempt = dispatched.isOk()
-        ? await this.follow(run, dispatched.value, sink)
+        ? await this.relayDispatch(run, dispatched.value, sink)
         : err(dispatched.error);
       if (attempt.isOk()) return ok(run.transcript);
       const { failure, mayRetry } = attempt.error;
@@ -127,7 +127,7 @@
     const started = await this.engines.generate(backend.declaration.spec.address, body, context.signal);
     if (started.isErr()) {
       release();
-      return err(this.noteFailedDispatch(run, backend, started.error));
+      return err(this.recordDispatchFailure(run, backend, started.error));
     }
     transcript.beginPart(backend.name);
     return ok({ stream: started.value, backend, release });
@@ -153,31 +153,31 @@
   }
 
   /** Relays the events of a dispatch until its stream ends. */
-  private async follow(
+  private async relayDispatch(
     run: Run,
     { stream, backend, release }: Dispatch,
     sink: EventSink,
   ): Promise<Result<void, DispatchFailure>> {
     const { context, request, transcript } = run;
-    const end = await this.relay(stream, transcript, sink).finally(release);
+    const end = await this.relayEvents(stream, transcript, sink).finally(release);
     if (end === 'complete') {
       backend.noteSuccess();
       this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'complete' });
       return ok(undefined);
     }
     if (end === 'receiver-gone' || context.signal.aborted) {
-      return err({ mayRetry: false, failure: this.abandoned(context, transcript) });
+      return err({ mayRetry: false, failure: this.cancellationError(context, transcript) });
     }
-    this.noteCut(run, backend);
+    this.recordCut(run, backend);
     const message = `${backend.name}: stream cut`;
     const failure = new CoordinationError('backend-failed', 'unknown', message, AT_CAPACITY_RETRY_MS);
     return err({ mayRetry: true, failure });
   }
 
-  private noteFailedDispatch(run: Run, backend: BackendEntry, error: ProtocolError): DispatchFailure {
+  private recordDispatchFailure(run: Run, backend: BackendEntry, error: ProtocolError): DispatchFailure {
     const { context, request, excluded } = run;
     this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: error.failure });
-    if (context.signal.aborted) return { mayRetry: false, failure: this.abandoned(context) };
+    if (context.signal.aborted) return { mayRetry: false, failure: this.cancellationError(context) };
     if (error.failure !== 'refused') backend.noteFailure(error.message);
     excluded.add(backend.name);
     this.decisions.record({
@@ -190,7 +190,7 @@
     return { mayRetry: true, failure: fromBackend(error) };
   }
 
-  private async relay(
+  private async relayEvents(
     stream: EngineStream,
     transcript: EventTranscript,
     sink: EventSink,
@@ -210,7 +210,7 @@
     return transcript.isComplete ? 'complete' : 'cut';
   }
 
-  private noteCut({ context, request, transcript, excluded }: Run, backend: BackendEntry): void {
+  private recordCut({ context, request, transcript, excluded }: Run, backend: BackendEntry): void {
     backend.noteFailure('stream cut');
     excluded.add(backend.name);
     this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'cut' });
@@ -225,7 +225,7 @@
   }
 
   /** The error when the caller disconnected or the deadline passed. */
-  private abandoned(context: RequestContext, transcript?: EventTranscript): CoordinationError {
+  private cancellationError(context: RequestContext, transcript?: EventTranscript): CoordinationError {
     const executed = transcript && !transcript.isEmpty ? 'yes' : 'unknown';
     if (isPastDeadline(context))
       return new CoordinationError('deadline-passed', executed, 'the deadline has passed');
--- a/src/coordination/resource/rollouts/rollout-owner.ts
+++ b/src/coordination/resource/rollouts/rollout-owner.ts
@@ -48,8 +48,8 @@
   private readonly inProgress = new Set<string>();
   private readonly producer: SampleProducer;
   /** Aborted when a commit finds the lease lost. */
-  private readonly superseded = new AbortController();
-  private readonly lost: AbortSignal;
+  private readonly leaseRejected = new AbortController();
+  private readonly leaseLost: AbortSignal;
   private readonly running = new Set<Promise<void>>();
   private wakeUp = new AbortController();
 
@@ -60,17 +60,17 @@
     private readonly lease: HeldLease,
     private readonly signals: TaskSignals,
   ) {
-    this.lost = AbortSignal.any([signals.lost, this.superseded.signal]);
-    const committer = new SampleCommitter(parts.commits, trainerName, lease, this.lost);
+    this.leaseLost = AbortSignal.any([signals.lost, this.leaseRejected.signal]);
+    const committer = new SampleCommitter(parts.commits, trainerName, lease, this.leaseLost);
     this.producer = new SampleProducer(parts, trainerName, shard, lease, committer);
   }
 
   /** Runs until stopped or the trainer is deleted; then waits for the samples in progress. */
   async run(): Promise<void> {
-    const ended = AbortSignal.any([this.signals.stop, this.lost]);
+    const ended = AbortSignal.any([this.signals.stop, this.leaseLost]);
     while (!ended.aborted && this.trainer()) {
       this.wakeUp = new AbortController();
-      await this.refresh(ended);
+      await this.scanLedger(ended);
       this.startTasks(ended);
       await sleep(SCAN_INTERVAL_MS, AbortSignal.any([ended, this.wakeUp.signal]));
     }
@@ -90,21 +90,21 @@
   }
 
   /** Reads open rollouts and expired samples from the ledger; what cannot be read waits for the next scan. */
-  private async refresh(ended: AbortSignal): Promise<void> {
+  private async scanLedger(ended: AbortSignal): Promise<void> {
     const { ledger } = this.parts;
     const open = await ledger.openRollouts(this.trainerName, this.shard);
     if (open.isErr()) return;
-    await this.dropCancelled(new Set(open.value));
+    await this.stopCancelled(new Set(open.value));
     for (const rolloutId of open.value) {
       if (ended.aborted) return;
-      if (!this.active.has(rolloutId)) await this.adopt(rolloutId);
+      if (!this.active.has(rolloutId)) await this.activate(rolloutId);
     }
     const expired = await ledger.regenerations(this.trainerName, this.shard);
     if (expired.isErr()) return;
-    for (const task of expired.value) await this.adoptExpired(task);
+    for (const task of expired.value) await this.queueExpired(task);
   }
 
-  private async adopt(rolloutId: string): Promise<ActiveRollout | undefined> {
+  private async activate(rolloutId: string): Promise<ActiveRollout | undefined> {
     const loaded = await this.parts.ledger.load(this.trainerName, rolloutId);
     if (loaded.isErr() || !loaded.value || loaded.value.row.state !== 'open') return undefined;
     const free = await this.parts.ledger.freeSlots(this.trainerName, loaded.value, this.shard);
@@ -114,15 +114,15 @@
     return rollout;
   }
 
-  private async adoptExpired(task: SlotTask): Promise<void> {
+  private async queueExpired(task: SlotTask): Promise<void> {
     if (this.inProgress.has(taskKey(task))) return;
-    const rollout = this.active.get(task.rolloutId) ?? (await this.adopt(task.rolloutId));
+    const rollout = this.active.get(task.rolloutId) ?? (await this.activate(task.rolloutId));
     if (!rollout || rollout.waiting.some((one) => taskKey(one) === taskKey(task))) return;
     rollout.waiting.unshift(task);
   }
 
   /** Stops work on cancelled rollouts: no longer open although slots of theirs are not won. */
-  private async dropCancelled(open: ReadonlySet<string>): Promise<void> {
+  private async stopCancelled(open: ReadonlySet<string>): Promise<void> {
     for (const [rolloutId, rollout] of this.active) {
       if (open.has(rolloutId)) continue;
       if (rollout.waiting.length === 0 && rollout.running === 0) this.active.delete(rolloutId);
@@ -150,7 +150,7 @@
     const running = this.runTask(
       rollout,
       task,
-      AbortSignal.any([this.lost, rollout.stop.signal]),
+      AbortSignal.any([this.leaseLost, rollout.stop.signal]),
       ended,
     ).finally(async () => {
       this.inProgress.delete(key);
@@ -178,7 +178,7 @@
     let delayMs = RETRY_DELAY_MS;
     while (!signal.aborted) {
       const outcome = await this.producer.produce(rollout.loaded, task, signal);
-      if (outcome === 'lease-lost') this.superseded.abort();
+      if (outcome === 'lease-lost') this.leaseRejected.abort();
       if (outcome !== 'retry' || ended.aborted) return;
       await sleep(delayMs, AbortSignal.any([signal, ended]));
       delayMs = Math.min(2 * delayMs, MAX_RETRY_DELAY_MS);
--- a/src/coordination/resource/rollouts/sample-committer.ts
+++ b/src/coordination/resource/rollouts/sample-committer.ts
@@ -5,28 +5,28 @@
  */
 import { sleep } from '../../../common/clock.js';
 import type { HeldLease } from '../../../state/resource/leases/index.js';
-import type { CommitVerdict, FinishedSample, SampleCommits } from '../../../state/resource/samples/index.js';
+import type { CommitResult, FinishedSample, SampleCommits } from '../../../state/resource/samples/index.js';
 
 /** Outcome of a sample's commit; `lease-lost` means that another node owns the shard. */
-export type CommitOutcome = CommitVerdict | 'lease-lost';
+export type CommitOutcome = CommitResult | 'lease-lost';
 
-interface Entry {
+interface PendingCommit {
   readonly finished: FinishedSample;
-  readonly settle: (outcome: CommitOutcome) => void;
+  readonly resolve: (outcome: CommitOutcome) => void;
 }
 
 /** Time in which further samples join a batch, milliseconds. Chosen, not measured. */
-const GATHER_MS = 20;
+const BATCH_WINDOW_MS = 20;
 /** Samples in a batch: the store takes 100 entries in a transaction, and a sample needs up to four. */
-const MAX_BATCH = 24;
+const MAX_BATCH_SIZE = 24;
 /** Delay after a failed commit, milliseconds, doubled up to the maximum. Chosen, not measured. */
 const FIRST_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 2_000;
 
 /** The committer of one shard's owner. */
 export class SampleCommitter {
-  private queue: Entry[] = [];
-  private working = false;
+  private queue: PendingCommit[] = [];
+  private isProcessing = false;
 
   constructor(
     private readonly commits: SampleCommits,
@@ -38,27 +38,27 @@
   /** Queues a sample; resolves when it has won or lost its slot, or the lease is lost. */
   commit(finished: FinishedSample): Promise<CommitOutcome> {
     return new Promise((settle) => {
-      this.queue.push({ finished, settle });
-      if (!this.working) void this.work();
+      this.queue.push({ finished, resolve: settle });
+      if (!this.isProcessing) void this.processQueue();
     });
   }
 
-  private async work(): Promise<void> {
-    this.working = true;
-    await sleep(GATHER_MS);
+  private async processQueue(): Promise<void> {
+    this.isProcessing = true;
+    await sleep(BATCH_WINDOW_MS);
     while (this.queue.length > 0) {
-      const batch = this.queue.splice(0, MAX_BATCH);
+      const batch = this.queue.splice(0, MAX_BATCH_SIZE);
       await this.commitBatch(batch);
     }
-    this.working = false;
+    this.isProcessing = false;
   }
 
-  private async commitBatch(batch: readonly Entry[]): Promise<void> {
+  private async commitBatch(batch: readonly PendingCommit[]): Promise<void> {
     let delayMs = FIRST_RETRY_DELAY_MS;
     for (;;) {
       const outcomes = await this.tryCommit(batch);
       if (outcomes) {
-        for (const [index, entry] of batch.entries()) entry.settle(outcomes[index] ?? 'lost');
+        for (const [index, entry] of batch.entries()) entry.resolve(outcomes[index] ?? 'lost');
         return;
       }
       await sleep(delayMs, this.signal);
@@ -67,11 +67,11 @@
   }
 
   /** The outcomes of a batch; `undefined` when it has to be tried again. */
-  private async tryCommit(batch: readonly Entry[]): Promise<readonly CommitOutcome[] | undefined> {
+  private async tryCommit(batch: readonly PendingCommit[]): Promise<readonly CommitOutcome[] | undefined> {
     const finished = batch.map((entry) => entry.finished);
-    const verdicts = await this.commits.commit(this.trainer, this.lease, finished);
-    if (verdicts.isOk()) return verdicts.value;
-    const isLost = verdicts.error.failure === 'lease-lost' || this.signal.aborted;
+    const results = await this.commits.commit(this.trainer, this.lease, finished);
+    if (results.isOk()) return results.value;
+    const isLost = results.error.failure === 'lease-lost' || this.signal.aborted;
     return isLost ? batch.map(() => 'lease-lost') : undefined;
   }
 }
--- a/src/coordination/resource/rollouts/sample-producer.ts
+++ b/src/coordination/resource/rollouts/sample-producer.ts
@@ -56,7 +56,7 @@
     const model = trainer && this.parts.view.get('Model', rollout.row.model);
     const service = model && this.parts.view.get('Service', model.spec.service);
     if (!trainer || !model || !service) return 'retry';
-    const context = this.contextOf(signal);
+    const context = this.createContext(signal);
     const sampleId = formatSampleId({ trainer: this.trainerName, ...task });
     const request: GenerationRequest = {
       service,
@@ -68,7 +68,7 @@
       eventTokens: SAMPLE_EVENT_TOKENS,
       minVersion: () =>
         Math.max(0, newestPublished(this.parts.view, model.metadata.name) - trainer.spec.stalenessBound),
-      residency: intersect(trainer.spec.residency, model.spec.residency),
+      residency: intersectZones(trainer.spec.residency, model.spec.residency),
       preferNewest: trainer.spec.preference === 'staleness',
       subjects: [sampleId],
     };
@@ -148,7 +148,7 @@
     return false;
   }
 
-  private contextOf(signal: AbortSignal): RequestContext {
+  private createContext(signal: AbortSignal): RequestContext {
     return {
       requestId: newRequestId(this.parts.nodeId),
       principal: { identity: `trainer/${this.trainerName}`, roles: ['trainer'], trainer: this.trainerName },
@@ -169,7 +169,7 @@
 }
 
 /** Zones that both lists allow. */
-function intersect(
+function intersectZones(
   a: readonly string[] | undefined,
   b: readonly string[] | undefined,
 ): readonly string[] | undefined {
--- a/src/coordination/resource/singleton-tasks/singleton-tasks.ts
+++ b/src/coordination/resource/singleton-tasks/singleton-tasks.ts
@@ -43,13 +43,13 @@
 /** Rounds, and so renewals, in the lease time. Chosen, not measured: three renewals in a row may fail. */
 const RENEWALS_PER_LEASE = 4;
 /** Rounds without a change of members until idle tasks move to the first candidate. Chosen. */
-const ROUNDS_UNTIL_HANDOVER = 3;
+const HANDOVER_DELAY_ROUNDS = 3;
 /** Rounds for each attempt of the other candidates. Chosen, not measured. */
 const SECONDARY_ROUNDS = 2;
 
 type LeaseState = 'free' | 'held';
 type LeaseEvent = 'acquired' | 'lost';
-const LEASE_TABLE = { free: { acquired: 'held' }, held: { lost: 'free' } } as const;
+const LEASE_TRANSITIONS = { free: { acquired: 'held' }, held: { lost: 'free' } } as const;
 
 interface Candidacy {
   readonly task: SingletonTask;
@@ -103,7 +103,7 @@
   }
 
   /** Names of the tasks that this node runs. */
-  names(): string[] {
+  runningNames(): string[] {
     return [...this.running.keys()];
   }
 
@@ -118,7 +118,7 @@
       if (signal.aborted || !this.leases.isValid) return;
       if (this.shouldTry(candidacy)) await this.tryStart(candidacy.task);
     }
-    this.handOver();
+    this.handOverIdleTasks();
   }
 
   /** The first candidate tries in each round, the others in each `SECONDARY_ROUNDS`th. */
@@ -137,8 +137,8 @@
    * changed for a while. Without this, a node that started first, or took over for a restarted one, would
    * keep them for ever.
    */
-  private handOver(): void {
-    if (this.round - this.candidacySinceRound < ROUNDS_UNTIL_HANDOVER) return;
+  private handOverIdleTasks(): void {
+    if (this.round - this.candidacySinceRound < HANDOVER_DELAY_ROUNDS) return;
     const ranks = new Map(this.candidacies.map((one) => [one.task.name, one.rank]));
     for (const [name, { task, stop }] of this.running) {
       if (ranks.get(name) === 0 || stop.signal.aborted || !task.isIdle()) continue;
@@ -184,13 +184,13 @@
     });
     const running = task.createTask(lease, { stop: stop.signal, lost: lost.signal });
     const done = running.run().then(
-      () => this.noteEnded(task.name, 'task ended'),
-      (cause: unknown) => this.noteEnded(task.name, `task failed: ${String(cause)}`),
+      () => this.recordEnd(task.name, 'task ended'),
+      (cause: unknown) => this.recordEnd(task.name, `task failed: ${String(cause)}`),
     );
     this.running.set(task.name, { lease, task: running, stop, lost, done });
   }
 
-  private noteEnded(name: string, reason: string): void {
+  private recordEnd(name: string, reason: string): void {
     this.running.delete(name);
     this.leases.forget(name);
     this.lifecycle(name).send('lost', reason);
@@ -212,7 +212,13 @@
   private lifecycle(name: string): Lifecycle<LeaseState, LeaseEvent> {
     const known = this.lifecycles.get(name);
     if (known) return known;
-    const created = new Lifecycle<LeaseState, LeaseEvent>('lease', name, 'free', LEASE_TABLE, this.observer);
+    const created = new Lifecycle<LeaseState, LeaseEvent>(
+      'lease',
+      name,
+      'free',
+      LEASE_TRANSITIONS,
+      this.observer,
+    );
     this.lifecycles.set(name, created);
     return created;
   }
--- a/src/coordination/resource/weights/engine-monitor.ts
+++ b/src/coordination/resource/weights/engine-monitor.ts
@@ -12,9 +12,9 @@
 import { shouldDrain } from './weight-rollout.js';
 
 /** Interval in which the polled engines follow the configuration, milliseconds. Chosen, not measured. */
-const TASK_REFRESH_MS = 200;
+const SYNC_INTERVAL_MS = 200;
 /** Factor of the interval for a settled engine (calls and bytes without and with it: docs/CAPACITY.md). */
-const SETTLED_FACTOR = 8;
+const SETTLED_INTERVAL_FACTOR = 8;
 
 /** The monitor of one node. */
 export class EngineMonitor {
@@ -31,12 +31,12 @@
   /** Runs a task for each engine until stopped. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.synchronize(signal);
-      await sleep(TASK_REFRESH_MS, signal);
+      this.syncTasks(signal);
+      await sleep(SYNC_INTERVAL_MS, signal);
     }
   }
 
-  private synchronize(signal: AbortSignal): void {
+  private syncTasks(signal: AbortSignal): void {
     const services = this.view.list('Service').filter((service) => service.spec.type === 'model');
     const wanted = new Set(services.flatMap((service) => this.router.subset(service.metadata.name)));
     for (const [backend, stop] of this.tasks) {
@@ -48,22 +48,22 @@
       if (this.tasks.has(backend)) continue;
       const stop = new AbortController();
       this.tasks.set(backend, stop);
-      void this.watch(backend, AbortSignal.any([signal, stop.signal]));
+      void this.pollEngine(backend, AbortSignal.any([signal, stop.signal]));
     }
   }
 
-  private async watch(backend: BackendEntry, signal: AbortSignal): Promise<void> {
+  private async pollEngine(backend: BackendEntry, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const state = await this.engines.state(backend.declaration.spec.address);
       if (state.isOk()) backend.noteReport(state.value);
       else backend.noteFailure(state.error.message);
-      await this.pause(backend, signal);
+      await this.waitForNextPoll(backend, signal);
     }
   }
 
   /** Waits for the next poll; a change that unsettles the engine ends a long wait early. */
-  private async pause(backend: BackendEntry, signal: AbortSignal): Promise<void> {
-    for (let waited = 0; waited < SETTLED_FACTOR; waited += 1) {
+  private async waitForNextPoll(backend: BackendEntry, signal: AbortSignal): Promise<void> {
+    for (let waited = 0; waited < SETTLED_INTERVAL_FACTOR; waited += 1) {
       await sleep(this.intervalMs, signal);
       if (signal.aborted || !this.isSettled(backend)) return;
     }
--- a/src/coordination/resource/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -24,14 +24,14 @@
 
 type SwapState = 'current' | 'loading' | 'failed';
 type SwapEvent = 'ordered' | 'loaded' | 'loadFailed';
-const SWAP_TABLE = {
+const SWAP_TRANSITIONS = {
   current: { ordered: 'loading' },
   loading: { loaded: 'current', loadFailed: 'failed' },
   failed: { ordered: 'loading' },
 } as const;
 
 /** Interval of rounds, milliseconds. Chosen, not measured. */
-const ROUND_MS = 200;
+const RECONCILE_INTERVAL_MS = 200;
 /** Share of a slice's engines that load at a time when not declared. Chosen: one of three. */
 const DEFAULT_MAX_UNAVAILABLE = 0.34;
 /** Delay after a failed load of an engine, milliseconds, doubled up to the maximum. Chosen, not measured. */
@@ -62,7 +62,7 @@
 export class WeightRollout implements RunnableTask {
   private readonly swaps = new Map<string, Lifecycle<SwapState, SwapEvent>>();
   private readonly failures = new Map<string, number>();
-  private readonly busy = new Set<string>();
+  private readonly inProgress = new Set<string>();
 
   constructor(
     private readonly parts: WeightRolloutParts,
@@ -74,7 +74,7 @@
 
   /** Whether no command is in progress. */
   isIdle(): boolean {
-    return this.busy.size === 0;
+    return this.inProgress.size === 0;
   }
 
   /** Runs until the lease is lost or the model is deleted. */
@@ -84,7 +84,7 @@
       const model = this.parts.view.get('Model', this.modelName);
       if (!model) return;
       if (this.parts.gate.check().isOk()) this.startCommands(model, signal);
-      await sleep(ROUND_MS, signal);
+      await sleep(RECONCILE_INTERVAL_MS, signal);
     }
   }
 
@@ -102,13 +102,14 @@
 
   private startCommands(model: ResourceOf<'Model'>, signal: AbortSignal): void {
     const engines = this.engines(model);
-    for (const backend of engines) if (!this.busy.has(backend.name)) this.startRoleCommand(backend, signal);
+    for (const backend of engines)
+      if (!this.inProgress.has(backend.name)) this.startRoleCommand(backend, signal);
     const target = targetVersion(this.parts.view, model);
     if (!target) return;
     const loadable = engines.filter(
-      (backend) => !this.busy.has(backend.name) && needsLoad(backend, model, target),
+      (backend) => !this.inProgress.has(backend.name) && needsLoad(backend, model, target),
     );
-    const free = Math.max(0, maxLoading(model, engines.length) - this.busy.size);
+    const free = Math.max(0, maxLoading(model, engines.length) - this.inProgress.size);
     for (const backend of loadable.slice(0, free)) {
       this.runExclusively(backend, () => this.load(backend, target, signal));
     }
@@ -133,8 +134,8 @@
   }
 
   private runExclusively(backend: BackendEntry, task: () => Promise<void>): void {
-    this.busy.add(backend.name);
-    void task().finally(() => this.busy.delete(backend.name));
+    this.inProgress.add(backend.name);
+    void task().finally(() => this.inProgress.delete(backend.name));
   }
 
   private async load(
@@ -154,7 +155,7 @@
     };
     const loaded = await this.command(backend, command);
     const isLoaded = loaded.isOk() && loaded.value.shardVersions.every((one) => one === version);
-    this.noteLoad(backend, target, isLoaded, loaded.isErr() ? loaded.error : describeShards(loaded.value));
+    this.recordLoad(backend, target, isLoaded, loaded.isErr() ? loaded.error : describeShards(loaded.value));
     if (isLoaded) {
       this.failures.delete(backend.name);
       swap.sendIfAccepted('loaded');
@@ -174,7 +175,7 @@
     return ok(answer.value);
   }
 
-  private noteLoad(
+  private recordLoad(
     backend: BackendEntry,
     target: ResourceOf<'ModelVersion'>,
     isLoaded: boolean,
@@ -197,7 +198,7 @@
       'swap',
       name,
       'current',
-      SWAP_TABLE,
+      SWAP_TRANSITIONS,
       this.parts.observer,
     );
     this.swaps.set(name, created);
--- a/src/node/resource/api/caller-routes.ts
+++ b/src/node/resource/api/caller-routes.ts
@@ -12,11 +12,11 @@
 import type { WorkGate } from '../../../coordination/resource/requests/index.js';
 import {
   type ApplicationRequest,
+  closeDelimitedError,
   endToEndHeaders,
-  hasDeclaredEnd,
+  isSelfDelimited,
   type RequestContext,
   TIMEOUT_HEADER,
-  undeclaredEnd,
   writeRelayedHead,
 } from '../../../coordination/resource/requests/index.js';
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
@@ -176,7 +176,7 @@
   if (answer.isErr()) return err(answer.error);
   const { response, release, backend } = answer.value;
   try {
-    if (!hasDeclaredEnd(response, request.method)) return err(undeclaredEnd(backend.name));
+    if (!isSelfDelimited(response, request.method)) return err(closeDelimitedError(backend.name));
     writeRelayedHead(exchange.response, response, exchange.requestId);
     const copied = await copyBody(response.body, exchange.response);
     // A cut response must not look complete: the connection is destroyed instead of ended.
--- a/src/node/resource/api/change-routes.ts
+++ b/src/node/resource/api/change-routes.ts
@@ -185,7 +185,7 @@
   const committed = await parts.store.commit(id, wanted);
   if (committed.isErr()) return err(fromState(committed.error));
   if (committed.value.changed && parts.view.revision < committed.value.revision)
-    await parts.follower.readNow();
+    await parts.follower.catchUp();
   return ok(committed.value);
 }
 
--- a/src/node/resource/api/explain-routes.ts
+++ b/src/node/resource/api/explain-routes.ts
@@ -193,7 +193,7 @@
       configurationFresh: parts.freshness.isFresh,
       duties: parts.duties(),
     },
-    members: parts.nodes.everyone().map(({ id, zone, state, address }) => ({ id, zone, state, address })),
+    members: parts.nodes.allNodes().map(({ id, zone, state, address }) => ({ id, zone, state, address })),
     backends: parts.registry.all().map((entry) => ({
       name: entry.name,
       service: entry.declaration.spec.service,
--- a/src/node/resource/api/keyed-relay.ts
+++ b/src/node/resource/api/keyed-relay.ts
@@ -16,15 +16,15 @@
 import {
   type ApplicationRelay,
   type ApplicationRequest,
+  closeDelimitedError,
   endToEndHeaders,
-  hasDeclaredEnd,
+  isSelfDelimited,
   REQUEST_ID_HEADER,
-  type RelayedAnswer,
+  type RelayedResponse,
   type RequestContext,
   timeLeftMs,
-  undeclaredEnd,
 } from '../../../coordination/resource/requests/index.js';
-import type { ClaimStore, HeldClaim, RecordedAnswer } from '../../../state/resource/samples/index.js';
+import type { ClaimStore, HeldClaim, RecordedResponse } from '../../../state/resource/samples/index.js';
 import { readFully } from '../../../transport/http-client.js';
 import { type Exchange, InvalidRequestError } from './exchange.js';
 
@@ -104,14 +104,14 @@
     return err(whole.error);
   }
   sendRecorded(exchange, whole.value);
-  await parts.claims.recordAnswer(claim, whole.value);
+  await parts.claims.recordResponse(claim, whole.value);
   return ok(undefined);
 }
 
-async function readAnswer(answer: RelayedAnswer, method: string): CoordinationResult<RecordedAnswer> {
+async function readAnswer(answer: RelayedResponse, method: string): CoordinationResult<RecordedResponse> {
   const { response, release, backend } = answer;
   try {
-    if (!hasDeclaredEnd(response, method)) return err(undeclaredEnd(backend.name));
+    if (!isSelfDelimited(response, method)) return err(closeDelimitedError(backend.name));
     const body = await readFully(response.body, RECORDED_BODY_LIMIT_BYTES);
     if (body.isErr()) {
       return err(
@@ -127,7 +127,7 @@
   }
 }
 
-function sendRecorded(exchange: Exchange, answer: RecordedAnswer): void {
+function sendRecorded(exchange: Exchange, answer: RecordedResponse): void {
   if (exchange.response.destroyed) return;
   exchange.response.writeHead(answer.status, {
     ...answer.headers,
--- a/src/node/resource/api/read-routes.ts
+++ b/src/node/resource/api/read-routes.ts
@@ -37,7 +37,7 @@
   if (exchange.url.searchParams.get('watch') === 'true') {
     return watchResources(parts.view, exchange, kind.value, parts.leaving);
   }
-  await parts.follower.readNow();
+  await parts.follower.catchUp();
   const set = exchange.url.searchParams.get('set');
   const found = parts.view.list(kind.value) as Resource[];
   const items = found.filter((one) => set === null || one.metadata.set === set);
@@ -68,7 +68,7 @@
 async function read(parts: ResourceParts, exchange: Exchange): CoordinationResult<void> {
   const kind = kindOf(exchange);
   if (kind.isErr()) return err(kind.error);
-  await parts.follower.readNow();
+  await parts.follower.catchUp();
   const resource = parts.view.get(kind.value, exchange.params.name ?? '') as Resource | undefined;
   if (!resource) return err(notFound(exchange));
   const etag = `"${resource.metadata.resourceVersion}"`;
--- a/src/node/resource/coordination-parts.ts
+++ b/src/node/resource/coordination-parts.ts
@@ -92,7 +92,7 @@
   const { settings, timing, address, state, observer } = base;
   const { id, zone, machine } = settings.node;
   const own: NodeRecord = { id, address, zone, machine: machine ?? '', life: uniqueId() };
-  const options = { beatMs: timing.nodeBeatMs, expiryMs: timing.nodeExpiryMs };
+  const options = { heartbeatIntervalMs: timing.nodeBeatMs, expiryMs: timing.nodeExpiryMs };
   return new NodeRegistry(state.records, own, options, observer);
 }
 
--- a/src/node/resource/node.ts
+++ b/src/node/resource/node.ts
@@ -7,7 +7,11 @@
 import { Lifecycle } from '../../common/lifecycle.js';
 import { createLogger, type Logger } from '../../common/logging.js';
 import { Metrics } from '../../common/metrics.js';
-import { NODE_TABLE, type NodeEvent, type NodeState } from '../../coordination/resource/requests/index.js';
+import {
+  NODE_TRANSITIONS,
+  type NodeEvent,
+  type NodeState,
+} from '../../coordination/resource/requests/index.js';
 import type { RecordStore } from '../../protocol/record-store.js';
 import { HttpClient } from '../../transport/http-client.js';
 import { ApiServer } from './api/api-server.js';
@@ -64,7 +68,7 @@
       'node',
       settings.node.id,
       'starting',
-      NODE_TABLE,
+      NODE_TRANSITIONS,
       observer,
     );
     this.state = buildState(settings, this.timing, createStore(settings), observer);
@@ -155,7 +159,7 @@
         nodeId: settings.node.id,
         zone: settings.node.zone,
         nodeState: () => this.lifecycle.current,
-        duties: () => coordination.singletonTasks.names(),
+        duties: () => coordination.singletonTasks.runningNames(),
       }),
     ]);
   }
--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -23,13 +23,13 @@
 } from '../tables/index.js';
 import {
   type Candidate,
-  cursorClash,
+  cursorConflict,
   type DiscardedSample,
+  type DrawOptions,
   type DrawState,
-  type DrawTerms,
   drawTransaction,
+  INITIAL_CURSOR,
   isFresh,
-  NO_CURSOR,
   nextCursorRow,
   type Selection,
   selectSamples,
@@ -51,7 +51,7 @@
 }
 
 /** Rounds of a draw or an acknowledgement: concurrent writers cost one each. Chosen, not measured. */
-const MAX_ROUNDS = 12;
+const MAX_ATTEMPTS = 12;
 /**
  * Samples in a batch. The store takes 100 entries in a transaction and a delivered sample needs three; the
  * rest is for the cursor, the published versions and the rollouts.
@@ -68,48 +68,48 @@
   ) {}
 
   /** Draws a batch. With nothing ready the batch is empty and the cursor stays free. */
-  async draw(terms: DrawTerms, request: DrawRequest): StateResult<DrawOutcome> {
+  async draw(terms: DrawOptions, request: DrawRequest): StateResult<DrawOutcome> {
     const discarded: DiscardedSample[] = [];
-    return settle(MAX_ROUNDS, 'the draw could not be settled', () =>
-      this.drawRound(terms, request, discarded),
+    return settle(MAX_ATTEMPTS, 'the draw could not be settled', () =>
+      this.tryDraw(terms, request, discarded),
     );
   }
 
   /** One round; appends what it discards to `discarded`. */
-  private async drawRound(
-    terms: DrawTerms,
+  private async tryDraw(
+    terms: DrawOptions,
     request: DrawRequest,
     discarded: DiscardedSample[],
   ): RoundResult<DrawOutcome> {
     const state = await this.readState(terms, request);
     if (state.isErr()) return err(state.error);
-    const clash = cursorClash(state.value.cursorRow, request);
-    if (clash) return err(clash);
-    const step = await this.drawOnce(terms, request, state.value);
+    const conflict = cursorConflict(state.value.cursorRow, request);
+    if (conflict) return err(conflict);
+    const step = await this.writeDraw(terms, request, state.value);
     if (step.isErr()) return step.error.effect === 'none' ? err(step.error) : undefined;
     if (step.value === undefined) return undefined;
     discarded.push(...step.value.discarded);
     const { row } = step.value;
-    const batch = await this.assemble(terms, request, row);
+    const batch = await this.assembleBatch(terms, request, row);
     if (batch.isErr()) return err(batch.error);
     return batch.value && ok({ batch: batch.value, references: row.samples, discarded });
   }
 
   /** Acknowledges a batch. Repeating it is harmless. Error `conflict`: it is not the last batch. */
   async acknowledge(trainer: string, cursor: number, attempt: number, digest: string): StateResult<void> {
-    return settle(MAX_ROUNDS, 'the acknowledgement could not be settled', () =>
-      this.acknowledgeOnce(ledgerKeys.cursor(trainer), { cursor, attempt, digest }),
+    return settle(MAX_ATTEMPTS, 'the acknowledgement could not be settled', () =>
+      this.tryAcknowledge(ledgerKeys.cursor(trainer), { cursor, attempt, digest }),
     );
   }
 
-  private async acknowledgeOnce(
+  private async tryAcknowledge(
     key: string,
     batch: Pick<CursorRow, 'cursor' | 'attempt' | 'digest'>,
   ): RoundResult<void> {
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
-    const row = (stored?.value as CursorRow | undefined) ?? NO_CURSOR;
+    const row = (stored?.value as CursorRow | undefined) ?? INITIAL_CURSOR;
     if (row.cursor > batch.cursor) return ok(undefined);
     if (!stored || !isSameBatch(row, batch)) {
       const message = `cursor ${batch.cursor} attempt ${batch.attempt} is not the batch that was handed out`;
@@ -139,7 +139,7 @@
     });
   }
 
-  private async readState(terms: DrawTerms, request: DrawRequest): StateResult<DrawState> {
+  private async readState(terms: DrawOptions, request: DrawRequest): StateResult<DrawState> {
     const cursorKey = ledgerKeys.cursor(terms.trainer);
     const rows = await this.table.read([cursorKey, ...terms.models.map(publishedKey)]);
     return rows.map((found) => {
@@ -164,8 +164,8 @@
   }
 
   /** The write of a round; `undefined` when a condition failed. */
-  private async drawOnce(terms: DrawTerms, request: DrawRequest, state: DrawState) {
-    const row = state.cursorRow ?? NO_CURSOR;
+  private async writeDraw(terms: DrawOptions, request: DrawRequest, state: DrawState) {
+    const row = state.cursorRow ?? INITIAL_CURSOR;
     const redelivered = row.cursor === request.cursor ? row.samples : [];
     const areFresh = redelivered.every((sample) => isFresh(terms, state, sample));
     if (redelivered.length > 0 && areFresh) return this.redeliver(terms, request, state, row);
@@ -181,7 +181,7 @@
   }
 
   /** Delivers a batch again and stores the sequence of the request, which rejects earlier ones. */
-  private async redeliver(terms: DrawTerms, request: DrawRequest, state: DrawState, row: CursorRow) {
+  private async redeliver(terms: DrawOptions, request: DrawRequest, state: DrawState, row: CursorRow) {
     if (row.sequence === request.sequence) return ok({ row, discarded: [] });
     const key = ledgerKeys.cursor(terms.trainer);
     const next: CursorRow = { ...row, sequence: request.sequence };
@@ -195,7 +195,7 @@
 
   /** Chooses samples for a batch: first those of the void attempt that are still fresh, then ready ones. */
   private async select(
-    terms: DrawTerms,
+    terms: DrawOptions,
     request: DrawRequest,
     state: DrawState,
     redelivered: readonly ReadySample[],
@@ -231,8 +231,8 @@
   }
 
   /** Reads the content of the samples; `undefined` when some became too old meanwhile. */
-  private async assemble(
-    terms: DrawTerms,
+  private async assembleBatch(
+    terms: DrawOptions,
     request: DrawRequest,
     row: CursorRow,
   ): StateResult<Batch | undefined> {
--- a/src/state/resource/samples/claim-store.ts
+++ b/src/state/resource/samples/claim-store.ts
@@ -13,7 +13,7 @@
 import { type Objects, type RoundResult, type StateResult, settle, type Table } from '../tables/index.js';
 
 /** The recorded response. */
-export interface RecordedAnswer {
+export interface RecordedResponse {
   readonly status: number;
   readonly headers: Record<string, string>;
   readonly body: Buffer;
@@ -51,14 +51,14 @@
 /** `held`: dispatch it. The others: an earlier request has the key, and must not run again. */
 export type ClaimOutcome =
   | { readonly kind: 'held'; readonly claim: HeldClaim }
-  | { readonly kind: 'answered'; readonly requestId: string; readonly answer: RecordedAnswer }
+  | { readonly kind: 'answered'; readonly requestId: string; readonly answer: RecordedResponse }
   | { readonly kind: 'dispatched'; readonly requestId: string }
   | { readonly kind: 'unknown'; readonly requestId: string };
 
 /** Rounds in which a claim, or its end, is written. Chosen, not measured. */
-const MAX_SETTLE_ROUNDS = 20;
+const MAX_ATTEMPTS = 20;
 /** Delay before a claim's end is written again, milliseconds. Chosen, not measured: 20 rounds take 5 s. */
-const SETTLE_DELAY_MS = 250;
+const RETRY_DELAY_MS = 250;
 
 function claimKey(request: ClaimRequest): string {
   return `claim/${request.service}/${sha256Hex(`${request.identity}\n${request.idempotencyKey}`)}`;
@@ -80,58 +80,56 @@
       fingerprint: request.fingerprint,
       state: 'dispatched',
     };
-    return settle(MAX_SETTLE_ROUNDS, 'the claim could not be settled', () =>
-      this.claimOnce(key, row, request),
-    );
+    return settle(MAX_ATTEMPTS, 'the claim could not be settled', () => this.tryClaim(key, row, request));
   }
 
-  private async claimOnce(key: string, row: ClaimRow, request: ClaimRequest): RoundResult<ClaimOutcome> {
+  private async tryClaim(key: string, row: ClaimRow, request: ClaimRequest): RoundResult<ClaimOutcome> {
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
     const known = stored?.value as ClaimRow | undefined;
-    if (stored && known?.claimId === row.claimId) return held(key, row, stored.version);
-    if (known && known.state !== 'released') return this.earlier(known, request);
+    if (stored && known?.claimId === row.claimId) return heldOutcome(key, row, stored.version);
+    if (known && known.state !== 'released') return this.existingOutcome(known, request);
     const version = stored?.version ?? 0;
     const written = await this.table.transact({
       conditions: [{ key, version }],
       writes: [{ key, value: row }],
     });
     if (written.isErr()) return written.error.effect === 'none' ? err(written.error) : undefined;
-    return written.value.committed ? held(key, row, version + 1) : undefined;
+    return written.value.committed ? heldOutcome(key, row, version + 1) : undefined;
   }
 
   /** Records the response. Best effort: without it a repeat gets `unknown` or `dispatched`. */
-  async recordAnswer(claim: HeldClaim, answer: RecordedAnswer): Promise<void> {
+  async recordResponse(claim: HeldClaim, answer: RecordedResponse): Promise<void> {
     const bodyObject = `claims/${claim.row.claimId}`;
     const stored = await this.objects.put(bodyObject, answer.body);
     if (stored.isErr()) return this.recordUnknown(claim);
     const { status, headers } = answer;
-    await this.recordEnd(claim, { ...claim.row, state: 'answered', status, headers, bodyObject });
+    await this.recordOutcome(claim, { ...claim.row, state: 'answered', status, headers, bodyObject });
   }
 
   /** Records that the outcome cannot be known. */
   recordUnknown(claim: HeldClaim): Promise<void> {
-    return this.recordEnd(claim, { ...claim.row, state: 'unknown' });
+    return this.recordOutcome(claim, { ...claim.row, state: 'unknown' });
   }
 
   /** Releases the claim: the request certainly did not run, so a repeat may. */
   release(claim: HeldClaim): Promise<void> {
-    return this.recordEnd(claim, { ...claim.row, state: 'released' });
+    return this.recordOutcome(claim, { ...claim.row, state: 'released' });
   }
 
-  private async recordEnd(claim: HeldClaim, row: ClaimRow): Promise<void> {
-    for (let attempt = 0; attempt < MAX_SETTLE_ROUNDS; attempt += 1) {
+  private async recordOutcome(claim: HeldClaim, row: ClaimRow): Promise<void> {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const written = await this.table.transact({
         conditions: [{ key: claim.key, version: claim.version }],
         writes: [{ key: claim.key, value: row }],
       });
       if (written.isOk()) return;
-      await sleep(SETTLE_DELAY_MS);
+      await sleep(RETRY_DELAY_MS);
     }
   }
 
-  private async earlier(known: ClaimRow, request: ClaimRequest): StateResult<ClaimOutcome> {
+  private async existingOutcome(known: ClaimRow, request: ClaimRequest): StateResult<ClaimOutcome> {
     if (known.fingerprint !== request.fingerprint) {
       return err(new StateError('invalid', 'none', 'the Idempotency-Key was used for another request'));
     }
@@ -147,6 +145,6 @@
   }
 }
 
-function held(key: string, row: ClaimRow, version: number): Result<ClaimOutcome, StateError> {
+function heldOutcome(key: string, row: ClaimRow, version: number): Result<ClaimOutcome, StateError> {
   return ok({ kind: 'held', claim: { key, row, version } });
 }
--- a/src/state/resource/samples/draw-rules.ts
+++ b/src/state/resource/samples/draw-rules.ts
@@ -9,16 +9,16 @@
 import {
   type CursorRow,
   type DeliveredRow,
-  EXPIRED_LIMIT,
   isWithinBound,
   ledgerKeys,
+  MAX_EXPIRED_SAMPLES,
   type ReadySample,
   type RegenerateRow,
   type SlotRow,
 } from './ledger-rows.js';
 
 /** Who draws, and under which limits. `stalenessBound` is in versions, `batchSize` in samples. */
-export interface DrawTerms {
+export interface DrawOptions {
   readonly trainer: string;
   readonly models: readonly string[];
   readonly stalenessBound: number;
@@ -57,7 +57,7 @@
 }
 
 /** The cursor row before the first draw. */
-export const NO_CURSOR: CursorRow = {
+export const INITIAL_CURSOR: CursorRow = {
   cursor: 0,
   sequence: 0,
   attempt: 0,
@@ -72,8 +72,8 @@
  * the current batch acknowledged by its attempt and digest: a trainer that holds a void attempt must not
  * acknowledge the one that replaced it.
  */
-export function cursorClash(row: CursorRow | undefined, request: DrawRequest): StateError | undefined {
-  const current = row ?? NO_CURSOR;
+export function cursorConflict(row: CursorRow | undefined, request: DrawRequest): StateError | undefined {
+  const current = row ?? INITIAL_CURSOR;
   const { cursor, sequence } = request;
   if (sequence < current.sequence) {
     const message = `request ${sequence} was overtaken by request ${current.sequence}`;
@@ -105,7 +105,7 @@
 }
 
 /** Whether a sample is within the staleness bound of its model's newest known version. */
-export function isFresh(terms: DrawTerms, state: DrawState, sample: ReadySample): boolean {
+export function isFresh(terms: DrawOptions, state: DrawState, sample: ReadySample): boolean {
   return isWithinBound(sample.oldestVersion, state.newest.get(sample.model) ?? 0, terms.stalenessBound);
 }
 
@@ -114,7 +114,7 @@
  * rollout that is not open. Candidates beyond `wanted` stay ready.
  */
 export function selectSamples(
-  terms: DrawTerms,
+  terms: DrawOptions,
   state: DrawState,
   candidates: readonly Candidate[],
   isOpen: (rolloutId: string) => boolean,
@@ -157,7 +157,7 @@
 
 function addDiscard(
   transaction: Transaction,
-  terms: DrawTerms,
+  terms: DrawOptions,
   one: DiscardedSample & { readonly row?: Row },
 ): void {
   const { sample, row, newest } = one;
@@ -177,7 +177,7 @@
     newest,
     bound: terms.stalenessBound,
   };
-  const expired = [...sample.expired, latest].slice(-EXPIRED_LIMIT);
+  const expired = [...sample.expired, latest].slice(-MAX_EXPIRED_SAMPLES);
   const slotRow: SlotRow = {
     state: 'regenerating',
     generation,
@@ -203,7 +203,7 @@
 
 /** The transaction that delivers a selection. */
 export function drawTransaction(
-  terms: DrawTerms,
+  terms: DrawOptions,
   state: DrawState,
   selection: Selection,
   before: CursorRow,
--- a/src/state/resource/samples/ledger-rows.ts
+++ b/src/state/resource/samples/ledger-rows.ts
@@ -54,7 +54,7 @@
 }
 
 /** Expired samples kept in a slot's row. Chosen, not measured: bounds the row. */
-export const EXPIRED_LIMIT = 8;
+export const MAX_EXPIRED_SAMPLES = 8;
 
 /** A slot that an attempt has won, or that is to be generated again. */
 export interface SlotRow {
--- a/src/state/resource/samples/rollout-ledger.ts
+++ b/src/state/resource/samples/rollout-ledger.ts
@@ -47,7 +47,7 @@
 }
 
 /** Rounds of a submission or a cancellation. Chosen, not measured. */
-const MAX_SETTLE_ROUNDS = 6;
+const MAX_ATTEMPTS = 6;
 
 function submissionDigest(submission: RolloutSubmission): string {
   const { model, prompts, samplesPerPrompt, maxTokens, seed } = submission;
@@ -87,12 +87,12 @@
       digest,
       shards,
     };
-    return settle(MAX_SETTLE_ROUNDS, 'the submission could not be settled', () =>
-      this.submitOnce(trainer, rolloutId, row),
+    return settle(MAX_ATTEMPTS, 'the submission could not be settled', () =>
+      this.trySubmit(trainer, rolloutId, row),
     );
   }
 
-  private async submitOnce(trainer: string, rolloutId: string, row: RolloutRow): RoundResult<RolloutRow> {
+  private async trySubmit(trainer: string, rolloutId: string, row: RolloutRow): RoundResult<RolloutRow> {
     const key = ledgerKeys.rollout(trainer, rolloutId);
     const open = { rolloutId } satisfies OpenRow;
     const written = await this.table.transact({
@@ -103,20 +103,20 @@
     if (written.isErr() && written.error.effect === 'none') return err(written.error);
     const known = await this.table.read([key]);
     if (known.isErr()) return err(known.error);
-    const earlier = known.value[0]?.value as RolloutRow | undefined;
-    if (earlier === undefined) return undefined;
-    if (earlier.digest === row.digest) return ok(earlier);
+    const existing = known.value[0]?.value as RolloutRow | undefined;
+    if (existing === undefined) return undefined;
+    if (existing.digest === row.digest) return ok(existing);
     return err(new StateError('conflict', 'none', `rollout ${rolloutId} exists with other content`));
   }
 
   /** Cancels a rollout: no further sample of it wins a slot or is drawn. Repeating it is harmless. */
   async cancel(trainer: string, rolloutId: string): StateResult<void> {
-    return settle(MAX_SETTLE_ROUNDS, 'the cancellation could not be settled', () =>
-      this.cancelOnce(trainer, rolloutId),
+    return settle(MAX_ATTEMPTS, 'the cancellation could not be settled', () =>
+      this.tryCancel(trainer, rolloutId),
     );
   }
 
-  private async cancelOnce(trainer: string, rolloutId: string): RoundResult<void> {
+  private async tryCancel(trainer: string, rolloutId: string): RoundResult<void> {
     const key = ledgerKeys.rollout(trainer, rolloutId);
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
--- a/src/state/resource/samples/sample-commits.ts
+++ b/src/state/resource/samples/sample-commits.ts
@@ -35,10 +35,10 @@
 }
 
 /** What became of a finished sample. */
-export type CommitVerdict = 'won' | 'lost';
+export type CommitResult = 'won' | 'lost';
 
 /** Rounds of a transaction; its caller repeats until the lease is lost. Chosen, not measured. */
-const MAX_SETTLE_ROUNDS = 6;
+const MAX_ATTEMPTS = 6;
 
 interface PreparedCommit {
   readonly slotKey: string;
@@ -63,7 +63,7 @@
     trainer: string,
     lease: HeldLease,
     finished: readonly FinishedSample[],
-  ): StateResult<CommitVerdict[]> {
+  ): StateResult<CommitResult[]> {
     const object = `samples/${trainer}/${uniqueId()}`;
     const stored = await this.objects.put(
       object,
@@ -71,33 +71,31 @@
     );
     if (stored.isErr()) return err(stored.error);
     const prepared = finished.map((one, position) => prepareCommit(trainer, one, object, position));
-    const together = await this.commitPrepared(lease, prepared);
-    if (together.isErr()) return err(together.error);
-    if (together.value) return ok(finished.map(() => 'won'));
-    const verdicts: CommitVerdict[] = [];
+    const combined = await this.commitPrepared(lease, prepared);
+    if (combined.isErr()) return err(combined.error);
+    if (combined.value) return ok(finished.map(() => 'won'));
+    const results: CommitResult[] = [];
     for (const one of prepared) {
-      const alone = await this.commitPrepared(lease, [one]);
-      if (alone.isErr()) return err(alone.error);
-      verdicts.push(alone.value ? 'won' : 'lost');
+      const single = await this.commitPrepared(lease, [one]);
+      if (single.isErr()) return err(single.error);
+      results.push(single.value ? 'won' : 'lost');
     }
-    return ok(verdicts);
+    return ok(results);
   }
 
   /** True when the samples have won their slots, also when the answer to an earlier try was lost. */
   private async commitPrepared(lease: HeldLease, prepared: readonly PreparedCommit[]): StateResult<boolean> {
-    return settle(MAX_SETTLE_ROUNDS, 'the samples could not be settled', () =>
-      this.commitOnce(lease, prepared),
-    );
+    return settle(MAX_ATTEMPTS, 'the samples could not be settled', () => this.tryCommit(lease, prepared));
   }
 
-  private async commitOnce(lease: HeldLease, prepared: readonly PreparedCommit[]): RoundResult<boolean> {
+  private async tryCommit(lease: HeldLease, prepared: readonly PreparedCommit[]): RoundResult<boolean> {
     const written = await this.table.transact({
       conditions: [lease.condition, ...prepared.flatMap((one) => one.conditions)],
       writes: prepared.flatMap((one) => one.writes),
     });
     if (written.isOk() && written.value.committed) return ok(true);
     if (written.isErr() && written.error.effect === 'none') return err(written.error);
-    const won = await this.haveWon(prepared);
+    const won = await this.areCommitted(prepared);
     if (won.isErr() || won.value) return won;
     if (written.isErr()) return undefined;
     if (!written.value.failed.includes(lease.condition.key)) return ok(false);
@@ -105,7 +103,7 @@
   }
 
   /** Whether the slots hold exactly these attempts, identified by their request IDs. */
-  private async haveWon(prepared: readonly PreparedCommit[]): StateResult<boolean> {
+  private async areCommitted(prepared: readonly PreparedCommit[]): StateResult<boolean> {
     const rows = await this.table.read(prepared.map((one) => one.slotKey));
     return rows.map((found) => {
       const winners = new Map(found.map((row: Row) => [row.key, (row.value as SlotRow).decision?.requestId]));
--- a/test/coordination/resource/configuration/configuration.test.ts
+++ b/test/coordination/resource/configuration/configuration.test.ts
@@ -8,7 +8,7 @@
 import { until } from '../../../support/wait.js';
 
 /** Calls that a node must go on refusing once it has refused. */
-const CALLS_AFTER_REFUSAL = 40;
+const CALLS_AFTER_REJECTION = 40;
 
 describe('configuration', () => {
   let system: TestSystem;
@@ -57,7 +57,7 @@
     expect((await call(A)).json.code).to.equal('no-backend');
     for (const index of [B, C]) {
       await until('it refuses', async () => (await call(index)).status === 503);
-      for (let count = 0; count < CALLS_AFTER_REFUSAL; count += 1) {
+      for (let count = 0; count < CALLS_AFTER_REJECTION; count += 1) {
         expect((await call(index)).status, `node ${index} acts on the old revision again`).to.equal(503);
         await sleep(50);
       }
@@ -82,7 +82,7 @@
       const isServing = async () =>
         (await system.callApplication(one, uniqueId()))._unsafeUnwrap().status === 200;
       await until('the small side refuses', async () => !(await isServing()));
-      for (let count = 0; count < CALLS_AFTER_REFUSAL; count += 1) {
+      for (let count = 0; count < CALLS_AFTER_REJECTION; count += 1) {
         expect(await isServing(), `${one.id} acts on the old revision again`).to.equal(false);
         await sleep(50);
       }
--- a/test/coordination/resource/rollouts/exactly-once.test.ts
+++ b/test/coordination/resource/rollouts/exactly-once.test.ts
@@ -9,7 +9,7 @@
 import { until } from '../../../support/wait.js';
 
 const BOUND = 1;
-const DUTY = `rollouts/${EMULATOR_TRAINER}/0`;
+const ROLLOUT_TASK = `rollouts/${EMULATOR_TRAINER}/0`;
 
 describe('delivery of samples', () => {
   let system: TestSystem;
@@ -53,7 +53,7 @@
     return until('a node owns the rollouts', async () => {
       for (const node of among) {
         const status = await system.operator(node).status();
-        if (status.isOk() && status.value.node.duties.includes(DUTY)) return node;
+        if (status.isOk() && status.value.node.duties.includes(ROLLOUT_TASK)) return node;
       }
       return undefined;
     });
--- a/test/coordination/resource/singleton-tasks/singleton-tasks.test.ts
+++ b/test/coordination/resource/singleton-tasks/singleton-tasks.test.ts
@@ -16,7 +16,7 @@
   before(() => system.start());
   after(() => system.stop());
 
-  async function duties(): Promise<string[][]> {
+  async function rolloutTasks(): Promise<string[][]> {
     const all = await Promise.all(system.nodes.map((node) => system.operator(node).status()));
     return all.map((status) =>
       status._unsafeUnwrap().node.duties.filter((one) => one.startsWith('rollouts/')),
@@ -24,10 +24,10 @@
   }
 
   it('move to nodes that join later once nothing is in progress, and each has one holder', async () => {
-    await until('the first node holds all', async () => (await duties())[0]?.length === SHARDS);
+    await until('the first node holds all', async () => (await rolloutTasks())[0]?.length === SHARDS);
     await system.addNodes(['node-1', 'node-2']);
     await until('each node holds some', async () => {
-      const held = await duties();
+      const held = await rolloutTasks();
       const all = held.flat();
       return held.every((one) => one.length > 0) && all.length === SHARDS && new Set(all).size === SHARDS;
     });
--- a/test/state/resource/samples/draw-rules.test.ts
+++ b/test/state/resource/samples/draw-rules.test.ts
@@ -3,15 +3,15 @@
 import type { DrawRequest } from '../../../../src/protocol/resource/trainer.js';
 import {
   type Candidate,
-  cursorClash,
+  cursorConflict,
+  type DrawOptions,
   type DrawState,
-  type DrawTerms,
-  NO_CURSOR,
+  INITIAL_CURSOR,
   selectSamples,
 } from '../../../../src/state/resource/samples/draw-rules.js';
 import type { CursorRow, ReadySample } from '../../../../src/state/resource/samples/ledger-rows.js';
 
-const TERMS: DrawTerms = { trainer: 't', models: ['m'], stalenessBound: 2, batchSize: 8 };
+const TERMS: DrawOptions = { trainer: 't', models: ['m'], stalenessBound: 2, batchSize: 8 };
 const STATE: DrawState = {
   cursorRow: undefined,
   cursorVersion: 0,
@@ -38,7 +38,7 @@
 
 function cursorRow(change: Partial<CursorRow>): CursorRow {
   return {
-    ...NO_CURSOR,
+    ...INITIAL_CURSOR,
     cursor: 3,
     sequence: 5,
     attempt: 2,
@@ -88,7 +88,7 @@
   ];
   for (const [title, row, draw] of allowed)
     it(`may be ${title}`, () => {
-      expect(cursorClash(row, draw)).to.equal(undefined);
+      expect(cursorConflict(row, draw)).to.equal(undefined);
     });
 
   const rejected: readonly [string, CursorRow, DrawRequest, number][] = [
@@ -110,8 +110,8 @@
   ];
   for (const [title, row, draw, current] of rejected)
     it(`may not be ${title}`, () => {
-      const clash = cursorClash(row, draw);
-      expect(clash?.failure).to.equal('conflict');
-      expect(clash?.versions?.current).to.equal(current);
+      const conflict = cursorConflict(row, draw);
+      expect(conflict?.failure).to.equal('conflict');
+      expect(conflict?.versions?.current).to.equal(current);
     });
 });
--- a/test/state/resource/samples/ledger-properties.test.ts
+++ b/test/state/resource/samples/ledger-properties.test.ts
@@ -10,7 +10,7 @@
 import type { Batch, DrawRequest } from '../../../../src/protocol/resource/trainer.js';
 import { type HeldLease, LeaseStore } from '../../../../src/state/resource/leases/lease-store.js';
 import { BatchLedger } from '../../../../src/state/resource/samples/batch-ledger.js';
-import type { DrawTerms } from '../../../../src/state/resource/samples/draw-rules.js';
+import type { DrawOptions } from '../../../../src/state/resource/samples/draw-rules.js';
 import { formatSampleId } from '../../../../src/state/resource/samples/ledger-rows.js';
 import { RolloutLedger, type SlotTask } from '../../../../src/state/resource/samples/rollout-ledger.js';
 import { SampleCommits } from '../../../../src/state/resource/samples/sample-commits.js';
@@ -22,15 +22,15 @@
 const ROLLOUT = 'r';
 const SLOTS = 8;
 const BOUND = 1;
-const TERMS: DrawTerms = { trainer: TRAINER, models: [MODEL], stalenessBound: BOUND, batchSize: 3 };
+const TERMS: DrawOptions = { trainer: TRAINER, models: [MODEL], stalenessBound: BOUND, batchSize: 3 };
 const LEASE = 'rollouts/t/0';
 const FAULT_SHARE = 0.15;
 const STEPS = 60;
 /** Rounds without faults in which whatever is left must be delivered. */
-const FINISHING_ROUNDS = 50;
+const FAULT_FREE_ROUNDS = 50;
 
 /** Schedules that failed once. */
-const FOUND = [481_340];
+const REGRESSION_SEEDS = [481_340];
 
 /** One trainer, two owners and a network that delays draws. */
 class Schedule {
@@ -45,7 +45,7 @@
   private version = 1;
   private cursor = 1;
   private sequence = 0;
-  private held: Batch | undefined;
+  private lastBatch: Batch | undefined;
   private readonly trained = new Map<string, number>();
   readonly problems: string[] = [];
 
@@ -73,15 +73,15 @@
     this.store.faultShare = FAULT_SHARE;
     for (let step = 0; step < STEPS; step += 1) await this.step();
     this.store.faultShare = 0;
-    for (let round = 0; round < FINISHING_ROUNDS && this.trained.size < SLOTS; round += 1)
-      await this.finishOneRound();
+    for (let round = 0; round < FAULT_FREE_ROUNDS && this.trained.size < SLOTS; round += 1)
+      await this.runFaultFreeRound();
     if (this.trained.size < SLOTS)
       this.problems.push(`only ${this.trained.size} of ${SLOTS} slots were delivered`);
     await this.draw('received');
   }
 
   /** Slots that were trained on more often than once. */
-  doubled(): string[] {
+  duplicates(): string[] {
     return [...this.trained].filter(([, count]) => count > 1).map(([slot]) => slot);
   }
 
@@ -97,7 +97,7 @@
     await Promise.all([...others, choice < 4 ? this.draw(fate) : this.publish(this.version + 1)]);
   }
 
-  private async finishOneRound(): Promise<void> {
+  private async runFaultFreeRound(): Promise<void> {
     await this.acquire(0);
     await sleep(2);
     await this.acquire(0);
@@ -109,8 +109,8 @@
     const owner = this.owners[index];
     if (!owner) return;
     await owner.store.renew();
-    const taken = await owner.store.tryAcquire(LEASE);
-    if (taken.isOk() && taken.value) owner.lease = taken.value;
+    const acquired = await owner.store.tryAcquire(LEASE);
+    if (acquired.isOk() && acquired.value) owner.lease = acquired.value;
   }
 
   /** An owner commits a sample of some slot; it may believe in a lease that it has lost. */
@@ -150,7 +150,9 @@
 
   private nextRequest(): DrawRequest {
     this.sequence += 1;
-    const previous = this.held ? { attempt: this.held.attempt, digest: this.held.digest } : undefined;
+    const previous = this.lastBatch
+      ? { attempt: this.lastBatch.attempt, digest: this.lastBatch.digest }
+      : undefined;
     return { cursor: this.cursor, sequence: this.sequence, versions: { [MODEL]: this.version }, previous };
   }
 
@@ -177,7 +179,7 @@
       const oldest = Math.min(...sample.segments.map((segment) => segment.version));
       if (this.version - oldest > BOUND) this.problems.push(`${sample.sampleId} is too old`);
     }
-    this.held = batch;
+    this.lastBatch = batch;
     this.cursor = batch.cursor + 1;
   }
 
@@ -205,9 +207,9 @@
         const schedule = new Schedule(seed);
         await schedule.run();
         expect(schedule.problems).to.deep.equal([]);
-        expect(schedule.doubled()).to.deep.equal([]);
+        expect(schedule.duplicates()).to.deep.equal([]);
       }),
-      { numRuns: 1_500, seed: 42, examples: FOUND.map((seed) => [seed]) },
+      { numRuns: 1_500, seed: 42, examples: REGRESSION_SEEDS.map((seed) => [seed]) },
     );
   });
 });
