--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -1,13 +1,8 @@
 /**
- * Delivery side of the sample ledger. A cursor identifies one batch: drawing it again, through any node,
- * returns the same batch, and drawing the next cursor acknowledges it. The staleness bound is checked in the
- * transaction that delivers, which is conditional on the rows with the newest published versions. When
- * samples of a batch became too old before a redelivery, the whole attempt is void: they are generated again,
- * and the cursor gets a new attempt without them.
- *
- * Owns no state; relies on the table (rows of `ledger-rows.ts`) and on the objects with the samples' content.
- * A draw whose outcome stays unknown for `MAX_ROUNDS` rounds fails as `unavailable`; repeating it with the
- * same cursor is safe.
+ * Draws, redelivers and acknowledges batches. A cursor identifies one batch: drawing it again through any node
+ * returns the same batch, and drawing the next cursor acknowledges it. The draw transaction is conditional on
+ * the newest published versions, so that no delivered sample exceeds the staleness bound. If samples exceed it
+ * before a redelivery, they are generated again and the cursor gets a new attempt without them.
  */
 import { err, ok } from 'neverthrow';
 import type { Batch, DrawRequest, Sample } from '../../../protocol/resource/trainer.js';
@@ -43,39 +38,37 @@
   type SlotRow,
 } from './ledger-rows.js';
 
-/** A drawn batch, and the samples that were discarded before it was found. */
+/** `references` are the rows of the samples of the batch, in order. */
 export interface DrawOutcome {
   readonly batch: Batch;
   readonly references: readonly ReadySample[];
   readonly discarded: readonly DiscardedSample[];
 }
 
-/** Rounds of a draw or an acknowledgement: concurrent writers cost one each. Chosen, not measured. */
 const MAX_ATTEMPTS = 12;
 /**
- * Samples in a batch. The store takes 100 entries in a transaction and a delivered sample needs three; the
- * rest is for the cursor, the published versions and the rollouts.
+ * A transaction has at most 100 entries. A delivered sample takes three; the rest is for the cursor, the
+ * published versions and the rollouts.
  */
 const MAX_SAMPLES_DRAWN = 28;
-/** Ready rows read for each wanted sample, so that discards leave enough. Chosen, not measured. */
+/** Ready rows read for each requested sample, to allow for discarded ones. */
 const READY_ROWS_PER_SAMPLE = 2;
 
-/** Draws, redeliveries and acknowledgements. */
 export class BatchLedger {
   constructor(
     private readonly table: Table,
     private readonly objects: Objects,
   ) {}
 
-  /** Draws a batch. With nothing ready the batch is empty and the cursor stays free. */
+  /** Draws a batch. If no sample is ready, returns an empty batch and does not advance the cursor. */
   async draw(terms: DrawOptions, request: DrawRequest): StateResult<DrawOutcome> {
     const discarded: DiscardedSample[] = [];
-    return settle(MAX_ATTEMPTS, 'the draw could not be settled', () =>
+    return settle(MAX_ATTEMPTS, 'batch draw was not confirmed by the store', () =>
       this.tryDraw(terms, request, discarded),
     );
   }
 
-  /** One round; appends what it discards to `discarded`. */
+  /** One attempt; adds the discarded samples to `discarded`. Returns `undefined` to retry. */
   private async tryDraw(
     terms: DrawOptions,
     request: DrawRequest,
@@ -95,9 +88,9 @@
     return batch.value && ok({ batch: batch.value, references: row.samples, discarded });
   }
 
-  /** Acknowledges a batch. Repeating it is harmless. Error `conflict`: it is not the last batch. */
+  /** Acknowledges a batch; idempotent. Error `conflict`: it is not the current batch. */
   async acknowledge(trainer: string, cursor: number, attempt: number, digest: string): StateResult<void> {
-    return settle(MAX_ATTEMPTS, 'the acknowledgement could not be settled', () =>
+    return settle(MAX_ATTEMPTS, 'batch acknowledgement was not confirmed by the store', () =>
       this.tryAcknowledge(ledgerKeys.cursor(trainer), { cursor, attempt, digest }),
     );
   }
@@ -163,7 +156,7 @@
     });
   }
 
-  /** The write of a round; `undefined` when a condition failed. */
+  /** Selects and commits a batch; returns `undefined` if a condition of the transaction failed. */
   private async writeDraw(terms: DrawOptions, request: DrawRequest, state: DrawState) {
     const row = state.cursorRow ?? INITIAL_CURSOR;
     const redelivered = row.cursor === request.cursor ? row.samples : [];
@@ -180,7 +173,7 @@
     return ok(written.value.committed ? { row: next, discarded } : undefined);
   }
 
-  /** Delivers a batch again and stores the sequence of the request, which rejects earlier ones. */
+  /** Redelivers a batch and stores the sequence of the request, so that earlier requests are rejected. */
   private async redeliver(terms: DrawOptions, request: DrawRequest, state: DrawState, row: CursorRow) {
     if (row.sequence === request.sequence) return ok({ row, discarded: [] });
     const key = ledgerKeys.cursor(terms.trainer);
@@ -193,7 +186,7 @@
     return ok(written.value.committed ? { row: next, discarded: [] } : undefined);
   }
 
-  /** Chooses samples for a batch: first those of the void attempt that are still fresh, then ready ones. */
+  /** Selects the fresh samples of the previous attempt first, then ready ones. */
   private async select(
     terms: DrawOptions,
     request: DrawRequest,
@@ -230,7 +223,7 @@
     });
   }
 
-  /** Reads the content of the samples; `undefined` when some became too old meanwhile. */
+  /** Reads the content of the samples; returns `undefined` if one exceeds the staleness bound by then. */
   private async assembleBatch(
     terms: DrawOptions,
     request: DrawRequest,
@@ -257,7 +250,7 @@
     for (const [index, bytes] of objects.entries()) {
       if (bytes.isErr()) return err(bytes.error);
       if (!bytes.value)
-        return err(new StateError('unavailable', 'unknown', `object ${names[index]} is missing`));
+        return err(new StateError('unavailable', 'unknown', `sample object ${names[index]} not found`));
       contents.set(names[index] as string, JSON.parse(bytes.value.toString('utf8')) as Sample[]);
     }
     return ok(references.flatMap((one) => contents.get(one.object)?.[one.position] ?? []));
--- a/src/state/resource/samples/claim-store.ts
+++ b/src/state/resource/samples/claim-store.ts
@@ -1,10 +1,9 @@
 /**
- * Claims of requests with an Idempotency-Key to services that are not repeatable. A claim is committed before
- * the request is dispatched, so that a repeat, through any node, finds it and does not run the request again.
- * When the store cannot settle the claim, the request is rejected without having run; when it cannot record
- * the response, a repeat gets `dispatched` or `unknown`, never a second run.
+ * Idempotency records of requests to services that are not repeatable. A claim on the Idempotency-Key is
+ * committed before the request is dispatched, so that a retry through any node finds it and is not dispatched.
+ * If the claim cannot be committed, the request is rejected without having run.
  *
- * Rows: `claim/{service}/{hash of identity and key}` ClaimRow; bodies of answers in `claims/{claimId}`.
+ * Rows: `claim/{service}/{hash of identity and key}` ClaimRow; response bodies in `claims/{claimId}`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
@@ -12,7 +11,6 @@
 import { StateError } from '../../state-error.js';
 import { type Objects, type RoundResult, type StateResult, settle, type Table } from '../tables/index.js';
 
-/** The recorded response. */
 export interface RecordedResponse {
   readonly status: number;
   readonly headers: Record<string, string>;
@@ -21,10 +19,11 @@
 
 type ClaimState = 'dispatched' | 'answered' | 'unknown' | 'released';
 
+/** Stored row; the state `answered` means that the response was recorded. */
 interface ClaimRow {
   readonly claimId: string;
   readonly requestId: string;
-  /** Hash of method, path and body: the same key with another request is an error of the caller. */
+  /** Hash of method, path and body; detects a key that is reused for a different request. */
   readonly fingerprint: string;
   readonly state: ClaimState;
   readonly status?: number;
@@ -32,7 +31,7 @@
   readonly bodyObject?: string;
 }
 
-/** A request to claim: the key is the caller's own, so it counts per service and identity. */
+/** A request to claim. Idempotency keys are scoped to a service and a caller identity. */
 export interface ClaimRequest {
   readonly service: string;
   readonly identity: string;
@@ -41,37 +40,34 @@
   readonly requestId: string;
 }
 
-/** A claim that this request holds: it alone may be dispatched. */
+/** A claim held by the current request, which may be dispatched. */
 export interface HeldClaim {
   readonly key: string;
   readonly row: ClaimRow;
   readonly version: number;
 }
 
-/** `held`: dispatch it. The others: an earlier request has the key, and must not run again. */
+/** `held`: the request may be dispatched. Otherwise an earlier request holds the key. */
 export type ClaimOutcome =
   | { readonly kind: 'held'; readonly claim: HeldClaim }
   | { readonly kind: 'answered'; readonly requestId: string; readonly answer: RecordedResponse }
   | { readonly kind: 'dispatched'; readonly requestId: string }
   | { readonly kind: 'unknown'; readonly requestId: string };
 
-/** Rounds in which a claim, or its end, is written. Chosen, not measured. */
 const MAX_ATTEMPTS = 20;
-/** Delay before a claim's end is written again, milliseconds. Chosen, not measured: 20 rounds take 5 s. */
 const RETRY_DELAY_MS = 250;
 
 function claimKey(request: ClaimRequest): string {
   return `claim/${request.service}/${sha256Hex(`${request.identity}\n${request.idempotencyKey}`)}`;
 }
 
-/** Claims in the table service. */
 export class ClaimStore {
   constructor(
     private readonly table: Table,
     private readonly objects: Objects,
   ) {}
 
-  /** Claims a request, or returns the earlier one's state. Error `invalid`: the key is another request's. */
+  /** Claims a request or returns the existing claim. Error `invalid`: the key belongs to another request. */
   async claim(request: ClaimRequest): StateResult<ClaimOutcome> {
     const key = claimKey(request);
     const row: ClaimRow = {
@@ -80,7 +76,9 @@
       fingerprint: request.fingerprint,
       state: 'dispatched',
     };
-    return settle(MAX_ATTEMPTS, 'the claim could not be settled', () => this.tryClaim(key, row, request));
+    return settle(MAX_ATTEMPTS, 'idempotency claim was not confirmed by the store', () =>
+      this.tryClaim(key, row, request),
+    );
   }
 
   private async tryClaim(key: string, row: ClaimRow, request: ClaimRequest): RoundResult<ClaimOutcome> {
@@ -99,7 +97,7 @@
     return written.value.committed ? heldOutcome(key, row, version + 1) : undefined;
   }
 
-  /** Records the response. Best effort: without it a repeat gets `unknown` or `dispatched`. */
+  /** Records the response, best effort; if it is not recorded, a retry gets `unknown` or `dispatched`. */
   async recordResponse(claim: HeldClaim, answer: RecordedResponse): Promise<void> {
     const bodyObject = `claims/${claim.row.claimId}`;
     const stored = await this.objects.put(bodyObject, answer.body);
@@ -108,12 +106,11 @@
     await this.recordOutcome(claim, { ...claim.row, state: 'answered', status, headers, bodyObject });
   }
 
-  /** Records that the outcome cannot be known. */
   recordUnknown(claim: HeldClaim): Promise<void> {
     return this.recordOutcome(claim, { ...claim.row, state: 'unknown' });
   }
 
-  /** Releases the claim: the request certainly did not run, so a repeat may. */
+  /** Releases the claim of a request that did not run, so that a retry may run it. */
   release(claim: HeldClaim): Promise<void> {
     return this.recordOutcome(claim, { ...claim.row, state: 'released' });
   }
@@ -131,7 +128,9 @@
 
   private async existingOutcome(known: ClaimRow, request: ClaimRequest): StateResult<ClaimOutcome> {
     if (known.fingerprint !== request.fingerprint) {
-      return err(new StateError('invalid', 'none', 'the Idempotency-Key was used for another request'));
+      return err(
+        new StateError('invalid', 'none', 'Idempotency-Key was already used for a different request'),
+      );
     }
     const { requestId } = known;
     if (known.state === 'dispatched') return ok({ kind: 'dispatched', requestId });
--- a/src/state/resource/samples/draw-rules.ts
+++ b/src/state/resource/samples/draw-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Rules of a draw, pure: which cursor may be drawn, which samples are chosen or discarded, and the
- * transaction that delivers them. `batch-ledger.ts` reads the inputs and commits the result.
+ * Pure functions for drawing a batch: cursor validation, sample selection, and the transaction that marks the
+ * selected samples as delivered. `batch-ledger.ts` reads the inputs and commits the result.
  */
 import { sha256Hex } from '../../../common/identifier.js';
 import type { DrawRequest } from '../../../protocol/resource/trainer.js';
@@ -17,7 +17,7 @@
   type SlotRow,
 } from './ledger-rows.js';
 
-/** Who draws, and under which limits. `stalenessBound` is in versions, `batchSize` in samples. */
+/** Parameters of a trainer. `stalenessBound` is in weight versions, `batchSize` in samples. */
 export interface DrawOptions {
   readonly trainer: string;
   readonly models: readonly string[];
@@ -25,31 +25,29 @@
   readonly batchSize: number;
 }
 
-/** A sample that was not delivered. */
+/** A sample that is discarded; `newest` is the newest known version of its model. */
 export interface DiscardedSample {
   readonly sample: ReadySample;
   readonly reason: 'too-old' | 'rollout-cancelled';
   readonly newest: number;
 }
 
-/** Stored inputs of a draw. */
+/** Stored state that a draw is based on. */
 export interface DrawState {
   readonly cursorRow: CursorRow | undefined;
   readonly cursorVersion: number;
   /** Newest known version of each model. */
   readonly newest: ReadonlyMap<string, number>;
-  /** Conditions that keep the newest versions true. */
+  /** Conditions that fail the transaction if a newer version has been published since the read. */
   readonly publishedConditions: Transaction['conditions'];
 }
 
-/** A sample that may be delivered. */
 export interface Candidate {
   readonly sample: ReadySample;
-  /** Row of the ready sample; absent for a sample of the attempt that is replaced. */
+  /** Row of the ready sample; absent for a sample of the previous attempt of the same cursor. */
   readonly row?: Row;
 }
 
-/** What a draw delivers and what it discards. */
 export interface Selection {
   readonly chosen: readonly Candidate[];
   readonly discarded: readonly (DiscardedSample & { readonly row?: Row })[];
@@ -68,15 +66,15 @@
 };
 
 /**
- * Checks that no later request has been handled, and that the cursor is the current one, or the next one with
- * the current batch acknowledged by its attempt and digest: a trainer that holds a void attempt must not
- * acknowledge the one that replaced it.
+ * Returns an error if a later request has been handled, or if the cursor is neither the current one nor the
+ * next one. The next cursor requires an acknowledgement of the current batch by attempt and digest, so that a
+ * trainer holding a superseded attempt cannot acknowledge its replacement.
  */
 export function cursorConflict(row: CursorRow | undefined, request: DrawRequest): StateError | undefined {
   const current = row ?? INITIAL_CURSOR;
   const { cursor, sequence } = request;
   if (sequence < current.sequence) {
-    const message = `request ${sequence} was overtaken by request ${current.sequence}`;
+    const message = `request sequence ${sequence} is older than the last handled sequence ${current.sequence}`;
     return conflict(message, sequence, current.sequence);
   }
   const isNext = cursor === current.cursor + 1;
@@ -84,8 +82,8 @@
     return undefined;
   const expected = current.acknowledged ? current.cursor + 1 : current.cursor;
   const message = isNext
-    ? `batch ${current.cursor} is not acknowledged by its newest attempt (${current.attempt})`
-    : `cursor ${cursor} cannot be drawn; the next one is ${expected}`;
+    ? `batch ${current.cursor} has not been acknowledged with its current attempt ${current.attempt}`
+    : `cursor ${cursor} cannot be drawn; expected cursor ${expected}`;
   return conflict(message, cursor, expected);
 }
 
@@ -93,25 +91,24 @@
   return new StateError('conflict', 'none', message, undefined, { expected, current });
 }
 
-/** Whether the batch was delivered and acknowledged. */
 function isFinished(current: CursorRow): boolean {
   return current.acknowledged && current.samples.length > 0;
 }
 
-/** Whether the next cursor may be drawn: the batch is empty, or acknowledged before or hereby. */
+/** Whether the next cursor may be drawn: the current batch is empty or acknowledged, possibly by this request. */
 function mayAdvance(current: CursorRow, { previous }: DrawRequest): boolean {
   if (current.acknowledged || current.samples.length === 0) return true;
   return previous?.attempt === current.attempt && previous.digest === current.digest;
 }
 
-/** Whether a sample is within the staleness bound of its model's newest known version. */
+/** Whether a sample is within the staleness bound. */
 export function isFresh(terms: DrawOptions, state: DrawState, sample: ReadySample): boolean {
   return isWithinBound(sample.oldestVersion, state.newest.get(sample.model) ?? 0, terms.stalenessBound);
 }
 
 /**
- * Chooses up to `wanted` samples in the order of the candidates; discards those that are too old or of a
- * rollout that is not open. Candidates beyond `wanted` stay ready.
+ * Selects up to `wanted` samples in candidate order and discards samples that are too old or whose rollout is
+ * not open. The remaining candidates stay ready.
  */
 export function selectSamples(
   terms: DrawOptions,
@@ -132,7 +129,7 @@
   return { chosen, discarded };
 }
 
-/** The cursor row of a new batch, or of a new attempt of the current one. */
+/** Builds the cursor row of a new batch, or of a new attempt of the current batch. */
 export function nextCursorRow(
   before: CursorRow,
   { cursor, sequence }: DrawRequest,
@@ -201,7 +198,6 @@
   });
 }
 
-/** The transaction that delivers a selection. */
 export function drawTransaction(
   terms: DrawOptions,
   state: DrawState,
@@ -218,7 +214,7 @@
     ],
     writes: [],
   };
-  // With nothing chosen the cursor row changes only when it drops the samples of a void attempt.
+  // An empty selection writes the cursor row only to remove the samples of a superseded attempt.
   if (selection.chosen.length > 0 || before.cursor === next.cursor) {
     transaction.writes.push({ key: cursorKey, value: next });
   }
--- a/src/state/resource/samples/ledger-rows.ts
+++ b/src/state/resource/samples/ledger-rows.ts
@@ -1,13 +1,13 @@
 /**
- * Rows of the sample ledger in the table service.
+ * Row types, keys and sample IDs of the sample ledger in the table service.
  *
- * | key | value | written |
+ * | key | value | lifecycle |
  * |---|---|---|
  * | `rollout/{trainer}/{rolloutId}` | RolloutRow | at submission, at cancellation |
- * | `open/{trainer}/{shard}/{rolloutId}` | OpenRow | at submission; deleted when the shard's slots are won |
- * | `slot/{trainer}/{rolloutId}/{slot}` | SlotRow | when an attempt wins the slot, when its sample expires |
- * | `ready/{trainer}/{ulid}` | ReadySample | with the slot; deleted when drawn or expired |
- * | `regenerate/{trainer}/{shard}/{rolloutId}/{slot}` | RegenerateRow | when a sample expires; deleted when won again |
+ * | `open/{trainer}/{shard}/{rolloutId}` | OpenRow | at submission; deleted when all slots of the shard are committed |
+ * | `slot/{trainer}/{rolloutId}/{slot}` | SlotRow | when a sample is committed or expires |
+ * | `ready/{trainer}/{ulid}` | ReadySample | together with the slot row; deleted when drawn or expired |
+ * | `regenerate/{trainer}/{shard}/{rolloutId}/{slot}` | RegenerateRow | when a sample expires; deleted when its replacement is committed |
  * | `cursor/{trainer}` | CursorRow | at each draw and acknowledgement |
  * | `delivered/{trainer}/{sampleId}` | DeliveredRow | when drawn |
  */
@@ -15,7 +15,6 @@
 
 const SLOT_DIGITS = 7;
 
-/** A submitted rollout. */
 export interface RolloutRow {
   readonly state: 'open' | 'cancelled';
   readonly model: string;
@@ -23,19 +22,19 @@
   readonly samplesPerPrompt: number;
   readonly maxTokens: number;
   readonly seed: number;
-  /** Object that holds the prompts, a JSON array. */
+  /** Name of the object with the prompts, a JSON array of strings. */
   readonly promptsObject: string;
-  /** SHA-256 of the submission: tells a repeat from a conflict. */
+  /** SHA-256 of the submission; distinguishes a retry from a conflicting submission. */
   readonly digest: string;
   readonly shards: number;
 }
 
-/** Marks a rollout with slots of a shard that are not won. */
+/** Lists a rollout as open work of a shard. */
 export interface OpenRow {
   readonly rolloutId: string;
 }
 
-/** Decision by which a sample was generated, for `explain`. */
+/** How a sample was generated; shown by `explain`. */
 export interface SampleDecision {
   readonly requestId: string;
   readonly node: string;
@@ -45,7 +44,7 @@
   readonly engines: readonly string[];
 }
 
-/** A sample that was discarded as too old: the versions that decided it. */
+/** A sample discarded for exceeding the staleness bound; `oldest`, `newest` and `bound` are in versions. */
 export interface ExpiredSample {
   readonly sampleId: string;
   readonly oldest: number;
@@ -53,21 +52,21 @@
   readonly bound: number;
 }
 
-/** Expired samples kept in a slot's row. Chosen, not measured: bounds the row. */
+/** Expired samples kept in a slot row; limits the row size. */
 export const MAX_EXPIRED_SAMPLES = 8;
 
-/** A slot that an attempt has won, or that is to be generated again. */
+/** A slot; the stored state `won` means that its sample is committed. */
 export interface SlotRow {
   readonly state: 'won' | 'regenerating';
   readonly generation: number;
   readonly sampleId: string;
   readonly segments: readonly Segment[];
   readonly decision: SampleDecision | null;
-  /** Samples of this slot that were discarded as too old, the newest last. */
+  /** Oldest first. */
   readonly expired: readonly ExpiredSample[];
 }
 
-/** A sample that can be drawn. */
+/** A committed sample that is ready to be drawn. */
 export interface ReadySample {
   readonly sampleId: string;
   readonly rolloutId: string;
@@ -77,15 +76,15 @@
   readonly model: string;
   readonly oldestVersion: number;
   readonly contentDigest: string;
-  /** Object with a JSON array of samples, and the index of this one in it. */
+  /** Name of the object with a JSON array of samples; `position` is the index of this sample. */
   readonly object: string;
   readonly position: number;
-  /** Version of the slot row that holds the sample. */
+  /** Version of the slot row after the commit. */
   readonly slotVersion: number;
   readonly expired: readonly ExpiredSample[];
 }
 
-/** A slot whose sample expired. */
+/** A slot whose sample expired and must be generated again. */
 export interface RegenerateRow {
   readonly rolloutId: string;
   readonly slot: number;
@@ -94,10 +93,10 @@
   readonly expired: readonly ExpiredSample[];
 }
 
-/** The batch of a trainer's newest cursor. */
+/** The current batch of a trainer. */
 export interface CursorRow {
   readonly cursor: number;
-  /** Sequence of the newest request that received the batch. */
+  /** Sequence of the last request that received the batch; earlier ones are rejected. */
   readonly sequence: number;
   readonly attempt: number;
   readonly digest: string;
@@ -106,14 +105,12 @@
   readonly checkedAgainst: Record<string, number>;
 }
 
-/** Cursor with which a sample was delivered. */
 export interface DeliveredRow {
   readonly cursor: number;
 }
 
 const paddedSlot = (slot: number) => slot.toString().padStart(SLOT_DIGITS, '0');
 
-/** Keys of the rows above. */
 export const ledgerKeys = {
   rollouts: (trainer: string) => `rollout/${trainer}/`,
   rollout: (trainer: string, rolloutId: string) => `rollout/${trainer}/${rolloutId}`,
@@ -132,7 +129,7 @@
   deliveredOfRollout: (trainer: string, rolloutId: string) => `delivered/${trainer}/${trainer}:${rolloutId}:`,
 };
 
-/** Parts of a sample ID. `generation` counts the expired samples of the slot. */
+/** `generation` is the number of earlier samples of the slot that expired. */
 export interface SampleIdParts {
   readonly trainer: string;
   readonly rolloutId: string;
@@ -140,12 +137,11 @@
   readonly generation: number;
 }
 
-/** The ID of a sample. */
 export function formatSampleId(parts: SampleIdParts): string {
   return `${parts.trainer}:${parts.rolloutId}:${parts.slot}:${parts.generation}`;
 }
 
-/** The parts of a sample ID, or `undefined` when the text is not one. */
+/** Returns `undefined` if the text is not a sample ID. */
 export function parseSampleId(text: string): SampleIdParts | undefined {
   const [trainer, rolloutId, slot, generation, ...rest] = text.split(':');
   if (!trainer || !rolloutId || rest.length > 0) return undefined;
@@ -153,7 +149,6 @@
   return { trainer, rolloutId, slot: Number(slot), generation: Number(generation) };
 }
 
-/** The oldest weight version among the segments. */
 export function oldestVersion(segments: readonly Segment[]): number {
   return Math.min(...segments.map((segment) => segment.version));
 }
--- a/src/state/resource/samples/rollout-ledger.ts
+++ b/src/state/resource/samples/rollout-ledger.ts
@@ -1,10 +1,7 @@
 /**
- * Rollouts in the sample ledger: submission, cancellation, progress, and the work that a shard's owner has to
- * do. Slots are won in `sample-commits.ts`, samples are drawn in `batch-ledger.ts`; the rows are those of
- * `ledger-rows.ts`.
- *
- * Owns no state. Writes are conditional; one whose outcome stays unknown fails as `unavailable` and may be
- * repeated.
+ * Submits, cancels and lists rollouts, and reads the slots that a shard still has to generate. Samples are
+ * committed by `sample-commits.ts` and drawn by `batch-ledger.ts`. A write whose outcome stays unknown fails
+ * as `unavailable` and may be retried.
  */
 import { err, ok } from 'neverthrow';
 import { sha256Hex } from '../../../common/identifier.js';
@@ -28,7 +25,6 @@
   type SlotRow,
 } from './ledger-rows.js';
 
-/** A rollout with its prompts. */
 export interface LoadedRollout {
   readonly rolloutId: string;
   readonly row: RolloutRow;
@@ -42,11 +38,9 @@
   readonly slot: number;
   readonly generation: number;
   readonly slotVersion: number;
-  /** Earlier samples of the slot that expired. */
   readonly expired: readonly ExpiredSample[];
 }
 
-/** Rounds of a submission or a cancellation. Chosen, not measured. */
 const MAX_ATTEMPTS = 6;
 
 function submissionDigest(submission: RolloutSubmission): string {
@@ -54,7 +48,7 @@
   return sha256Hex(JSON.stringify([model, prompts, samplesPerPrompt, maxTokens, seed ?? 0]));
 }
 
-/** Writes of the rows that list a rollout as open work, one for each shard. */
+/** Writes or deletes the rows that list a rollout as open work, one per shard. */
 function openWrites(trainer: string, rolloutId: string, shards: number, value: OpenRow | null) {
   return Array.from({ length: shards }, (_, shard) => ({
     key: ledgerKeys.open(trainer, shard, rolloutId),
@@ -62,14 +56,13 @@
   }));
 }
 
-/** Rollouts and their open work. */
 export class RolloutLedger {
   constructor(
     private readonly table: Table,
     private readonly objects: Objects,
   ) {}
 
-  /** Records a rollout. Repeating it is harmless. Error `conflict`: the ID has other content. */
+  /** Stores a rollout; idempotent. Error `conflict`: the ID exists with different content. */
   async submit(trainer: string, submission: RolloutSubmission, shards: number): StateResult<RolloutRow> {
     const { rolloutId, model, prompts, samplesPerPrompt, maxTokens, seed } = submission;
     const digest = submissionDigest(submission);
@@ -87,7 +80,7 @@
       digest,
       shards,
     };
-    return settle(MAX_ATTEMPTS, 'the submission could not be settled', () =>
+    return settle(MAX_ATTEMPTS, 'rollout submission was not confirmed by the store', () =>
       this.trySubmit(trainer, rolloutId, row),
     );
   }
@@ -106,12 +99,14 @@
     const existing = known.value[0]?.value as RolloutRow | undefined;
     if (existing === undefined) return undefined;
     if (existing.digest === row.digest) return ok(existing);
-    return err(new StateError('conflict', 'none', `rollout ${rolloutId} exists with other content`));
+    return err(
+      new StateError('conflict', 'none', `rollout ${rolloutId} already exists with different content`),
+    );
   }
 
-  /** Cancels a rollout: no further sample of it wins a slot or is drawn. Repeating it is harmless. */
+  /** Cancels a rollout; idempotent. No further sample of it is committed or drawn. */
   async cancel(trainer: string, rolloutId: string): StateResult<void> {
-    return settle(MAX_ATTEMPTS, 'the cancellation could not be settled', () =>
+    return settle(MAX_ATTEMPTS, 'rollout cancellation was not confirmed by the store', () =>
       this.tryCancel(trainer, rolloutId),
     );
   }
@@ -121,7 +116,7 @@
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
-    if (!stored) return err(new StateError('not-found', 'none', `no rollout ${rolloutId}`));
+    if (!stored) return err(new StateError('not-found', 'none', `rollout ${rolloutId} not found`));
     const row = stored.value as RolloutRow;
     if (row.state === 'cancelled') return ok(undefined);
     const cancelled: RolloutRow = { ...row, state: 'cancelled' };
@@ -132,12 +127,12 @@
     return written.isOk() && written.value.committed ? ok(undefined) : undefined;
   }
 
-  /** Progress of a rollout; the counts are read one after the other and may lag. */
+  /** The counts are read separately and may be inconsistent with each other. */
   async progress(trainer: string, rolloutId: string): StateResult<RolloutProgress> {
     const rows = await this.table.read([ledgerKeys.rollout(trainer, rolloutId)]);
     if (rows.isErr()) return err(rows.error);
     const row = rows.value[0]?.value as RolloutRow | undefined;
-    if (!row) return err(new StateError('not-found', 'none', `no rollout ${rolloutId}`));
+    if (!row) return err(new StateError('not-found', 'none', `rollout ${rolloutId} not found`));
     const slots = await scanAll(this.table, ledgerKeys.slots(trainer, rolloutId));
     if (slots.isErr()) return err(slots.error);
     const delivered = await scanAll(this.table, ledgerKeys.deliveredOfRollout(trainer, rolloutId));
@@ -154,7 +149,6 @@
     });
   }
 
-  /** IDs and rows of a trainer's rollouts. */
   async list(trainer: string): StateResult<{ rolloutId: string; row: RolloutRow }[]> {
     const prefix = ledgerKeys.rollouts(trainer);
     const rows = await scanAll(this.table, prefix);
@@ -163,25 +157,24 @@
     );
   }
 
-  /** Rollouts of a shard that still have slots to win. */
+  /** IDs of the rollouts with slots of the shard to generate. */
   async openRollouts(trainer: string, shard: number): StateResult<string[]> {
     const rows = await scanAll(this.table, ledgerKeys.openOfShard(trainer, shard));
     return rows.map((found) => found.map((row) => (row.value as OpenRow).rolloutId));
   }
 
-  /** Slots of a shard whose sample expired. */
+  /** Slots of the shard whose sample expired. */
   async regenerations(trainer: string, shard: number): StateResult<SlotTask[]> {
     const rows = await scanAll(this.table, ledgerKeys.regenerateOfShard(trainer, shard));
     return rows.map((found) => found.map((row) => row.value as RegenerateRow));
   }
 
-  /** Whether a rollout was cancelled. */
   async isCancelled(trainer: string, rolloutId: string): StateResult<boolean> {
     const rows = await this.table.read([ledgerKeys.rollout(trainer, rolloutId)]);
     return rows.map((found) => (found[0]?.value as RolloutRow | undefined)?.state === 'cancelled');
   }
 
-  /** A rollout with its prompts; `undefined` when it does not exist. */
+  /** Returns `undefined` if the rollout does not exist. */
   async load(trainer: string, rolloutId: string): StateResult<LoadedRollout | undefined> {
     const rows = await this.table.read([ledgerKeys.rollout(trainer, rolloutId)]);
     if (rows.isErr()) return err(rows.error);
@@ -191,12 +184,12 @@
     const bytes = await this.objects.get(row.promptsObject);
     if (bytes.isErr()) return err(bytes.error);
     if (!bytes.value)
-      return err(new StateError('unavailable', 'none', `prompts of ${rolloutId} are missing`));
+      return err(new StateError('unavailable', 'none', `prompts object of rollout ${rolloutId} not found`));
     const prompts = JSON.parse(bytes.value.toString('utf8')) as string[];
     return ok({ rolloutId, row, rowVersion: stored.version, prompts });
   }
 
-  /** Slots of a shard that no attempt has won. A slot's shard is its number modulo that of shards. */
+  /** Slots of the shard without a committed sample. A slot belongs to shard `slot % shards`. */
   async freeSlots(trainer: string, rollout: LoadedRollout, shard: number): StateResult<SlotTask[]> {
     const rows = await scanAll(this.table, ledgerKeys.slots(trainer, rollout.rolloutId));
     return rows.map((found) => {
@@ -210,7 +203,7 @@
     });
   }
 
-  /** Removes a rollout from a shard's open work. Best effort: a row that stays only costs reads. */
+  /** Removes a rollout from the open work of a shard, best effort. */
   async closeShard(trainer: string, shard: number, rolloutId: string, lease: HeldLease): Promise<void> {
     await this.table.transact({
       conditions: [lease.condition],
--- a/src/state/resource/samples/sample-commits.ts
+++ b/src/state/resource/samples/sample-commits.ts
@@ -1,7 +1,7 @@
 /**
- * Commits of generated samples. A slot is won by one attempt: the transaction that writes it is conditional
- * on the slot being free, the rollout not being cancelled, and the lease of the generating node being the
- * newest one. So an owner that was paused and superseded cannot commit.
+ * Commits generated samples to their slots. Each transaction is conditional on the slot being free, the
+ * rollout row being unchanged (not cancelled), and the lease of the generating node being current, so that a
+ * node that has lost the shard cannot commit.
  */
 import { err, ok } from 'neverthrow';
 import { sha256Hex, uniqueId } from '../../../common/identifier.js';
@@ -25,7 +25,7 @@
 } from './ledger-rows.js';
 import type { SlotTask } from './rollout-ledger.js';
 
-/** A generated sample that is to win its slot. */
+/** A generated sample to be committed; `rolloutVersion` is the version of the rollout row. */
 export interface FinishedSample {
   readonly task: SlotTask;
   readonly shard: number;
@@ -34,10 +34,9 @@
   readonly decision: SampleDecision;
 }
 
-/** What became of a finished sample. */
+/** `lost`: another attempt has committed the slot, or the rollout was cancelled. */
 export type CommitResult = 'won' | 'lost';
 
-/** Rounds of a transaction; its caller repeats until the lease is lost. Chosen, not measured. */
 const MAX_ATTEMPTS = 6;
 
 interface PreparedCommit {
@@ -47,7 +46,6 @@
   readonly writes: readonly { key: string; value: unknown }[];
 }
 
-/** Commits under leases; owns no state. */
 export class SampleCommits {
   constructor(
     private readonly table: Table,
@@ -55,9 +53,9 @@
   ) {}
 
   /**
-   * Commits finished samples under a lease: their content in one object, then all slots in one transaction.
-   * When a condition fails, they are committed one by one, so that a lost slot does not affect the others.
-   * Error `lease-lost`: none of those left was committed. Repeating a commit is safe.
+   * Stores the content of all samples in one object and commits their slots in one transaction. If a condition
+   * fails, commits them one by one, so that a lost slot does not affect the others. Idempotent. Error
+   * `lease-lost`: the remaining samples were not committed.
    */
   async commit(
     trainer: string,
@@ -83,9 +81,11 @@
     return ok(results);
   }
 
-  /** True when the samples have won their slots, also when the answer to an earlier try was lost. */
+  /** Returns true if the samples are committed, including by an earlier attempt whose response was lost. */
   private async commitPrepared(lease: HeldLease, prepared: readonly PreparedCommit[]): StateResult<boolean> {
-    return settle(MAX_ATTEMPTS, 'the samples could not be settled', () => this.tryCommit(lease, prepared));
+    return settle(MAX_ATTEMPTS, 'sample commit was not confirmed by the store', () =>
+      this.tryCommit(lease, prepared),
+    );
   }
 
   private async tryCommit(lease: HeldLease, prepared: readonly PreparedCommit[]): RoundResult<boolean> {
@@ -99,10 +99,10 @@
     if (won.isErr() || won.value) return won;
     if (written.isErr()) return undefined;
     if (!written.value.failed.includes(lease.condition.key)) return ok(false);
-    return err(new StateError('lease-lost', 'none', `lease ${lease.name} has a new holder`));
+    return err(new StateError('lease-lost', 'none', `lease ${lease.name} is held by another node`));
   }
 
-  /** Whether the slots hold exactly these attempts, identified by their request IDs. */
+  /** Whether the slots hold these attempts, identified by request ID. */
   private async areCommitted(prepared: readonly PreparedCommit[]): StateResult<boolean> {
     const rows = await this.table.read(prepared.map((one) => one.slotKey));
     return rows.map((found) => {
--- a/test/state/resource/samples/draw-rules.test.ts
+++ b/test/state/resource/samples/draw-rules.test.ts
@@ -1,4 +1,3 @@
-/** Rules of a draw: which cursors may be drawn, and which samples are delivered, discarded or left. */
 import { expect } from 'chai';
 import type { DrawRequest } from '../../../../src/protocol/resource/trainer.js';
 import {
@@ -52,8 +51,8 @@
   return { cursor: 4, sequence: 6, versions: {}, ...change };
 }
 
-describe('the selection of samples', () => {
-  it('delivers up to the wanted number, discards expired and cancelled ones, and leaves the others', () => {
+describe('selectSamples', () => {
+  it('selects up to the limit, discards expired and cancelled samples, and leaves the rest ready', () => {
     const samples = [
       sample('a', 8),
       sample('old', 7),
@@ -71,45 +70,45 @@
   });
 });
 
-describe('the cursor of a draw', () => {
+describe('cursorConflict', () => {
   const allowed: readonly [string, CursorRow, DrawRequest][] = [
     [
-      'the current one while it is not acknowledged',
+      'the current cursor while its batch is not acknowledged',
       cursorRow({ acknowledged: false }),
       request({ cursor: 3 }),
     ],
-    ['the next one after an acknowledgement', cursorRow({ acknowledged: true }), request({})],
-    ['the next one after an empty batch', cursorRow({ acknowledged: false, samples: [] }), request({})],
+    ['the next cursor after an acknowledgement', cursorRow({ acknowledged: true }), request({})],
+    ['the next cursor after an empty batch', cursorRow({ acknowledged: false, samples: [] }), request({})],
     [
-      'the next one with the acknowledgement of the newest attempt',
+      'the next cursor with an acknowledgement of the current attempt',
       cursorRow({ acknowledged: false }),
       request({ previous: { attempt: 2, digest: 'd' } }),
     ],
   ];
   for (const [title, row, draw] of allowed)
-    it(`may be ${title}`, () => {
+    it(`accepts ${title}`, () => {
       expect(cursorConflict(row, draw)).to.equal(undefined);
     });
 
   const rejected: readonly [string, CursorRow, DrawRequest, number][] = [
     [
-      'the current one after its acknowledgement',
+      'the current cursor after its batch was acknowledged',
       cursorRow({ acknowledged: true }),
       request({ cursor: 3 }),
       4,
     ],
-    ['the next one without an acknowledgement', cursorRow({ acknowledged: false }), request({}), 3],
+    ['the next cursor without an acknowledgement', cursorRow({ acknowledged: false }), request({}), 3],
     [
-      'the next one with the acknowledgement of a void attempt',
+      'the next cursor with an acknowledgement of a superseded attempt',
       cursorRow({ acknowledged: false }),
       request({ previous: { attempt: 1, digest: 'd' } }),
       3,
     ],
-    ['one beyond the next', cursorRow({ acknowledged: true }), request({ cursor: 5 }), 4],
-    ['of an earlier sequence', cursorRow({ acknowledged: false }), request({ cursor: 3, sequence: 4 }), 5],
+    ['a cursor beyond the next one', cursorRow({ acknowledged: true }), request({ cursor: 5 }), 4],
+    ['an earlier sequence', cursorRow({ acknowledged: false }), request({ cursor: 3, sequence: 4 }), 5],
   ];
   for (const [title, row, draw, current] of rejected)
-    it(`may not be ${title}`, () => {
+    it(`rejects ${title}`, () => {
       const conflict = cursorConflict(row, draw);
       expect(conflict?.failure).to.equal('conflict');
       expect(conflict?.versions?.current).to.equal(current);
--- a/test/state/resource/samples/ledger-properties.test.ts
+++ b/test/state/resource/samples/ledger-properties.test.ts
@@ -1,6 +1,6 @@
 /**
- * The sample ledger under random schedules: owners that lose their lease, lost answers, draws that are repeated,
- * overtaken or handled late, versions published in between. What the trainer acknowledged must be every slot once.
+ * Property test of the sample ledger with lost leases, lost responses, repeated, reordered and delayed draws, and
+ * versions published concurrently: the trainer must receive every slot exactly once.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -26,13 +26,13 @@
 const LEASE = 'rollouts/t/0';
 const FAULT_SHARE = 0.15;
 const STEPS = 60;
-/** Rounds without faults in which whatever is left must be delivered. */
+/** Rounds without faults within which the remaining slots must be delivered. */
 const FAULT_FREE_ROUNDS = 50;
 
-/** Schedules that failed once. */
+/** Seeds that have failed before. */
 const REGRESSION_SEEDS = [481_340];
 
-/** One trainer, two owners and a network that delays draws. */
+/** One trainer and two shard owners over a store with injected faults; draws may be delayed. */
 class Schedule {
   private readonly random: Random;
   private readonly store: FaultyStore;
@@ -75,17 +75,16 @@
     this.store.faultShare = 0;
     for (let round = 0; round < FAULT_FREE_ROUNDS && this.trained.size < SLOTS; round += 1)
       await this.runFaultFreeRound();
-    if (this.trained.size < SLOTS)
-      this.problems.push(`only ${this.trained.size} of ${SLOTS} slots were delivered`);
+    if (this.trained.size < SLOTS) this.problems.push(`delivered ${this.trained.size} of ${SLOTS} slots`);
     await this.draw('received');
   }
 
-  /** Slots that were trained on more often than once. */
+  /** Slots that were delivered more than once. */
   duplicates(): string[] {
     return [...this.trained].filter(([, count]) => count > 1).map(([slot]) => slot);
   }
 
-  /** The trainer does one thing at a time; owners and frozen nodes act meanwhile. */
+  /** One operation of the trainer, concurrent with operations of owners and delayed draws. */
   private async step(): Promise<void> {
     const others = Array.from({ length: this.random.integer(4) }, () => {
       const choice = this.random.integer(6);
@@ -113,7 +112,7 @@
     if (acquired.isOk() && acquired.value) owner.lease = acquired.value;
   }
 
-  /** An owner commits a sample of some slot; it may believe in a lease that it has lost. */
+  /** An owner commits a sample of a random slot; its lease may already be lost. */
   private async generate(index: number): Promise<void> {
     const lease = this.owners[index]?.lease;
     const loaded = await this.rollouts.load(TRAINER, ROLLOUT);
@@ -156,7 +155,7 @@
     return { cursor: this.cursor, sequence: this.sequence, versions: { [MODEL]: this.version }, previous };
   }
 
-  /** The trainer asks for its next batch; it takes the answer to its newest request only. */
+  /** The trainer draws its next batch. */
   private async draw(fate: 'received' | 'lost' | 'delayed'): Promise<void> {
     const request = this.nextRequest();
     if (fate === 'delayed') {
@@ -171,19 +170,19 @@
       return;
     }
     const { batch } = answer.value;
-    // The next cursor was drawn, so the batch before is acknowledged and its samples are trained on for good.
+    // A received batch is acknowledged by the next draw, so its samples count as delivered.
     if (batch.samples.length === 0) return;
     for (const sample of batch.samples) {
       const slot = String(sample.promptIndex);
       this.trained.set(slot, (this.trained.get(slot) ?? 0) + 1);
       const oldest = Math.min(...sample.segments.map((segment) => segment.version));
-      if (this.version - oldest > BOUND) this.problems.push(`${sample.sampleId} is too old`);
+      if (this.version - oldest > BOUND) this.problems.push(`${sample.sampleId} exceeds the staleness bound`);
     }
     this.lastBatch = batch;
     this.cursor = batch.cursor + 1;
   }
 
-  /** A node that was frozen handles a request that the trainer has long given up. */
+  /** Handles a request long after the trainer has timed it out, as a resumed node would. */
   private async handleDelayed(): Promise<void> {
     const [request] = this.delayed.splice(this.random.integer(Math.max(1, this.delayed.length)), 1);
     if (request) await this.batches.draw(TERMS, request);
@@ -200,8 +199,8 @@
   }
 }
 
-describe('the sample ledger under random schedules', () => {
-  it('hands every slot to the trainer once, within the bound, and never takes back what was received', async () => {
+describe('sample ledger', () => {
+  it('delivers every slot exactly once and within the staleness bound under random faults', async () => {
     await fc.assert(
       fc.asyncProperty(fc.integer({ min: 1, max: 1_000_000 }), async (seed) => {
         const schedule = new Schedule(seed);
