--- a/src/coordination/resource/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -1,11 +1,7 @@
 /**
- * Relay of requests to application services, with the retry rule: a request is dispatched again only when its
- * service is repeatable, when no byte of it was sent, or when the back end answered that it did not admit it
- * (`isSafeToRetry`).
- *
- * Relies on: `Router` (back end), `WorkGate` (checked before each dispatch). When neither allows a dispatch,
- * or when `MAX_DISPATCHES` have failed, the caller gets the failure that says most about whether the request
- * has run.
+ * Relays requests to application services. A request is retried only if its service is repeatable, no byte of
+ * it was sent, or the back end answered that it did not admit it. The caller gets the last failure, unless an
+ * earlier one leaves open whether the request ran.
  */
 import type { ServerResponse } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
@@ -23,33 +19,31 @@
 import type { Route, Router } from './router.js';
 import type { WorkGate } from './work-gate.js';
 
-/** A request to relay; the body has been read whole. */
 export interface ApplicationRequest {
   readonly service: ResourceOf<'Service'>;
   readonly method: string;
-  /** Path and query behind the service's name. */
+  /** Path and query after the service name. */
   readonly path: string;
   readonly headers: HeaderMap;
   readonly body: Buffer;
 }
 
-/** The head of a back end's response; its body is not read yet. */
+/** A response whose head was received; its body has not been read. */
 export interface RelayedResponse {
   readonly backend: BackendEntry;
   readonly response: IncomingResponse;
-  /** Must be called when the body has been read or discarded: it ends the count as in flight. */
+  /** Must be called once the body is read or discarded; decrements the in-flight count of the back end. */
   readonly release: () => void;
 }
 
-/** Dispatches of a request, the first one included. Chosen, not measured: bounds the load of retries. */
+/** Includes the first dispatch. */
 const MAX_DISPATCHES = 3;
-/** Time by which the client's timeouts follow the deadline, milliseconds: the request's signal goes first. */
+/** Added to the HTTP client timeouts so that the request signal fires first. */
 const DEADLINE_MARGIN_MS = 100;
 
 /**
- * Headers of one connection, and those that this node sets itself. Those of the platform's interface differ
- * (`platform/route-ingress.ts`): it drops what the `Connection` header lists, and forwards the caller's key
- * where no tenants are declared; here the bearer token is this node's own and is never forwarded.
+ * Hop-by-hop headers, and headers that this node sets or consumes. Unlike `platform/route-ingress.ts`, this
+ * never forwards the bearer token, which authenticates the caller to this node.
  */
 const UNFORWARDED_HEADERS = new Set([
   'connection',
@@ -67,7 +61,6 @@
   'idempotency-key',
 ]);
 
-/** The headers of a message that are forwarded. */
 export function endToEndHeaders(headers: Record<string, string | string[] | undefined>): HeaderMap {
   const kept: HeaderMap = {};
   for (const [name, value] of Object.entries(headers)) {
@@ -76,9 +69,8 @@
   return kept;
 }
 
-/** Request header with the time until the deadline, milliseconds. */
+/** Request header: time until the deadline, milliseconds. */
 export const TIMEOUT_HEADER = 'x-request-timeout-ms';
-/** Request and response header with the request ID. */
 export const REQUEST_ID_HEADER = 'x-request-id';
 
 interface FailedAttempt {
@@ -86,12 +78,10 @@
   readonly mayRetry: boolean;
 }
 
-/** Whether a failed request may be dispatched again: it is repeatable, or none of it was sent. */
 function isSafeToRetry(service: ResourceOf<'Service'>, error: TransportError): boolean {
   return service.spec.repeatable || !error.requestSent;
 }
 
-/** Relays application requests. */
 export class ApplicationRelay {
   constructor(
     private readonly router: Router,
@@ -101,7 +91,7 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Dispatches a request; resolves at the head of the response. The error says whether it has run. */
+  /** Resolves when the response head is received. The error states whether the request ran. */
   async dispatch(context: RequestContext, request: ApplicationRequest): CoordinationResult<RelayedResponse> {
     const excluded = new Set<string>();
     let failure: CoordinationError | undefined;
@@ -117,7 +107,7 @@
       excluded.add(route.value.backend.name);
       this.recordRetry(context, route.value.backend, attempt.error.failure);
     }
-    return err(failure ?? new CoordinationError('backend-failed', 'unknown', 'no back end answered'));
+    return err(failure ?? new CoordinationError('backend-failed', 'unknown', 'no back end responded'));
   }
 
   private choose(
@@ -130,7 +120,7 @@
     if (route.isErr()) {
       const { reason, inputs } = route.error;
       this.decisions.record({ kind: 'refuse', subjects, choice: 'none', reason, inputs });
-      return err(rejection(reason, `no back end of ${request.service.metadata.name} may take the request`));
+      return err(rejection(reason, `no eligible back end of service ${request.service.metadata.name}`));
     }
     const { backend, inputs } = route.value;
     this.decisions.record({
@@ -219,20 +209,19 @@
   }
 }
 
-/** Whether a complete response can be told from a cut one: it has a length, is chunked, or has no body. */
+/** Whether truncation can be detected: the response has a length, is chunked, or has no body. */
 export function isSelfDelimited(response: IncomingResponse, method: string): boolean {
   const { status, headers } = response;
   if (method === 'HEAD' || status === 204 || status === 304) return true;
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
-/** The error for a response without a declared end: the request has run. */
+/** Error for a response that ends when the connection closes; the request has run. */
 export function closeDelimitedError(backend: string): CoordinationError {
-  const message = `${backend} sent an answer whose end cannot be told from a cut`;
+  const message = `${backend} sent a response without Content-Length or Transfer-Encoding`;
   return new CoordinationError('backend-failed', 'yes', message);
 }
 
-/** Writes the head of a relayed response. */
 export function writeRelayedHead(
   response: ServerResponse,
   answer: IncomingResponse,
--- a/src/coordination/resource/requests/router.ts
+++ b/src/coordination/resource/requests/router.ts
@@ -1,11 +1,7 @@
 /**
- * Routing: chooses the back end of a request. Of the eligible ones two are drawn at random and the less
- * loaded one is chosen (power of two choices): load reports are late, and the least loaded of all would
- * attract every node at once.
- *
- * Owns: the subset of back ends per service that this node uses. Relies on: the configuration in force
- * (drain, residency, machines) and this node's `BackendRegistry` (health, load). Ejected back ends are chosen
- * only when no other one is eligible; with none at all the request is rejected, not queued.
+ * Selects the back end of a request: the less loaded of two random eligible ones (power of two choices), so
+ * that delayed load reports do not direct all nodes to the same back end. Ejected back ends are used only if
+ * no other one is eligible; without any, the request is rejected, not queued.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { Random } from '../../../common/random.js';
@@ -15,22 +11,21 @@
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { DecisionInputs } from '../../../state/resource/decision-log.js';
 
-/** Requirements of a request on its back end. */
 export interface RouteQuery {
   readonly service: ResourceOf<'Service'>;
-  /** Names of the back ends at which an earlier attempt of this request failed. */
+  /** Names of the back ends on which an earlier attempt of this request failed. */
   readonly excluded: ReadonlySet<string>;
   /** Model that an engine must have loaded. */
   readonly model?: string;
   /** Oldest version that an engine may have loaded. */
   readonly minVersion?: number;
-  /** Zones allowed, beyond the service's own residency. */
+  /** Allowed zones, in addition to the residency of the service. */
   readonly residency?: readonly string[];
-  /** Choose only among the eligible engines that have the newest version. */
+  /** Select only among the eligible engines with the newest version. */
   readonly preferNewest?: boolean;
 }
 
-/** Why a back end is not eligible; `failing` means ejected. Shown by `explain`. */
+/** Why a back end is not eligible, as shown by `explain`; `failing` means ejected by health checks. */
 export type Ineligibility =
   | 'excluded'
   | 'draining'
@@ -43,22 +38,22 @@
   | 'at-capacity'
   | 'failing';
 
-/** A chosen back end. `release` must be called when the request has ended there; twice is harmless. */
+/** `release` must be called when the request ends; it is idempotent. */
 export interface Route {
   readonly backend: BackendEntry;
   readonly inputs: DecisionInputs;
   readonly release: () => void;
 }
 
-/** No back end is eligible. `at-capacity`: at least one would be once requests in flight end. */
+/** `at-capacity`: at least one back end is ineligible only because of its in-flight limit. */
 export interface NoRoute {
   readonly reason: 'no-backend' | 'at-capacity';
   readonly inputs: DecisionInputs;
 }
 
-/** Requests in flight at a back end when `maxInFlight` is not declared. Chosen, not measured. */
+/** In-flight limit of a back end that does not declare `maxInFlight`. */
 const DEFAULT_BACKEND_IN_FLIGHT = 64;
-/** Back ends in a decision record, of each sort. Chosen, not measured: bounds the record, not the choice. */
+/** Candidates, and rejected back ends, listed in a decision record. */
 const MAX_BACKENDS_RECORDED = 16;
 
 interface Rejection {
@@ -66,14 +61,13 @@
   readonly reason: Ineligibility;
 }
 
-/** The router of one node. */
 export class Router {
   private readonly subsets = new Map<
     string,
     { source: readonly BackendEntry[]; subset: readonly BackendEntry[] }
   >();
 
-  /** `subsetSize`: number of back ends of a service that this node polls and uses. */
+  /** `subsetSize`: maximum number of back ends per service that this node polls and uses. */
   constructor(
     private readonly nodeId: string,
     private readonly view: ConfigView,
@@ -82,7 +76,7 @@
     private readonly subsetSize: number,
   ) {}
 
-  /** Chooses a back end and counts the work as in flight there. */
+  /** Selects a back end and increments its in-flight count. */
   choose(query: RouteQuery): Result<Route, NoRoute> {
     const { candidates, rejected } = this.classify(query);
     const inputs = describeInputs(candidates, rejected);
@@ -91,7 +85,7 @@
     return err({ reason: isAtCapacity ? 'at-capacity' : 'no-backend', inputs });
   }
 
-  /** The back ends of a service that this node uses: all, or its first `subsetSize` in rendezvous order. */
+  /** The back ends that this node uses: the first `subsetSize` of the service in rendezvous order. */
   subset(service: string): readonly BackendEntry[] {
     const source = this.registry.ofService(service);
     if (source.length <= this.subsetSize) return source;
@@ -107,7 +101,7 @@
     return subset;
   }
 
-  /** The first reason, in the order of the checks, why a back end is not eligible; else `undefined`. */
+  /** Returns the first failed check, or `undefined` if the back end is eligible. */
   ineligibility(backend: BackendEntry, query: RouteQuery): Ineligibility | undefined {
     return (
       this.declaredIneligibility(backend, query) ??
@@ -116,7 +110,7 @@
     );
   }
 
-  /** Ejected back ends are candidates only when there is no other one. */
+  /** Ejected back ends are candidates only if no other one is eligible. */
   private classify(query: RouteQuery): { candidates: BackendEntry[]; rejected: Rejection[] } {
     const eligible: BackendEntry[] = [];
     const ejected: BackendEntry[] = [];
@@ -166,13 +160,13 @@
   }
 }
 
-/** Whether the machine list has the machine in another state than `live`; unlisted machines stay. */
+/** Whether the machine is listed in a state other than `live`; an unlisted machine is not leaving. */
 export function isMachineLeaving(view: ConfigView, machine: string | undefined): boolean {
   const listed = machine === undefined ? undefined : view.get('Machine', machine);
   return listed !== undefined && listed.spec.state !== 'live';
 }
 
-/** Whether a zone is among those allowed; no list, or an empty one, allows every zone. */
+/** A missing or empty list allows every zone. */
 export function isAllowedZone(zone: string, allowed: readonly string[] | undefined): boolean {
   return allowed === undefined || allowed.length === 0 || allowed.includes(zone);
 }
--- a/src/coordination/resource/rollouts/delivery.ts
+++ b/src/coordination/resource/rollouts/delivery.ts
@@ -1,7 +1,6 @@
 /**
- * Delivery of samples to trainers: draws from the ledger through any node, waiting for the first sample by
- * polling it. The staleness bound is checked once more before the response, since a version may have been
- * published meanwhile.
+ * Delivers samples to trainers by drawing batches from the ledger, which it polls while no sample is ready.
+ * The staleness bound is checked again before the response, because a version may have been published since.
  */
 import { err, ok } from 'neverthrow';
 import { monotonicMs, sleep } from '../../../common/clock.js';
@@ -15,15 +14,10 @@
 import { type CoordinationResult, fromState } from '../coordination-error.js';
 import { newestPublished } from '../weights/index.js';
 
-/** Interval of draws while nothing is ready, milliseconds. Chosen, not measured. */
 const POLL_INTERVAL_MS = 100;
-/**
- * Samples in a batch when the trainer declares no size; a transaction of the ledger limits it further.
- * Chosen.
- */
+/** Upper limit if the trainer declares no batch size; the ledger may return fewer samples. */
 const DEFAULT_BATCH_SIZE = 64;
 
-/** The delivery of one node. */
 export class Delivery {
   constructor(
     private readonly ledger: BatchLedger,
@@ -32,7 +26,7 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Draws a batch; waits for the first sample up to `waitMs`. Repeating it with the same cursor is safe. */
+  /** Draws a batch, waiting up to `waitMs` for the first sample; idempotent for a cursor. */
   async draw(
     trainer: ResourceOf<'Trainer'>,
     request: DrawRequest,
@@ -57,7 +51,7 @@
     }
   }
 
-  /** The last check before the response: a version may have been published after the draw. */
+  /** Checks against versions that were published after the draw. */
   private isStillFresh(terms: DrawOptions, outcome: DrawOutcome): boolean {
     return outcome.references.every((sample) =>
       isWithinBound(sample.oldestVersion, newestPublished(this.view, sample.model), terms.stalenessBound),
--- a/src/coordination/resource/rollouts/event-transcript.ts
+++ b/src/coordination/resource/rollouts/event-transcript.ts
@@ -1,6 +1,6 @@
 /**
- * The events of a generation as bytes. They are forwarded as whole events and are parsed only when the text
- * is needed: at the end of a sample, or to resume at another engine after a cut.
+ * Buffers the server-sent events of a generation. Complete events are forwarded as bytes and parsed only when
+ * the text is needed: at the end of a sample, or to resume on another engine.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { type EngineChunk, parseEventLine, STREAM_END } from '../../../protocol/resource/engine.js';
@@ -9,7 +9,7 @@
 const EVENT_END = Buffer.from('\n\n');
 const END_EVENT = Buffer.from(`data: ${STREAM_END}\n\n`);
 
-/** The parsed events of a transcript. `tokens` counts all parts. */
+/** The parsed events of a transcript; `tokens` is the total over all parts. */
 export interface GeneratedText {
   readonly text: string;
   readonly tokens: number;
@@ -17,35 +17,33 @@
   readonly finishReason: string;
 }
 
-/** The part of a transcript that one engine produced. */
+/** The events received from one engine. */
 interface Part {
   readonly engine: string;
   readonly chunks: Buffer[];
 }
 
-/** Collects whole events, engine by engine. */
 export class EventTranscript {
   private readonly parts: Part[] = [];
   private partialEvent: Buffer = Buffer.alloc(0);
   private ended = false;
 
-  /** Whether the end marker was received. */
+  /** Whether the end-of-stream event was received. */
   get isComplete(): boolean {
     return this.ended;
   }
 
-  /** Whether no event was received. */
   get isEmpty(): boolean {
     return this.parts.every((part) => part.chunks.length === 0);
   }
 
-  /** Begins the part of another engine; an unfinished event of the one before is dropped. */
+  /** Starts the part of the next engine; discards a partial event of the previous one. */
   beginPart(engine: string): void {
     this.partialEvent = Buffer.alloc(0);
     this.parts.push({ engine, chunks: [] });
   }
 
-  /** Adds received bytes; returns the whole events that they complete. */
+  /** Appends received bytes; returns the bytes of all events that are now complete. */
   append(bytes: Buffer): Buffer {
     const joined = this.partialEvent.length === 0 ? bytes : Buffer.concat([this.partialEvent, bytes]);
     const at = joined.lastIndexOf(EVENT_END);
@@ -60,7 +58,7 @@
     return complete;
   }
 
-  /** The text and the reported weight versions of its tokens. Error: a malformed event. */
+  /** Parses the events into text and weight version segments. Error: a malformed event. */
   read(): Result<GeneratedText, string> {
     let text = '';
     let tokens = 0;
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -1,11 +1,7 @@
 /**
- * One generation: dispatched to an engine and, when the stream is cut, resumed at another one after the
- * tokens received so far, which keep their weight versions. Generations are repeatable, so any failure but a
- * rejection by the router or the gate is retried elsewhere, with `MAX_DISPATCHES` in all, until the caller
- * disconnects or the deadline passes.
- *
- * Relies on: `Router`, `WorkGate` (checked before each dispatch), engines. The last failure that says most is
- * returned.
+ * Dispatches a generation to an engine. If the stream is interrupted, resumes on another engine after the
+ * tokens received so far, which keep their weight versions. Any failure except a rejection by the router or
+ * the work gate is retried, up to `MAX_DISPATCHES`, until the caller disconnects or the deadline passes.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { Metrics } from '../../../common/metrics.js';
@@ -27,7 +23,7 @@
 } from '../requests/index.js';
 import { EventTranscript } from './event-transcript.js';
 
-/** A generation to run. `maxTokens` in tokens; `priority` 0 to 9, 9 is served first. */
+/** `priority` is 0 to 9; 9 is served first. */
 export interface GenerationRequest {
   readonly service: ResourceOf<'Service'>;
   readonly model: string;
@@ -35,7 +31,7 @@
   readonly maxTokens: number;
   readonly seed: number;
   readonly priority: number;
-  /** Least tokens in an event; larger events cost less to relay, and a cut loses less than one event. */
+  /** Minimum tokens per event; larger events are cheaper to relay, but an interruption loses a partial event. */
   readonly eventTokens?: number;
   /** Oldest weight version allowed; evaluated before each dispatch. */
   readonly minVersion?: () => number;
@@ -45,37 +41,35 @@
   readonly subjects: readonly string[];
 }
 
-/** Receives whole events; false when the receiver has disconnected. */
+/** Receives complete events; resolves to false if the receiver has disconnected. */
 export type EventSink = (events: Buffer) => Promise<boolean>;
 
-/** Dispatches of one generation, the first one included. Chosen, not measured: a resume loses little. */
+/** Includes the first dispatch. */
 const MAX_DISPATCHES = 6;
 
-/** A stream opened at an engine; `release` ends its count as in flight. */
+/** An open engine stream; `release` decrements the in-flight count of the engine. */
 interface Dispatch {
   readonly stream: EngineStream;
   readonly backend: BackendEntry;
   readonly release: () => void;
 }
 
-/** A dispatch, or a later part of its stream, that failed. */
+/** A dispatch that failed, or whose stream was interrupted. */
 interface DispatchFailure {
   readonly failure: CoordinationError;
   readonly mayRetry: boolean;
 }
 
-/** One generation in progress. */
 interface Run {
   readonly context: RequestContext;
   readonly request: GenerationRequest;
   readonly transcript: EventTranscript;
-  /** Engines at which an attempt failed. */
+  /** Engines on which a dispatch failed. */
   readonly excluded: Set<string>;
 }
 
 type StreamEnd = 'complete' | 'cut' | 'receiver-gone';
 
-/** Runs generations. */
 export class Generator {
   constructor(
     private readonly router: Router,
@@ -86,8 +80,8 @@
   ) {}
 
   /**
-   * Generates to the end. On an error, the events that `sink` received before are a prefix without an end
-   * marker; the error says whether any token was generated.
+   * Runs a generation to its end. On an error, `sink` has received a prefix of the events without the
+   * end-of-stream event; the error states whether any token was generated.
    */
   async generate(
     context: RequestContext,
@@ -108,11 +102,11 @@
       if (!mayRetry) return err(lastFailure);
     }
     return err(
-      lastFailure ?? new CoordinationError('backend-failed', 'unknown', 'no engine finished the work'),
+      lastFailure ?? new CoordinationError('backend-failed', 'unknown', 'no engine completed the generation'),
     );
   }
 
-  /** Chooses an engine and opens a stream that resumes after the transcript. */
+  /** Selects an engine and opens a stream that continues the transcript. */
   private async dispatch(run: Run): Promise<Result<Dispatch, DispatchFailure>> {
     const { context, request, transcript } = run;
     const open = this.gate.check(request.service);
@@ -152,7 +146,6 @@
     return ok(route.value);
   }
 
-  /** Relays the events of a dispatch until its stream ends. */
   private async relayDispatch(
     run: Run,
     { stream, backend, release }: Dispatch,
@@ -224,12 +217,12 @@
     });
   }
 
-  /** The error when the caller disconnected or the deadline passed. */
+  /** The error for a disconnected caller or a passed deadline. */
   private cancellationError(context: RequestContext, transcript?: EventTranscript): CoordinationError {
     const executed = transcript && !transcript.isEmpty ? 'yes' : 'unknown';
     if (isPastDeadline(context))
-      return new CoordinationError('deadline-passed', executed, 'the deadline has passed');
-    return new CoordinationError('outcome-unknown', executed, 'the caller has gone');
+      return new CoordinationError('deadline-passed', executed, 'request deadline passed');
+    return new CoordinationError('outcome-unknown', executed, 'caller disconnected');
   }
 }
 
@@ -244,9 +237,7 @@
 
 function describeRejected(inputs: { rejected?: readonly { backend: string; reason: string }[] }): string {
   const reasons = (inputs.rejected ?? []).map((one) => `${one.backend}: ${one.reason}`);
-  return reasons.length === 0
-    ? 'the service has no back ends'
-    : `no back end may take the work (${reasons.join(', ')})`;
+  return reasons.length === 0 ? 'service has no back ends' : `no eligible back end (${reasons.join(', ')})`;
 }
 
 function engineRequest(
@@ -268,7 +259,7 @@
   };
 }
 
-/** The text from which another engine resumes; `undefined` at the start. */
+/** The text to resume from; `undefined` if no event was received. */
 function readResume(transcript: EventTranscript) {
   if (transcript.isEmpty) return ok(undefined);
   return transcript
--- a/src/coordination/resource/rollouts/rollout-owner.ts
+++ b/src/coordination/resource/rollouts/rollout-owner.ts
@@ -1,10 +1,7 @@
 /**
- * Owner of a trainer's shard: schedules the generation of the shard's samples, those of slots in open
- * rollouts that no attempt has won and of slots whose sample expired.
- *
- * Owns: the slots waiting and in progress, in memory. All of it comes from the ledger, so the next owner
- * resumes from there. Relies on: the shard's lease (commits are conditional on it). A ledger read that fails
- * is repeated in the next scan; when the lease is lost, samples in progress are dropped.
+ * Schedules the generation of samples for one shard of a trainer: slots of open rollouts without a committed
+ * sample, and slots whose sample expired. The schedule is rebuilt from the ledger, so another node can take
+ * over the shard. Samples in progress are dropped when the lease is lost.
  */
 import { sleep } from '../../../common/clock.js';
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
@@ -19,35 +16,31 @@
 import { SampleCommitter } from './sample-committer.js';
 import { SampleProducer, type SampleProducerParts } from './sample-producer.js';
 
-/** Dependencies of an owner. */
 export interface RolloutOwnerParts extends SampleProducerParts {
   readonly ledger: RolloutLedger;
   readonly commits: SampleCommits;
 }
 
-/** Interval of ledger scans, milliseconds. Chosen, not measured. */
 const SCAN_INTERVAL_MS = 300;
-/** Samples in progress of a shard when not declared (idle time at 32 and 128: docs/CAPACITY.md). */
+/** Samples generated concurrently per shard if the trainer declares no limit. */
 const DEFAULT_CONCURRENCY = 128;
-/** Delay after a failed attempt, milliseconds, doubled up to the maximum. Chosen, not measured. */
+/** Initial delay after a failed attempt, doubled up to the maximum. */
 const RETRY_DELAY_MS = 200;
 const MAX_RETRY_DELAY_MS = 3_000;
 
-/** An open rollout in progress. */
 interface ActiveRollout {
   readonly loaded: LoadedRollout;
-  /** Slots of the shard to start, in order. */
+  /** Slots to generate, in order. */
   waiting: SlotTask[];
   running: number;
   readonly stop: AbortController;
 }
 
-/** The owner of one shard. */
 export class RolloutOwner implements RunnableTask {
   private readonly active = new Map<string, ActiveRollout>();
   private readonly inProgress = new Set<string>();
   private readonly producer: SampleProducer;
-  /** Aborted when a commit finds the lease lost. */
+  /** Aborted when a commit is rejected because the lease was lost. */
   private readonly leaseRejected = new AbortController();
   private readonly leaseLost: AbortSignal;
   private readonly running = new Set<Promise<void>>();
@@ -65,7 +58,7 @@
     this.producer = new SampleProducer(parts, trainerName, shard, lease, committer);
   }
 
-  /** Runs until stopped or the trainer is deleted; then waits for the samples in progress. */
+  /** Runs until stopped or until the trainer is deleted, then waits for the samples in progress. */
   async run(): Promise<void> {
     const ended = AbortSignal.any([this.signals.stop, this.leaseLost]);
     while (!ended.aborted && this.trainer()) {
@@ -78,7 +71,6 @@
     await Promise.all(this.running);
   }
 
-  /** Whether no slot is waiting or in progress. */
   isIdle(): boolean {
     return (
       this.inProgress.size === 0 && [...this.active.values()].every((rollout) => rollout.waiting.length === 0)
@@ -89,7 +81,7 @@
     return this.parts.view.get('Trainer', this.trainerName);
   }
 
-  /** Reads open rollouts and expired samples from the ledger; what cannot be read waits for the next scan. */
+  /** Reads open rollouts and expired samples from the ledger; failed reads are retried by the next scan. */
   private async scanLedger(ended: AbortSignal): Promise<void> {
     const { ledger } = this.parts;
     const open = await ledger.openRollouts(this.trainerName, this.shard);
@@ -121,7 +113,7 @@
     rollout.waiting.unshift(task);
   }
 
-  /** Stops work on cancelled rollouts: no longer open although slots of theirs are not won. */
+  /** Removes completed rollouts and stops cancelled ones, which are closed with slots left to generate. */
   private async stopCancelled(open: ReadonlySet<string>): Promise<void> {
     for (const [rolloutId, rollout] of this.active) {
       if (open.has(rolloutId)) continue;
@@ -168,7 +160,7 @@
     this.wakeUp.abort();
   }
 
-  /** Repeats attempts for a slot until it is settled or `signal` aborts; none is started after `ended`. */
+  /** Retries a slot until it is settled or `signal` aborts; starts no retry after `ended`. */
   private async runTask(
     rollout: ActiveRollout,
     task: SlotTask,
--- a/src/coordination/resource/rollouts/sample-committer.ts
+++ b/src/coordination/resource/rollouts/sample-committer.ts
@@ -1,13 +1,12 @@
 /**
- * Batches the commits of a shard's samples, so that the number of store calls does not grow with that of the
- * samples. A batch is retried until the store answers or the lease is lost; finished samples are kept in
- * memory meanwhile.
+ * Batches the commits of a shard's samples to reduce the number of store calls. A batch is retried until the
+ * store confirms it or the lease is lost; its samples are kept in memory until then.
  */
 import { sleep } from '../../../common/clock.js';
 import type { HeldLease } from '../../../state/resource/leases/index.js';
 import type { CommitResult, FinishedSample, SampleCommits } from '../../../state/resource/samples/index.js';
 
-/** Outcome of a sample's commit; `lease-lost` means that another node owns the shard. */
+/** `lease-lost`: another node owns the shard. */
 export type CommitOutcome = CommitResult | 'lease-lost';
 
 interface PendingCommit {
@@ -15,15 +14,14 @@
   readonly resolve: (outcome: CommitOutcome) => void;
 }
 
-/** Time in which further samples join a batch, milliseconds. Chosen, not measured. */
+/** Delay before the first batch is taken from the queue. */
 const BATCH_WINDOW_MS = 20;
-/** Samples in a batch: the store takes 100 entries in a transaction, and a sample needs up to four. */
+/** A transaction has at most 100 entries, and a sample takes up to four. */
 const MAX_BATCH_SIZE = 24;
-/** Delay after a failed commit, milliseconds, doubled up to the maximum. Chosen, not measured. */
+/** Initial delay after a failed commit, doubled up to the maximum. */
 const FIRST_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 2_000;
 
-/** The committer of one shard's owner. */
 export class SampleCommitter {
   private queue: PendingCommit[] = [];
   private isProcessing = false;
@@ -35,7 +33,7 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Queues a sample; resolves when it has won or lost its slot, or the lease is lost. */
+  /** Queues a sample; resolves when it is committed or rejected, or when the lease is lost. */
   commit(finished: FinishedSample): Promise<CommitOutcome> {
     return new Promise((settle) => {
       this.queue.push({ finished, resolve: settle });
@@ -66,7 +64,7 @@
     }
   }
 
-  /** The outcomes of a batch; `undefined` when it has to be tried again. */
+  /** Returns `undefined` if the batch must be retried. */
   private async tryCommit(batch: readonly PendingCommit[]): Promise<readonly CommitOutcome[] | undefined> {
     const finished = batch.map((entry) => entry.finished);
     const results = await this.commits.commit(this.trainer, this.lease, finished);
--- a/src/coordination/resource/rollouts/sample-producer.ts
+++ b/src/coordination/resource/rollouts/sample-producer.ts
@@ -1,7 +1,6 @@
 /**
  * Produces the sample of one slot: generates its text, checks the staleness bound and commits it under the
- * shard's lease. Nothing is kept between attempts, so an attempt that failed is safe to repeat, at this node
- * or at another one.
+ * lease of the shard. An attempt keeps no state, so it can be retried on any node.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import { newRequestId, sha256Hex } from '../../../common/identifier.js';
@@ -19,7 +18,6 @@
 import type { GenerationRequest, Generator } from './generation.js';
 import type { SampleCommitter } from './sample-committer.js';
 
-/** Dependencies of a producer. */
 export interface SampleProducerParts {
   readonly nodeId: string;
   readonly view: ConfigView;
@@ -28,19 +26,17 @@
   readonly observer: LifecycleObserver;
 }
 
-/** `settled`: the slot is won or its rollout cancelled. `retry`: the attempt gave no sample. */
+/** `settled`: the slot needs no further attempt. `retry`: the attempt produced no sample. */
 export type ProductionOutcome = 'settled' | 'retry' | 'lease-lost';
 
-/** Deadline of a sample, milliseconds. Chosen, not measured: ends a generation that hangs. */
 const SAMPLE_DEADLINE_MS = 30 * 60 * 1_000;
-/** Priority at engines, 0 to 9: below the default of callers, 5. */
+/** Engine priority, 0 to 9; below the default of interactive requests, 5. */
 const SAMPLE_PRIORITY = 3;
-/** Least tokens in an event: nobody reads a sample as it is generated (cost: docs/design/delivery.md). */
+/** Minimum tokens per event; samples are not read while they are generated, so large events are cheaper. */
 const SAMPLE_EVENT_TOKENS = 64;
-/** Hexadecimal digits of a seed: 28 bits, so that it fits a signed 32-bit integer. */
+/** Hexadecimal digits of a seed; 28 bits fit a signed 32-bit integer. */
 const SEED_DIGITS = 7;
 
-/** The producer of one shard's owner. */
 export class SampleProducer {
   constructor(
     private readonly parts: SampleProducerParts,
@@ -50,7 +46,7 @@
     private readonly committer: SampleCommitter,
   ) {}
 
-  /** One attempt. Aborting `signal` ends the generation, as `retry`. */
+  /** Makes one attempt. Aborting `signal` cancels the generation and returns `retry`. */
   async produce(rollout: LoadedRollout, task: SlotTask, signal: AbortSignal): Promise<ProductionOutcome> {
     const trainer = this.parts.view.get('Trainer', this.trainerName);
     const model = trainer && this.parts.view.get('Model', rollout.row.model);
@@ -78,7 +74,7 @@
     return this.commit(rollout, task, sampleId, text, context);
   }
 
-  /** The text; `undefined` when the generation failed, which its decision records tell, or gave no tokens. */
+  /** Returns `undefined` if the generation failed, which the decision log records, or produced no tokens. */
   private async generate(
     context: RequestContext,
     request: GenerationRequest,
@@ -162,13 +158,13 @@
   return rollout.prompts[Math.floor(task.slot / rollout.row.samplesPerPrompt)] ?? '';
 }
 
-/** The seed of a slot's generation; any node computes the same one. */
+/** Derives the seed of a slot; the same on every node. */
 function seedOf(rollout: LoadedRollout, task: SlotTask): number {
   const text = `${rollout.row.seed}/${rollout.rolloutId}/${task.slot}/${task.generation}`;
   return Number.parseInt(sha256Hex(text).slice(0, SEED_DIGITS), 16);
 }
 
-/** Zones that both lists allow. */
+/** Zones allowed by both lists; an empty or missing list allows every zone. */
 function intersectZones(
   a: readonly string[] | undefined,
   b: readonly string[] | undefined,
--- a/test/coordination/resource/requests/at-most-once.test.ts
+++ b/test/coordination/resource/requests/at-most-once.test.ts
@@ -1,10 +1,10 @@
-/** A request that is not repeatable runs at most once, and "not run" is true. */
+/** Guards against non-repeatable requests that run twice, and against wrong reports that a request did not run. */
 import { expect } from 'chai';
 import { uniqueId } from '../../../../src/common/identifier.js';
 import { type SystemBackend, type SystemNode, TestSystem } from '../../../support/system.js';
 import { until } from '../../../support/wait.js';
 
-describe('requests that are not repeatable', () => {
+describe('non-repeatable requests', () => {
   const system = new TestSystem({ nodes: 2, applications: 2 });
   let first: SystemNode;
   let second: SystemNode;
@@ -22,12 +22,12 @@
     for (const node of system.nodes) node.platformProxy.set('pass');
     await system.control(system.platformAddress, '/control/table/faults', {});
     await until(
-      'both back ends answer again',
+      'the back ends respond again',
       async () => (await system.callApplication(first, uniqueId()))._unsafeUnwrap().status === 200,
     );
   });
 
-  it('are not dispatched again when the response was lost; the caller gets outcome-unknown', async () => {
+  it('are not retried when the response was lost; the caller gets outcome-unknown', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { loseAnswers: 1 });
     const workId = uniqueId();
@@ -38,7 +38,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('are dispatched to another back end when the first one certainly received nothing', async () => {
+  it('are retried on another back end when the first one did not admit them', async () => {
     const [refusing] = system.applications as [SystemBackend];
     await system.control(refusing.direct, '/control/faults', { refuse: true });
     for (let count = 0; count < 8; count += 1) {
@@ -48,7 +48,7 @@
     }
   });
 
-  it('have not run when the rejection says so', async () => {
+  it('have not run when the rejection reports executed: no', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { refuse: true });
     const workId = uniqueId();
@@ -58,12 +58,12 @@
     expect((await system.runs())[workId]).to.equal(undefined);
   });
 
-  it('run once under an Idempotency-Key through any node, and repeats get the recorded response', async () => {
+  it('run once per Idempotency-Key on any node, and retries get the recorded response', async () => {
     const workId = uniqueId();
     const key = { 'idempotency-key': workId };
     const answer = (await system.callApplication(first, workId, key))._unsafeUnwrap();
     expect(answer.status).to.equal(200);
-    const repeated = await until('the answer is recorded', async () => {
+    const repeated = await until('the response is recorded', async () => {
       const again = (await system.callApplication(second, workId, key))._unsafeUnwrap();
       return again.status === 200 ? again : undefined;
     });
@@ -71,7 +71,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('run once under a key when the response was lost; every repeat gets outcome-unknown', async () => {
+  it('run once per Idempotency-Key when the response was lost; every retry gets outcome-unknown', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { loseAnswers: 1 });
     const workId = uniqueId();
@@ -86,7 +86,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('run once when many repeats under one key race through both nodes', async () => {
+  it('run once when concurrent retries with one Idempotency-Key arrive at both nodes', async () => {
     const workId = uniqueId();
     const key = { 'idempotency-key': workId };
     const calls = Array.from({ length: 12 }, (_, index) =>
@@ -97,18 +97,18 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('run once under a key when the answer to the claim was lost', async () => {
+  it('run once per Idempotency-Key when the store response to the claim was lost', async () => {
     await system.control(system.platformAddress, '/control/table/faults', { loseAnswers: 3 });
     const workId = uniqueId();
     const key = { 'idempotency-key': workId };
-    await until('the request is answered', async () => {
+    await until('the request succeeds', async () => {
       const answer = (await system.callApplication(first, workId, key))._unsafeUnwrap();
       return answer.status === 200;
     });
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('are rejected as not run under a key while the store is not reachable, and run without a key', async () => {
+  it('with an Idempotency-Key are rejected without running while the store is unreachable; others run', async () => {
     first.platformProxy.set('cut');
     const keyed = uniqueId();
     const answer = (await system.callApplication(first, keyed, { 'idempotency-key': keyed }))._unsafeUnwrap();
@@ -116,14 +116,14 @@
     expect(answer.json.code).to.be.oneOf(['platform-unavailable', 'configuration-not-fresh']);
     expect((await system.runs())[keyed]).to.equal(undefined);
     const unkeyed = uniqueId();
-    await until('an unkeyed request is answered', async () => {
+    await until('a request without a key succeeds', async () => {
       const sent = (await system.callApplication(first, unkeyed))._unsafeUnwrap();
       return sent.status === 200;
     });
     expect((await system.runs())[unkeyed]).to.equal(1);
   });
 
-  it('are rejected with a key that was used for another request', async () => {
+  it('are rejected with an Idempotency-Key that was used for a different request', async () => {
     const workId = uniqueId();
     await system.callApplication(first, workId, { 'idempotency-key': workId });
     const other = uniqueId();
--- a/test/coordination/resource/requests/callers.test.ts
+++ b/test/coordination/resource/requests/callers.test.ts
@@ -1,4 +1,4 @@
-/** Deadlines, leaving callers, limits, and explanations of what callers were told. */
+/** Deadlines, disconnects, concurrency limits, and decision records of caller requests. */
 import { expect } from 'chai';
 import { EMULATOR_TOKENS } from '../../../../emulator/cluster.js';
 import { EMULATOR_APPLICATION, EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../../emulator/declarations.js';
@@ -41,7 +41,7 @@
   const setWork = (workMs: number) => system.control(application.direct, '/control/faults', { workMs });
   const authorization = `Bearer ${EMULATOR_TOKENS.caller}`;
 
-  it('get their final response at the deadline, and it does not claim that nothing ran', async () => {
+  it('get a response at the deadline that reports an unknown outcome', async () => {
     await setWork(60_000);
     const answer = (
       await system.callApplication(first, uniqueId(), { 'x-request-timeout-ms': '300' })
@@ -50,7 +50,7 @@
     expect(answer.json).to.include({ code: 'deadline-passed', executed: 'unknown' });
   });
 
-  it('with a deadline that is not a number get the field in the error', async () => {
+  it('get the field name in the error when the deadline is not a number', async () => {
     const answer = (
       await system.callApplication(first, uniqueId(), { 'x-request-timeout-ms': 'soon' })
     )._unsafeUnwrap();
@@ -58,7 +58,7 @@
     expect(JSON.stringify(answer.json.fields)).to.contain('x-request-timeout-ms');
   });
 
-  it('that disconnect cancel their generation', async () => {
+  it('cancel their generation when they disconnect', async () => {
     const engines = new EngineClient(system.client);
     const running = async () => (await engines.state(engine.direct))._unsafeUnwrap().running;
     const leave = new AbortController();
@@ -72,12 +72,12 @@
     const { body } = sent._unsafeUnwrap();
     body.on('error', () => {});
     body.resume();
-    await until('the engine is at work', async () => (await running()) === 1);
+    await until('the engine is generating', async () => (await running()) === 1);
     leave.abort();
     await until('the engine has stopped', async () => (await running()) === 0);
   });
 
-  it('beyond their limit are rejected at once with Retry-After, and the others are served', async () => {
+  it('get an immediate rejection with Retry-After above their concurrency limit; requests within it succeed', async () => {
     await setWork(1_500);
     const answers = await Promise.all(
       Array.from({ length: LIMIT + 2 }, () => system.callApplication(first, uniqueId())),
@@ -89,11 +89,11 @@
     expect(Number(refused?.headers['retry-after'])).to.be.at.least(1);
   });
 
-  it('get a rejection explained through another node, even after the rejecting node was killed', async () => {
+  it('can have a rejection explained by another node, even after the rejecting node was killed', async () => {
     (
       await system.operator(first).patch('Backend', application.name, { spec: { draining: true } })
     )._unsafeUnwrap();
-    const refusal = await until('the call is refused', async () => {
+    const refusal = await until('the call is rejected', async () => {
       const answer = (await system.callApplication(first, uniqueId()))._unsafeUnwrap();
       return answer.status === 503 ? answer.json : undefined;
     });
@@ -117,7 +117,7 @@
     expect(await until('the flushed decision is found', explain)).to.contain('"reason":"draining"');
   });
 
-  it('that are trainers may read decisions about their own samples only', async () => {
+  it('can read only decisions about their own samples as trainers', async () => {
     const explain = (subject: string) =>
       system.client.exchange({
         method: 'GET',
--- a/test/coordination/resource/requests/drain.test.ts
+++ b/test/coordination/resource/requests/drain.test.ts
@@ -1,4 +1,4 @@
-/** A back end that is leaving receives no new work, and a planned stop cuts off nothing in flight. */
+/** Guards against new requests to draining back ends, and against aborted requests at a graceful shutdown. */
 import { once } from 'node:events';
 import { expect } from 'chai';
 import { EMULATOR_TOKENS } from '../../../../emulator/cluster.js';
@@ -20,7 +20,7 @@
   });
   after(() => system.stop());
 
-  /** Names of the back ends that answered a number of calls through a node. */
+  /** Names of the back ends that answered `CALLS` requests sent to a node. */
   async function answeredBy(through: SystemNode): Promise<Set<unknown>> {
     const names = new Set<unknown>();
     for (let count = 0; count < CALLS; count += 1) {
@@ -30,7 +30,7 @@
     return names;
   }
 
-  it('receive no new requests once the drain is accepted, and explain shows the reason', async () => {
+  it('receive no new requests once the drain is in force, and explain shows the reason', async () => {
     const operator = system.operator(node);
     (
       await operator.patch('Backend', 'app-0', { spec: { draining: true, drainReason: 'disk swap' } })
@@ -51,12 +51,12 @@
     const machine = { name: 'm-app-1', zone: 'zone-a', state: 'leaving' };
     await system.control(system.platformAddress, '/control/machines', machine);
     for (const one of system.nodes)
-      await until('it takes no work', async () => !(await answeredBy(one)).has('app-1'));
+      await until('the back end receives no requests', async () => !(await answeredBy(one)).has('app-1'));
     await system.control(system.platformAddress, '/control/machines', { ...machine, state: 'live' });
     await until('it is in use again', async () => (await answeredBy(node)).has('app-1'));
   });
 
-  it('that are engines reject new requests themselves by a fenced command', async () => {
+  it('reject new requests themselves if they are engines', async () => {
     (await system.operator(node).patch('Backend', 'engine-0', { spec: { draining: true } }))._unsafeUnwrap();
     const engines = new EngineClient(system.client);
     const [engine] = system.engines as [SystemBackend];
@@ -73,17 +73,17 @@
     (await system.operator(node).patch('Backend', 'engine-0', { spec: { draining: null } }))._unsafeUnwrap();
   });
 
-  it('receive nothing from a node whose process was paused while they were drained', async () => {
+  it('receive no requests from a node that was paused while the drain took effect', async () => {
     const paused = system.nodes[1] as SystemNode;
     expect((await answeredBy(paused)).has('app-0')).to.equal(true);
     paused.process.child.kill('SIGSTOP');
     (await system.operator(node).patch('Backend', 'app-0', { spec: { draining: true } }))._unsafeUnwrap();
-    await until('the freshness lease of the paused node has lapsed', async () => {
+    await until('the paused node is listed as dead', async () => {
       const status = (await system.operator(node).status())._unsafeUnwrap();
       return status.members.find((member) => member.id === paused.id)?.state === 'dead';
     });
     const before = Object.keys(await system.runs()).length;
-    // The calls wait in the paused node's socket and are handled the moment it goes on.
+    // The requests are buffered in the socket of the paused node and handled as soon as it resumes.
     const calls = Array.from({ length: CALLS }, () => system.callApplication(paused, uniqueId()));
     paused.process.child.kill('SIGCONT');
     const answers = (await Promise.all(calls)).map((answer) => answer._unsafeUnwrap());
@@ -98,7 +98,7 @@
   });
 });
 
-describe('a planned stop', () => {
+describe('graceful shutdown', () => {
   const system = new TestSystem({ nodes: 2, engines: 2, applications: 1, stepMs: 10, medianTokens: 100_000 });
   let node: SystemNode;
 
@@ -109,7 +109,7 @@
   });
   after(() => system.stop());
 
-  it('lets a long stream end, rejects new work as not run, releases its leases, and ends with code 0', async () => {
+  it('completes a long stream, rejects new requests as not run, releases its leases and exits with code 0', async () => {
     const sent = await system.client.send({
       method: 'POST',
       url: `${node.address}/v1/completions`,
@@ -124,7 +124,7 @@
       text += chunk.toString('utf8');
       if (refusal) continue;
       node.process.child.kill('SIGTERM');
-      refusal = until('the node refuses', async () => {
+      refusal = until('the node rejects new requests', async () => {
         const answer = (await system.callApplication(node, uniqueId()))._unsafeUnwrap();
         return answer.json.code === 'leaving' ? answer.json : undefined;
       });
@@ -133,7 +133,7 @@
     expect(await refusal).to.include({ executed: 'no' });
     expect((await exited)[0]).to.equal(0);
     const other = system.nodes[1] as SystemNode;
-    await until('the other node has the duties', async () => {
+    await until('the other node owns the shard', async () => {
       const status = (await system.operator(other).status())._unsafeUnwrap();
       return status.node.duties.includes(`rollouts/${EMULATOR_TRAINER}/0`);
     });
--- a/test/coordination/resource/requests/request-context.test.ts
+++ b/test/coordination/resource/requests/request-context.test.ts
@@ -1,12 +1,4 @@
-/**
- * Deadlines of requests.
- *
- * What users would have seen: 502 (outcome unknown) at the deadline in place of 504 (deadline passed), on a busy machine. The order
- * of events: the timer of the request's signal is set, then the deadline is worked out from the clock; the timer goes off a
- * little before the deadline. The cause: the end of the signal was taken for the caller's leaving because the clock had not quite
- * reached the deadline. The evidence: with 16 busy processes on eight cores, 35 of 432 requests at their deadline got 502; none of
- * 416 since the reason of the signal is heeded.
- */
+/** Guards against 502 (outcome unknown) instead of 504 (deadline passed) when the timer fires slightly before the deadline. */
 import { once } from 'node:events';
 import { expect } from 'chai';
 import { monotonicMs } from '../../../../src/common/clock.js';
@@ -14,7 +6,7 @@
 
 const LATER_MS = 60_000;
 
-describe('the deadline of a request', () => {
+describe('isPastDeadline', () => {
   const contextOf = (signal: AbortSignal): RequestContext => ({
     requestId: 'request-1',
     principal: { name: 'caller', roles: [] } as never,
@@ -22,7 +14,7 @@
     deadlineMs: monotonicMs() + LATER_MS,
   });
 
-  it('has passed when its timer fired, even early', async () => {
+  it('returns true when the timer has fired, even before the deadline', async () => {
     const signal = AbortSignal.any([new AbortController().signal, AbortSignal.timeout(1)]);
     const context = contextOf(signal);
     expect(isPastDeadline(context)).to.equal(false);
@@ -30,7 +22,7 @@
     expect(isPastDeadline(context)).to.equal(true);
   });
 
-  it('has not passed when the caller disconnected', () => {
+  it('returns false when the caller has disconnected', () => {
     const caller = new AbortController();
     const context = contextOf(AbortSignal.any([caller.signal, AbortSignal.timeout(LATER_MS)]));
     caller.abort();
--- a/test/coordination/resource/rollouts/event-transcript.test.ts
+++ b/test/coordination/resource/rollouts/event-transcript.test.ts
@@ -1,4 +1,3 @@
-/** Whole events and weight versions however the bytes of a stream are cut up. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { EventTranscript } from '../../../../src/coordination/resource/rollouts/event-transcript.js';
@@ -7,7 +6,7 @@
   `data: ${JSON.stringify({ id: 'r', text, tokens, weight_version: version, finish_reason: reason })}\n\n`;
 const END = 'data: [DONE]\n\n';
 
-/** Feeds bytes in pieces; returns what was passed on. */
+/** Appends the bytes in pieces; returns the forwarded bytes. */
 function feed(transcript: EventTranscript, bytes: Buffer, cuts: readonly number[]): Buffer {
   const places = [...new Set([0, ...cuts.map((cut) => cut % (bytes.length + 1)), bytes.length])].sort(
     (a, b) => a - b,
@@ -16,10 +15,10 @@
   return Buffer.concat(passed);
 }
 
-describe('the transcript of a stream', () => {
+describe('EventTranscript', () => {
   const stream = Buffer.from(event('grüezi ', 2, 1) + event('مرحبا ', 3, 1) + event('x', 4, 2, 'stop') + END);
 
-  it('is the same however the bytes arrive', () => {
+  it('yields the same events for any split of the bytes', () => {
     fc.assert(
       fc.property(fc.array(fc.nat()), (cuts) => {
         const transcript = new EventTranscript();
@@ -37,7 +36,7 @@
     );
   });
 
-  it('is complete only with its end marker, wherever it is cut', () => {
+  it('is complete only after the end-of-stream event', () => {
     fc.assert(
       fc.property(fc.integer({ min: 0, max: stream.length - 1 }), (cut) => {
         const transcript = new EventTranscript();
@@ -49,7 +48,7 @@
     );
   });
 
-  it('resumes at another engine after the last whole event, and the partial one is dropped', () => {
+  it('continues with another engine after the last complete event and drops a partial one', () => {
     const transcript = new EventTranscript();
     transcript.beginPart('e1');
     transcript.append(Buffer.from(`${event('a', 1, 1)}data: {"id":`));
--- a/test/coordination/resource/rollouts/exactly-once.test.ts
+++ b/test/coordination/resource/rollouts/exactly-once.test.ts
@@ -1,4 +1,4 @@
-/** Every sample reaches its trainer exactly once, whatever dies, pauses or answers late. */
+/** Guards against lost and duplicated samples when nodes, engines or the store fail. */
 import { expect } from 'chai';
 import { TrainerLoop, type TrainerReport } from '../../../../emulator/clients/trainer-loop.js';
 import { EMULATOR_TOKENS } from '../../../../emulator/cluster.js';
@@ -11,7 +11,7 @@
 const BOUND = 1;
 const ROLLOUT_TASK = `rollouts/${EMULATOR_TRAINER}/0`;
 
-describe('delivery of samples', () => {
+describe('sample delivery', () => {
   let system: TestSystem;
   let runs = 0;
 
@@ -48,7 +48,7 @@
     expect(report.maxStaleness).to.be.at.most(BOUND);
   }
 
-  /** The node that generates the trainer's samples. */
+  /** The node that owns the shard of the trainer. */
   function owner(among: readonly SystemNode[] = system.nodes): Promise<SystemNode> {
     return until('a node owns the rollouts', async () => {
       for (const node of among) {
@@ -59,7 +59,7 @@
     });
   }
 
-  it('holds when the owner is killed in the middle of a step', async () => {
+  it('is exactly once when the owner is killed during a step', async () => {
     const running = trainer(3).run();
     const killed = await owner();
     await sleep(300);
@@ -69,7 +69,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('holds when the owner is paused beyond its lease and resumes unaware', async () => {
+  it('is exactly once when the owner is paused past its lease expiry and then resumes', async () => {
     const running = trainer(3).run();
     const paused = await owner();
     await sleep(200);
@@ -79,7 +79,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('holds when responses of the store are lost after the writes took effect', async () => {
+  it('is exactly once when store responses are lost after the writes took effect', async () => {
     const running = trainer(3).run();
     for (let round = 0; round < 12; round += 1) {
       await system.control(system.platformAddress, '/control/table/faults', { loseAnswers: 4 });
@@ -89,7 +89,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('holds when the store is down, then slow, in the middle of a step', async () => {
+  it('is exactly once when the store is down and then slow during a step', async () => {
     const running = trainer(3).run();
     await owner();
     const set = (faults: object) =>
@@ -106,7 +106,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('holds when engines crash and cut their streams', async () => {
+  it('is exactly once when engines crash and interrupt their streams', async () => {
     const running = trainer(3).run();
     await owner();
     const [first, second] = system.engines as [SystemBackend, SystemBackend];
