--- a/src/coordination/resource/configuration/config-follower.ts
+++ b/src/coordination/resource/configuration/config-follower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the configuration in the store: loads it, then waits for changes by long polls. Each answer of the
- * store confirms the configuration from the start of the call (`FreshnessLease`), so that a process pause or
- * a partition makes it expire; it then stays in force, but `WorkGate` rejects new work.
+ * Loads the configuration from the store and follows its changes by long polling. Each store response renews
+ * the `FreshnessLease` from the start of the call. If the lease expires during a process pause or a partition,
+ * the configuration stays in force, but `WorkGate` rejects new work.
  */
 import { sleep } from '../../../common/clock.js';
 import { startStopwatch } from '../../../common/elapsed-time.js';
@@ -10,15 +10,13 @@
 import type { ConfigStore, ConfigView, FreshnessLease } from '../../../state/resource/configuration/index.js';
 import { CONFIGURATION_TABLE } from '../../../state/resource/tables/index.js';
 
-/** Delay after a failed call, milliseconds. Chosen, not measured. */
 const RETRY_DELAY_MS = 100;
 
-/** The follower of one node. */
 export class ConfigFollower {
   private hasLoaded = false;
   private position = 0;
 
-  /** `holdMs`: longest duration of a long poll, milliseconds. */
+  /** `holdMs`: maximum duration of a long poll. */
   constructor(
     private readonly store: RecordStore,
     private readonly configuration: ConfigStore,
@@ -30,12 +28,10 @@
     view.subscribe((_events, revision) => observer.metrics.configRevision.set(revision));
   }
 
-  /** Whether this node has loaded the configuration since it started. */
   get isLoaded(): boolean {
     return this.hasLoaded;
   }
 
-  /** Follows until stopped. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const isCurrent = this.hasLoaded ? await this.awaitChange(signal) : await this.load();
@@ -43,7 +39,7 @@
     }
   }
 
-  /** Catches up with the store now; true when the configuration is confirmed. */
+  /** Applies all revisions up to the head of the store; returns whether the configuration is current. */
   async catchUp(): Promise<boolean> {
     const elapsed = startStopwatch();
     const head = await this.configuration.head();
@@ -61,7 +57,7 @@
     return true;
   }
 
-  /** Takes the position of the change feed, then reads everything. */
+  /** Reads the position of the change feed first, so that no later change is missed. */
   private async load(): Promise<boolean> {
     const page = await this.store.scan({ table: CONFIGURATION_TABLE, partition: '', limit: 1 });
     if (page.isErr()) return false;
--- a/src/coordination/resource/membership/machine-watch.ts
+++ b/src/coordination/resource/membership/machine-watch.ts
@@ -1,7 +1,7 @@
 /**
- * Machine watch, a singleton task: copies the platform's machine list into the configuration as Machine
- * resources, so that a leaving machine reaches every node like any other change. A machine that is no longer
- * listed keeps its resource. When the list or the store is not reachable, the next poll repeats the change.
+ * Singleton task that copies the platform's machine list into the configuration as Machine resources, so that
+ * every node learns of a leaving machine. Resources of machines that are no longer listed are kept. A failed
+ * read or commit is retried at the next poll.
  */
 import { ok } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
@@ -12,10 +12,10 @@
 import { API_VERSION } from '../../../protocol/resource/resource.js';
 import type { ConfigStore, ConfigView, WantedChange } from '../../../state/resource/configuration/index.js';
 
-/** Changes in one revision. Chosen, not measured: the rest follows at the next poll. */
+/** Further changes are committed at the next poll. */
 const CHANGES_PER_COMMIT = 100;
 
-/** The machine watch of one node; `intervalMs` is its poll interval, milliseconds. */
+/** `intervalMs`: poll interval. */
 export class MachineWatch {
   constructor(
     private readonly machines: MachineListClient,
@@ -25,7 +25,6 @@
     private readonly intervalMs: number,
   ) {}
 
-  /** Polls until the lease is lost. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const listed = await this.machines.list();
--- a/src/coordination/resource/membership/node-registry.ts
+++ b/src/coordination/resource/membership/node-registry.ts
@@ -1,7 +1,6 @@
 /**
- * The nodes of the fleet, from the store: each node writes its record there with every heartbeat. A node
- * whose record has not changed for the expiry time, while the store was readable, counts as dead. While the
- * store is not reachable no node expires; after an outage every node gets the whole expiry time again.
+ * Tracks the nodes of the fleet by the heartbeat records that they write to the store. A node is dead if its
+ * record has not changed for the expiry time. After a store outage the expiry time of every node starts anew.
  */
 import { ok } from 'neverthrow';
 import { monotonicMs, sleep } from '../../../common/clock.js';
@@ -16,27 +15,25 @@
 import { type FeedHandler, type FeedObserver, RecordFeed, readPartition } from '../../feeds/index.js';
 
 const NODE_TABLE = 'nodes';
-/** Time without an answer of the store, as a share of the expiry, after which expiry starts anew. Chosen. */
+/** Share of the expiry time without a store response that counts as an outage. */
 const OUTAGE_FRACTION = 0.5;
 
-/** Heartbeat interval, and age of the last heartbeat at which a node counts as dead. Milliseconds. */
+/** `expiryMs`: age of the last heartbeat after which a node is dead. */
 export interface NodeRegistryOptions {
   readonly heartbeatIntervalMs: number;
   readonly expiryMs: number;
 }
 
-/** A node as this one sees it. */
 export interface KnownNode extends NodeRecord {
   readonly state: 'alive' | 'dead';
 }
 
 interface ObservedNode {
   readonly record: NodeRecord;
-  /** When the record was last seen to change, on this node's clock. */
+  /** Time of the last observed change, on the monotonic clock of this node. */
   seenAtMs: number;
 }
 
-/** The registry of one node. */
 export class NodeRegistry implements FeedHandler<readonly StoredRecord[]> {
   readonly table = NODE_TABLE;
   private readonly nodes = new Map<string, ObservedNode>();
@@ -61,34 +58,34 @@
     this.feed = new RecordFeed(store, this, feedObserver);
   }
 
-  /** Writes this node's record and follows the others until stopped. */
+  /** Writes heartbeats and follows the records of other nodes until stopped. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this.feed.run(signal), this.heartbeatLoop(signal)]);
   }
 
-  /** Nodes that may be alive, including this one, by identifier. */
+  /** Nodes considered alive, including this one, sorted by ID. */
   active(): NodeRecord[] {
     return this.allNodes().filter((node) => node.state === 'alive');
   }
 
-  /** Other nodes that may be alive. */
+  /** Nodes considered alive, without this one. */
   others(): NodeRecord[] {
     return this.active().filter((node) => node.id !== this.own.id);
   }
 
-  /** All nodes that have not announced that they leave, by identifier. */
+  /** All nodes that have not announced their shutdown, sorted by ID. */
   allNodes(): KnownNode[] {
     return [...this.nodes.values()]
       .map(({ record, seenAtMs }) => ({ ...record, state: this.stateOf(seenAtMs) }))
       .sort((left, right) => (left.id < right.id ? -1 : 1));
   }
 
-  /** The last record of a node; `undefined` when it is not known or has left. */
+  /** The last record of a node; `undefined` if it is unknown or has shut down. */
   get(id: string): NodeRecord | undefined {
     return this.nodes.get(id)?.record;
   }
 
-  /** Removes this node's record at a planned stop. Best effort: without it the record expires. */
+  /** Removes the record of this node at shutdown, best effort; otherwise it expires. */
   async announceLeaving(): Promise<void> {
     await this.store.transact({ conditions: [], writes: [], removals: [this.address] });
   }
@@ -123,7 +120,7 @@
     return monotonicMs() - seenAtMs > this.options.expiryMs ? 'dead' : 'alive';
   }
 
-  /** After an outage of the store every node gets the whole expiry time again. */
+  /** Restarts the expiry time of every node after a store outage. */
   private recordResponse(): void {
     const now = monotonicMs();
     if (now - this.lastResponseMs > this.options.expiryMs * OUTAGE_FRACTION)
--- a/src/coordination/resource/membership/revision-report.ts
+++ b/src/coordination/resource/membership/revision-report.ts
@@ -1,23 +1,18 @@
-/**
- * Which nodes hold a revision of the configuration, by a call to each that may be alive; no answer counts as
- * no.
- */
+/** Counts the nodes that hold a configuration revision; a node that does not respond is not counted. */
 import type { PeerClient } from '../../../protocol/resource/peer.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 import type { NodeRegistry } from './node-registry.js';
 
-/** Nodes that hold a revision. */
 export interface RevisionHolders {
   readonly revision: number;
-  /** Whether the store has committed it: some node holds it. */
+  /** Whether at least one node holds the revision, so that it is known to be committed. */
   readonly accepted: boolean;
-  /** Whether every node that may be alive holds it. */
+  /** Whether every node considered alive holds the revision. */
   readonly inForceEverywhere: boolean;
   readonly holders: number;
   readonly members: number;
 }
 
-/** Calls all nodes. */
 export async function reportRevision(
   view: ConfigView,
   registry: NodeRegistry,
--- a/src/coordination/resource/requests/router.ts
+++ b/src/coordination/resource/requests/router.ts
@@ -25,7 +25,7 @@
   readonly preferNewest?: boolean;
 }
 
-/** Why a back end is not eligible, as shown by `explain`; `failing` means ejected by health checks. */
+/** Why a back end is not eligible, as shown by `explain`; `failing` means ejected after a failure. */
 export type Ineligibility =
   | 'excluded'
   | 'draining'
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -162,7 +162,7 @@
       return err({ mayRetry: false, failure: this.cancellationError(context, transcript) });
     }
     this.recordCut(run, backend);
-    const message = `${backend.name}: stream cut`;
+    const message = `${backend.name}: stream interrupted`;
     const failure = new CoordinationError('backend-failed', 'unknown', message, AT_CAPACITY_RETRY_MS);
     return err({ mayRetry: true, failure });
   }
@@ -204,7 +204,7 @@
   }
 
   private recordCut({ context, request, transcript, excluded }: Run, backend: BackendEntry): void {
-    backend.noteFailure('stream cut');
+    backend.noteFailure('stream interrupted');
     excluded.add(backend.name);
     this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'cut' });
     if (!transcript.isEmpty) this.metrics.resumes.inc();
@@ -213,7 +213,7 @@
       subjects: subjectsOf(context, request),
       choice: 'another engine',
       reason: 'stream-cut',
-      inputs: { note: `${backend.name} ended without an end marker` },
+      inputs: { note: `${backend.name} closed the stream without an end-of-stream event` },
     });
   }
 
--- a/src/coordination/resource/singleton-tasks/singleton-tasks.ts
+++ b/src/coordination/resource/singleton-tasks/singleton-tasks.ts
@@ -1,11 +1,8 @@
 /**
- * Singleton tasks: which node runs what one node runs for all (owner of a trainer's shard, owner of a slice
- * of a model's engines, watcher of the machine list). Each task has a lease. The first `CANDIDATES` active
- * members in rendezvous order try to acquire it; the holder runs the task until the lease is lost.
- *
- * Owns: this node's session and the running tasks. Relies on: `LeaseStore`, `NodeRegistry` (members), the
- * configuration. While the store is not reachable nobody can acquire a lease, so tasks go on; their writes
- * are conditional on the epoch.
+ * Runs tasks that must run on one node of the fleet, each under a lease. The first `CANDIDATES` active nodes in
+ * rendezvous order try to acquire the lease; the holder runs the task until the lease is lost. Tasks continue
+ * while the store is unreachable, since no other node can acquire the lease and their writes are conditional
+ * on its epoch.
  */
 import { sleep } from '../../../common/clock.js';
 import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
@@ -15,36 +12,32 @@
 import type { HeldLease, LeaseStore } from '../../../state/resource/leases/index.js';
 import type { NodeRegistry } from '../membership/index.js';
 
-/** Signals that end a task. */
 export interface TaskSignals {
-  /** Start nothing new, finish what is in progress, then end. */
+  /** Graceful: finish the work in progress, start nothing new. */
   readonly stop: AbortSignal;
-  /** The lease has another holder: end at once, without a commit. */
+  /** The lease is held by another node: end immediately, without a commit. */
   readonly lost: AbortSignal;
 }
 
-/** A running task. */
 export interface RunnableTask {
-  /** Runs until a signal ends it. */
   run(): Promise<void>;
-  /** Whether nothing is in progress that a change of holder would delay. */
+  /** Whether no work is in progress that a handover would delay. */
   isIdle(): boolean;
 }
 
-/** A task that one node runs. */
 export interface SingletonTask {
   /** Name of the lease. */
   readonly name: string;
   readonly createTask: (lease: HeldLease, signals: TaskSignals) => RunnableTask;
 }
 
-/** Nodes that try to acquire a lease. Chosen, not measured: calls must not grow with the fleet. */
+/** Nodes that compete for a lease; limits store calls in a large fleet. */
 const CANDIDATES = 3;
-/** Rounds, and so renewals, in the lease time. Chosen, not measured: three renewals in a row may fail. */
+/** Rounds per lease duration; three consecutive renewals may fail. */
 const RENEWALS_PER_LEASE = 4;
-/** Rounds without a change of members until idle tasks move to the first candidate. Chosen. */
+/** Rounds without a change of members or configuration before idle tasks are handed over. */
 const HANDOVER_DELAY_ROUNDS = 3;
-/** Rounds for each attempt of the other candidates. Chosen, not measured. */
+/** Rounds between the attempts of candidates other than the first. */
 const SECONDARY_ROUNDS = 2;
 
 type LeaseState = 'free' | 'held';
@@ -53,7 +46,7 @@
 
 interface Candidacy {
   readonly task: SingletonTask;
-  /** Position in rendezvous order, 0 for the first candidate. */
+  /** Position in rendezvous order, from 0. */
   readonly rank: number;
 }
 
@@ -65,7 +58,6 @@
   readonly done: Promise<void>;
 }
 
-/** The singleton tasks of one node. */
 export class SingletonTasks {
   private readonly running = new Map<string, RunningTask>();
   private readonly lifecycles = new Map<string, Lifecycle<LeaseState, LeaseEvent>>();
@@ -75,7 +67,7 @@
   private round = 0;
   private hasSession = false;
 
-  /** `listTasks` returns the tasks that the configuration requires. */
+  /** `listTasks` returns the tasks required by the current configuration. */
   constructor(
     private readonly leases: LeaseStore,
     private readonly registry: NodeRegistry,
@@ -85,7 +77,7 @@
     private readonly listTasks: () => readonly SingletonTask[],
   ) {}
 
-  /** Renews, acquires and runs until stopped; then waits for the tasks and releases the leases. */
+  /** Acquires and renews leases until stopped, then waits for the tasks to end and releases their leases. */
   async run(signal: AbortSignal): Promise<void> {
     const intervalMs = this.leases.leaseMs / RENEWALS_PER_LEASE;
     while (!signal.aborted) {
@@ -94,7 +86,7 @@
     }
     const released = new AbortController();
     const releasing = this.releaseAll().finally(() => released.abort());
-    // The tasks commit under their leases until the last one has ended.
+    // Tasks need valid leases for their last commits.
     while (!released.signal.aborted) {
       await this.renewSession();
       await sleep(intervalMs, released.signal);
@@ -102,7 +94,6 @@
     await releasing;
   }
 
-  /** Names of the tasks that this node runs. */
   runningNames(): string[] {
     return [...this.running.keys()];
   }
@@ -121,21 +112,20 @@
     this.handOverIdleTasks();
   }
 
-  /** The first candidate tries in each round, the others in each `SECONDARY_ROUNDS`th. */
+  /** The first candidate tries in every round, the others in every `SECONDARY_ROUNDS`th round. */
   private shouldTry({ task, rank }: Candidacy): boolean {
     return !this.running.has(task.name) && (rank === 0 || this.round % SECONDARY_ROUNDS === 0);
   }
 
-  /** An error is not reported: the next round tries again, and the table logs the store's health. */
+  /** Errors are ignored: the next round retries, and the table logs the health of the store. */
   private async tryStart(task: SingletonTask): Promise<void> {
     const acquired = await this.leases.tryAcquire(task.name);
     if (acquired.isOk() && acquired.value) this.start(task, acquired.value);
   }
 
   /**
-   * Releases idle tasks of which another node is the first candidate, once members and configuration have not
-   * changed for a while. Without this, a node that started first, or took over for a restarted one, would
-   * keep them for ever.
+   * Releases idle tasks whose first candidate is another node, once members and configuration are stable, to
+   * rebalance tasks after nodes were started or restarted.
    */
   private handOverIdleTasks(): void {
     if (this.round - this.candidacySinceRound < HANDOVER_DELAY_ROUNDS) return;
@@ -146,7 +136,7 @@
     }
   }
 
-  /** After a conflict the row was read again: it was written by an earlier process of this node. */
+  /** Retries once after a conflict with a session row written by an earlier process of this node. */
   private async renewSession(): Promise<void> {
     const renewed = await this.leases.renew();
     if (renewed.isErr() && renewed.error.failure === 'conflict') await this.leases.renew();
@@ -155,7 +145,7 @@
     }
   }
 
-  /** Recomputes the tasks that this node is a candidate for, when members or configuration have changed. */
+  /** Updates the tasks for which this node is a candidate, if members or configuration have changed. */
   private refreshCandidacies(): void {
     const memberIds = this.registry.active().map((member) => member.id);
     const key = `${this.view.revision}|${memberIds.join(',')}`;
@@ -196,7 +186,7 @@
     this.lifecycle(name).send('lost', reason);
   }
 
-  /** Ends a task; the lease is released after the task's last commit. */
+  /** Stops a task and releases its lease after its last commit. */
   private async stopAndRelease(name: string): Promise<void> {
     const running = this.running.get(name);
     if (!running) return;
--- a/src/coordination/resource/weights/engine-monitor.ts
+++ b/src/coordination/resource/weights/engine-monitor.ts
@@ -1,7 +1,6 @@
 /**
- * Polls the state of the engines that this node uses, one task for each. A settled engine is polled rarely;
- * one that loads, fails, or has not its target version or role is polled often. Each result is recorded at
- * its back end: a report or a failure, from which health follows.
+ * Polls the state of the engines that this node uses, one task per engine, and reports each result to the back
+ * end entry, which derives the engine's health. An engine in its target version and role is polled less often.
  */
 import { sleep } from '../../../common/clock.js';
 import type { EngineClient } from '../../../protocol/resource/engine.js';
@@ -11,16 +10,15 @@
 import { targetVersion } from './version-policy.js';
 import { shouldDrain } from './weight-rollout.js';
 
-/** Interval in which the polled engines follow the configuration, milliseconds. Chosen, not measured. */
+/** Interval at which polling tasks are started and stopped to match the configuration. */
 const SYNC_INTERVAL_MS = 200;
-/** Factor of the interval for a settled engine (calls and bytes without and with it: docs/CAPACITY.md). */
+/** Multiple of the poll interval that applies to a settled engine. */
 const SETTLED_INTERVAL_FACTOR = 8;
 
-/** The monitor of one node. */
 export class EngineMonitor {
   private readonly tasks = new Map<BackendEntry, AbortController>();
 
-  /** `intervalMs`: poll interval of an engine that is not settled, milliseconds. */
+  /** `intervalMs`: poll interval of an engine that is not settled. */
   constructor(
     private readonly view: ConfigView,
     private readonly router: Router,
@@ -28,7 +26,6 @@
     private readonly intervalMs: number,
   ) {}
 
-  /** Runs a task for each engine until stopped. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.syncTasks(signal);
@@ -61,7 +58,7 @@
     }
   }
 
-  /** Waits for the next poll; a change that unsettles the engine ends a long wait early. */
+  /** Waits for the next poll; returns early if the engine is no longer settled. */
   private async waitForNextPoll(backend: BackendEntry, signal: AbortSignal): Promise<void> {
     for (let waited = 0; waited < SETTLED_INTERVAL_FACTOR; waited += 1) {
       await sleep(this.intervalMs, signal);
@@ -69,7 +66,7 @@
     }
   }
 
-  /** Whether an engine serves its model's target version in its declared role. */
+  /** Whether the engine serves the target version of its model in its declared role. */
   private isSettled(backend: BackendEntry): boolean {
     const state = backend.engineState;
     if (!state || state.swapping || backend.lifecycle.current !== 'serving') return false;
--- a/src/coordination/resource/weights/version-policy.ts
+++ b/src/coordination/resource/weights/version-policy.ts
@@ -1,6 +1,4 @@
-/**
- * Weight versions of a model: the newest published one, which bounds staleness, and the target to load. Pure.
- */
+/** Selects the weight versions of a model: the newest published one and the target version to load. */
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from '../../../state/resource/configuration/index.js';
 
@@ -13,7 +11,7 @@
 
 const indices = new WeakMap<ConfigView, VersionIndex>();
 
-/** The versions of a model, newest first, computed once for each revision of the configuration. */
+/** The versions of a model, newest first; cached per configuration revision. */
 function versionsOf(view: ConfigView, model: string): readonly ResourceOf<'ModelVersion'>[] {
   let index = indices.get(view);
   if (index?.revision !== view.revision) {
@@ -33,17 +31,16 @@
   return groups;
 }
 
-/** The newest published version of a model, approved or not; 0 when there is none. */
+/** The newest published version, approved or not; 0 if there is none. */
 export function newestPublished(view: ConfigView, model: string): number {
   return versionsOf(view, model)[0]?.spec.version ?? 0;
 }
 
-/** Whether a version may be served: it has an approval, or its model requires none. */
 export function isApproved(model: ResourceOf<'Model'>, version: ResourceOf<'ModelVersion'>): boolean {
   return !model.spec.requireApproval || (version.spec.approvals?.length ?? 0) > 0;
 }
 
-/** The version to load: the pinned one, or else the newest; in both cases only when it may be served. */
+/** The version to load: the pinned one if set, otherwise the newest; only if it is approved. */
 export function targetVersion(
   view: ConfigView,
   model: ResourceOf<'Model'>,
--- a/src/coordination/resource/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -1,11 +1,7 @@
 /**
- * Weight rollout: the owner of a slice of a model's engines loads the target version into them, a bounded
- * share at a time to keep serving capacity, and sets their roles (serving, draining). Commands carry the
- * lease's epoch as fence: an engine that has received one of a later owner rejects those of an earlier one.
- *
- * Owns: commands in progress, failures in a row per engine. Relies on: reports of `EngineMonitor`, the work
- * gate (no command under a configuration that is not confirmed). A load that fails is repeated with a growing
- * delay.
+ * Loads the target weight version into the engines of one slice of a model, a limited share at a time, and sets
+ * their roles (serving, draining). Commands carry the lease epoch as a fencing token, so that engines reject
+ * commands of a previous owner. Failed loads are retried with exponential backoff.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
@@ -30,15 +26,13 @@
   failed: { ordered: 'loading' },
 } as const;
 
-/** Interval of rounds, milliseconds. Chosen, not measured. */
 const RECONCILE_INTERVAL_MS = 200;
-/** Share of a slice's engines that load at a time when not declared. Chosen: one of three. */
+/** Share of the engines of a slice that load concurrently if the model declares none: one of three. */
 const DEFAULT_MAX_UNAVAILABLE = 0.34;
-/** Delay after a failed load of an engine, milliseconds, doubled up to the maximum. Chosen, not measured. */
+/** Initial delay after a failed load of an engine, doubled up to the maximum. */
 const FIRST_RETRY_DELAY_MS = 500;
 const MAX_RETRY_DELAY_MS = 8_000;
 
-/** Dependencies of an owner. */
 export interface WeightRolloutParts {
   readonly view: ConfigView;
   readonly registry: BackendRegistry;
@@ -48,17 +42,16 @@
   readonly observer: LifecycleObserver;
 }
 
-/** Whether an engine is to refuse new requests: it is declared as draining, or its machine leaves. */
+/** Whether an engine is declared as draining or its machine is leaving. */
 export function shouldDrain(view: ConfigView, backend: ResourceOf<'Backend'>): boolean {
   return backend.spec.draining === true || isMachineLeaving(view, backend.spec.machine);
 }
 
-/** Whether an engine is declared for a model; without a declaration it serves any model of its service. */
+/** Whether an engine may serve a model; one without a declared model serves any model of its service. */
 export function isAssigned(backend: BackendEntry, model: string): boolean {
   return (backend.declaration.spec.model ?? model) === model;
 }
 
-/** The owner of one slice of one model's engines. */
 export class WeightRollout implements RunnableTask {
   private readonly swaps = new Map<string, Lifecycle<SwapState, SwapEvent>>();
   private readonly failures = new Map<string, number>();
@@ -72,12 +65,11 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Whether no command is in progress. */
   isIdle(): boolean {
     return this.inProgress.size === 0;
   }
 
-  /** Runs until the lease is lost or the model is deleted. */
+  /** Runs until the signal aborts or the model is deleted. */
   async run(): Promise<void> {
     const { signal } = this;
     while (!signal.aborted) {
@@ -88,7 +80,7 @@
     }
   }
 
-  /** Engines of the slice that may load the model. */
+  /** Engines of the slice to which the model may be loaded. */
   private engines(model: ResourceOf<'Model'>): BackendEntry[] {
     const slices = model.spec.slices ?? 1;
     const service = this.parts.view.get('Service', model.spec.service);
@@ -167,7 +159,7 @@
     await sleep(Math.min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2 ** (failures - 1)), signal);
   }
 
-  /** Sends a command and records the engine's response as its newest report. */
+  /** Sends a command and records the response as the latest report of the engine. */
   private async command(backend: BackendEntry, command: EngineCommand): Promise<Result<EngineState, string>> {
     const answer = await this.parts.engines.order(backend.declaration.spec.address, command);
     if (answer.isErr()) return err(answer.error.message);
@@ -206,13 +198,13 @@
   }
 }
 
-/** Engines with a command in progress above which no further load is started. */
+/** Limit of concurrent commands above which no load is started. */
 function maxLoading(model: ResourceOf<'Model'>, engineCount: number): number {
   const share = model.spec.maxUnavailableFraction ?? DEFAULT_MAX_UNAVAILABLE;
   return Math.max(1, Math.floor(engineCount * share));
 }
 
-/** Whether an engine has another model or version than the target, and is not loading one. */
+/** Whether an engine has a different model or version and is not loading one. */
 function needsLoad(
   backend: BackendEntry,
   model: ResourceOf<'Model'>,
--- a/test/coordination/resource/configuration/configuration.test.ts
+++ b/test/coordination/resource/configuration/configuration.test.ts
@@ -1,4 +1,4 @@
-/** Accepted configuration is in force everywhere within seconds and never reverts. */
+/** Guards against nodes that act on an outdated configuration. */
 import { expect } from 'chai';
 import { EMULATOR_APPLICATION } from '../../../../emulator/declarations.js';
 import { sleep } from '../../../../src/common/clock.js';
@@ -7,7 +7,7 @@
 import { type SystemNode, TestSystem } from '../../../support/system.js';
 import { until } from '../../../support/wait.js';
 
-/** Calls that a node must go on refusing once it has refused. */
+/** Calls that a node must keep rejecting after the first rejection. */
 const CALLS_AFTER_REJECTION = 40;
 
 describe('configuration', () => {
@@ -27,7 +27,7 @@
   const call = async (index: number) =>
     (await system.callApplication(node(index), uniqueId()))._unsafeUnwrap();
 
-  it('that was accepted is in force on every node', async () => {
+  it('is in force on every node after it was accepted', async () => {
     const accepted = (await drain(A, true))._unsafeUnwrap().metadata.resourceVersion;
     for (const index of [A, B, C]) {
       await until('it is in force', async () => (await status(index)).configRevision >= accepted);
@@ -35,10 +35,10 @@
     }
   });
 
-  it('is never used in an old revision by a node whose process was paused', async () => {
+  it('is never used in an outdated revision by a node whose process was paused', async () => {
     node(C).process.child.kill('SIGSTOP');
     (await drain(A, true))._unsafeUnwrap();
-    await until('the paused node is taken for dead', async () => {
+    await until('the paused node is listed as dead', async () => {
       const members = (await system.operator(node(A)).status())._unsafeUnwrap().members;
       return members.find((member) => member.id === node(C).id)?.state === 'dead';
     });
@@ -50,15 +50,15 @@
     }
   });
 
-  it('is accepted once it is committed; nodes that do not reach the store reject work instead of using the old one', async () => {
+  it('is accepted once committed; nodes that cannot reach the store reject requests instead of using the old revision', async () => {
     system.isolate(node(A));
     for (const index of [B, C]) node(index).platformProxy.set('cut');
     (await drain(A, true))._unsafeUnwrap();
     expect((await call(A)).json.code).to.equal('no-backend');
     for (const index of [B, C]) {
-      await until('it refuses', async () => (await call(index)).status === 503);
+      await until('the node rejects the call', async () => (await call(index)).status === 503);
       for (let count = 0; count < CALLS_AFTER_REJECTION; count += 1) {
-        expect((await call(index)).status, `node ${index} acts on the old revision again`).to.equal(503);
+        expect((await call(index)).status, `node ${index} uses the outdated revision again`).to.equal(503);
         await sleep(50);
       }
       node(index).platformProxy.set('pass');
@@ -66,11 +66,11 @@
     }
   });
 
-  it('is not confirmed by newcomers, however many they are, when neither they nor the nodes beside them reach the store', async () => {
+  it('is not confirmed in a partition without the store, even if new nodes make it the majority', async () => {
     const newcomers = await system.addNodes(['node-3', 'node-4']);
     const small = [node(C), ...newcomers];
     for (const one of small) {
-      await until('the newcomers have joined', async () => {
+      await until('the new nodes have joined', async () => {
         const { members, node: own } = (await system.operator(one).status())._unsafeUnwrap();
         return own.configurationFresh && members.filter((member) => member.state === 'alive').length === 5;
       });
@@ -81,18 +81,18 @@
     for (const one of small) {
       const isServing = async () =>
         (await system.callApplication(one, uniqueId()))._unsafeUnwrap().status === 200;
-      await until('the small side refuses', async () => !(await isServing()));
+      await until('the partitioned node rejects the call', async () => !(await isServing()));
       for (let count = 0; count < CALLS_AFTER_REJECTION; count += 1) {
-        expect(await isServing(), `${one.id} acts on the old revision again`).to.equal(false);
+        expect(await isServing(), `${one.id} uses the outdated revision again`).to.equal(false);
         await sleep(50);
       }
     }
   });
 
-  it('expires at a partitioned node, which rejects work as not run', async () => {
+  it('expires on a partitioned node, which then rejects requests as not run', async () => {
     system.isolate(node(C));
     node(C).platformProxy.set('cut');
-    const refusal = await until('the node refuses', async () => {
+    const refusal = await until('the node rejects the call', async () => {
       const answer = await call(C);
       return answer.status === 503 ? answer : undefined;
     });
@@ -104,7 +104,7 @@
     expect((await call(C)).json.code).to.equal('no-backend');
   });
 
-  it('stays in force through an outage of the store for services that allow it; a node that is started then takes no work', async () => {
+  it('stays in force during a store outage for services that allow it, but not on a node started then', async () => {
     const accepted = (await drain(A, true))._unsafeUnwrap().metadata.resourceVersion;
     for (const index of [A, B])
       await until('it is in force', async () => (await status(index)).configRevision >= accepted);
@@ -118,18 +118,21 @@
     await system.control(system.platformAddress, '/control/table/faults', { down: true });
     await system.restartNode(node(C));
     for (const index of [A, B]) {
-      await until('the confirmation has lapsed', async () => !(await status(index)).configurationFresh);
+      await until('the freshness lease has expired', async () => !(await status(index)).configurationFresh);
       expect((await call(index)).json.code).to.equal('no-backend');
     }
     const refusal = await call(C);
     expect(refusal.status).to.equal(503);
     expect(refusal.json.executed).to.equal('no');
     await system.control(system.platformAddress, '/control/table/faults', {});
-    await until('the started node has loaded it', async () => (await status(C)).configRevision >= revision);
+    await until(
+      'the restarted node has loaded the configuration',
+      async () => (await status(C)).configRevision >= revision,
+    );
     expect((await call(C)).json.code).to.equal('no-backend');
   });
 
-  it('is committed once although responses of the store are lost, and a repeat of the operation returns its revision', async () => {
+  it('is committed once when store responses are lost, and a retry returns the same revision', async () => {
     await system.control(system.platformAddress, '/control/table/faults', { loseAnswers: 6 });
     const operationId = uniqueId();
     const manifest = {
@@ -139,7 +142,7 @@
       spec: { type: 'application', repeatable: true },
     };
     const changeset = { operationId, changes: [{ action: 'put' as const, manifest }] };
-    const revision = await until('the operation is settled', async () => {
+    const revision = await until('the operation is committed', async () => {
       const answer = await system.operator(node(A)).commit(changeset);
       return answer.isOk() ? answer.value.revision : undefined;
     });
@@ -149,7 +152,7 @@
     expect(stored.metadata).to.include({ resourceVersion: revision, generation: 1 });
   });
 
-  it('never goes back on any node while nodes are killed and started again', async () => {
+  it('never reverts to an earlier revision on any node while nodes are killed and restarted', async () => {
     const highest = new Map<string, number>();
     let isDone = false;
     const observing = (async () => {
@@ -181,6 +184,9 @@
     await observing;
     const final = Math.max(...highest.values());
     for (const index of [A, B, C])
-      await until('all agree', async () => (await status(index)).configRevision >= final);
+      await until(
+        'all nodes have the final revision',
+        async () => (await status(index)).configRevision >= final,
+      );
   });
 });
--- a/test/coordination/resource/singleton-tasks/singleton-tasks.test.ts
+++ b/test/coordination/resource/singleton-tasks/singleton-tasks.test.ts
@@ -1,4 +1,4 @@
-/** Duties spread over the nodes, also over those that join later. */
+/** Distribution of singleton tasks over the nodes of the fleet. */
 import { expect } from 'chai';
 import { EMULATOR_MODEL, EMULATOR_TRAINER } from '../../../../emulator/declarations.js';
 import { TestSystem } from '../../../support/system.js';
@@ -23,17 +23,17 @@
     );
   }
 
-  it('move to nodes that join later once nothing is in progress, and each has one holder', async () => {
-    await until('the first node holds all', async () => (await rolloutTasks())[0]?.length === SHARDS);
+  it('move to nodes that join later once they are idle, and each has one holder', async () => {
+    await until('the first node runs all tasks', async () => (await rolloutTasks())[0]?.length === SHARDS);
     await system.addNodes(['node-1', 'node-2']);
-    await until('each node holds some', async () => {
+    await until('each node runs some tasks', async () => {
       const held = await rolloutTasks();
       const all = held.flat();
       return held.every((one) => one.length > 0) && all.length === SHARDS && new Set(all).size === SHARDS;
     });
   });
 
-  it('continue after the move', async () => {
+  it('continue after the handover', async () => {
     const [node] = system.nodes as [(typeof system.nodes)[0]];
     const submission = {
       rolloutId: 'r',
--- a/test/coordination/resource/weights/staleness.test.ts
+++ b/test/coordination/resource/weights/staleness.test.ts
@@ -1,4 +1,4 @@
-/** No delivered sample is older than the staleness bound of its trainer, also when a batch is delivered again. */
+/** Guards against samples beyond the staleness bound in first deliveries and redeliveries. */
 import { expect } from 'chai';
 import { nextSequence, versionsInText } from '../../../../emulator/clients/trainer-loop.js';
 import { EMULATOR_MODEL } from '../../../../emulator/declarations.js';
@@ -6,7 +6,7 @@
 import { type SystemNode, TestSystem } from '../../../support/system.js';
 import { until } from '../../../support/wait.js';
 
-describe('the staleness bound', () => {
+describe('staleness bound', () => {
   const system = new TestSystem({ nodes: 2, engines: 2, stalenessBound: 0 });
   let first: SystemNode;
   let second: SystemNode;
@@ -51,7 +51,7 @@
       return progress.ready === count;
     });
 
-  it('discards ready samples that became too old before they were drawn, and generates them again', async () => {
+  it('discards ready samples that exceed it before they are drawn, and generates them again', async () => {
     await submit('ready', 4);
     await allReady('ready', 4);
     expect((await system.trainer(first).publish(EMULATOR_MODEL, 2, 'w/2')).isOk()).to.equal(true);
@@ -66,7 +66,7 @@
     expect(explained.summary).to.contain('discarded: version 1');
   });
 
-  it('voids a batch that became too old between two deliveries, and creates a new attempt of its cursor', async () => {
+  it('replaces a batch that exceeds it before a redelivery by a new attempt of its cursor', async () => {
     await submit('redelivered', 4);
     await allReady('redelivered', 4);
     const lost = await drawSamples(first, 2);
@@ -87,7 +87,7 @@
     accept(again);
   });
 
-  it('counts the version that a draw names although it is not published yet', async () => {
+  it('applies to the version stated in a draw even if it is not published yet', async () => {
     await submit('named', 2);
     await allReady('named', 2);
     const batch = (await drawAt(first, 4))._unsafeUnwrap();
@@ -98,7 +98,7 @@
     accept(fresh);
   });
 
-  it('does not deliver samples of a rollout that was cancelled', async () => {
+  it('does not deliver samples of a cancelled rollout', async () => {
     await submit('cancelled', 3);
     await allReady('cancelled', 3);
     expect((await system.trainer(second).cancel('cancelled')).isOk()).to.equal(true);
--- a/test/coordination/resource/weights/weights.test.ts
+++ b/test/coordination/resource/weights/weights.test.ts
@@ -1,4 +1,4 @@
-/** Weight versions: named truly through swaps, failed swaps, fences, approvals and residency. */
+/** Loading and reporting of weight versions: approvals, failed loads, fencing and residency. */
 import { expect } from 'chai';
 import { namesTrueVersions, nextSequence } from '../../../../emulator/clients/trainer-loop.js';
 import { EMULATOR_MODEL, EMULATOR_MODEL_SERVICE } from '../../../../emulator/declarations.js';
@@ -35,7 +35,7 @@
   }
 
   const untilAllAt = (version: number) =>
-    until(`all engines hold version ${version}`, async () =>
+    until(`all engines have version ${version}`, async () =>
       (await versions()).every((one) => one === String(version)),
     );
 
@@ -62,7 +62,7 @@
     return samples;
   }
 
-  it('are not loaded before an approver has signed, and only an approver may sign', async () => {
+  it('are not loaded without an approval, and only an approver may approve', async () => {
     await publish(2);
     const operator = await system.operator(node).approve(`${EMULATOR_MODEL}-v2`);
     expect(operator._unsafeUnwrapErr().detail).to.include({ code: 'forbidden' });
@@ -75,7 +75,7 @@
     await untilAllAt(2);
   });
 
-  it('are reported per token when they change in the middle of a sample', async () => {
+  it('are reported per token when they change during a sample', async () => {
     await system.trainer(node).submit({
       rolloutId: 'swapped',
       model: EMULATOR_MODEL,
@@ -96,7 +96,7 @@
     await untilAllAt(3);
   });
 
-  it('that differ between shards after a failed load quarantine the engine until it reports one', async () => {
+  it('quarantine an engine while they differ between its shards after a failed load', async () => {
     const [failing] = system.engines as [SystemBackend];
     await system.control(failing.direct, '/control/fail-swaps', { count: 2 });
     await publish(4);
@@ -116,7 +116,7 @@
     });
   });
 
-  it('are not changed by a command whose fence is too low', async () => {
+  it('are not changed by a command with an outdated fencing token', async () => {
     const [engine] = system.engines as [SystemBackend];
     const order = { fence: 0, order: 'load' as const, model: EMULATOR_MODEL, version: 1, object: 'w/1' };
     const refused = await engines.order(engine.direct, order);
@@ -124,7 +124,7 @@
     expect((await versions())[0]).to.equal('4');
   });
 
-  it('never reach engines outside the zones of the model', async () => {
+  it('are never loaded into engines outside the zones of the model', async () => {
     (
       await system.operator(node).patch('Model', EMULATOR_MODEL, { spec: { residency: ['zone-b'] } })
     )._unsafeUnwrap();
@@ -132,7 +132,7 @@
     (await system.approver(node).approve(`${EMULATOR_MODEL}-v5`))._unsafeUnwrap();
     const moved = system.engines[2] as SystemBackend;
     (await system.operator(node).patch('Backend', moved.name, { spec: { zone: 'zone-b' } }))._unsafeUnwrap();
-    await until('the engine inside the zone holds the version', async () => (await versions())[2] === '5');
+    await until('the engine inside the zone has the version', async () => (await versions())[2] === '5');
     expect((await versions()).slice(0, 2)).to.deep.equal(['4', '4']);
     const service = (await system.operator(node).get('Service', EMULATOR_MODEL_SERVICE))._unsafeUnwrap();
     expect(service.metadata.name).to.equal(EMULATOR_MODEL_SERVICE);
