--- a/src/cli/commands/inspect.ts
+++ b/src/cli/commands/inspect.ts
@@ -1,7 +1,7 @@
 /** `thymecove get`, `describe`, `watch`, `explain` and `status`. */
 import { command, number, option, optional, positional, string } from 'cmd-ts';
 import type { Explanation, Status } from '../../protocol/resource/operator.js';
-import type { ShownResource } from '../../protocol/resource/operator-client.js';
+import type { ApiResource } from '../../protocol/resource/operator-client.js';
 import { KINDS, ROLLOUT_KIND } from '../../protocol/resource/resource.js';
 import { connectionFlags, outputFlag, withOperator } from '../connection.js';
 import { ExitCode } from '../exit-codes.js';
@@ -14,11 +14,11 @@
 });
 const name = positional({ type: string, displayName: 'name' });
 
-function conditionsText(resource: ShownResource): string {
+function conditionsText(resource: ApiResource): string {
   return (resource.status?.conditions ?? []).map((one) => `${one.type}=${one.status}`).join(' ');
 }
 
-function resourceTable(resources: readonly ShownResource[]): string {
+function resourceTable(resources: readonly ApiResource[]): string {
   const rows = resources.map((one) => [
     one.kind,
     one.metadata.name,
@@ -55,7 +55,7 @@
     }),
 });
 
-function describeText(resource: ShownResource): string {
+function describeText(resource: ApiResource): string {
   const flat = (tree: Record<string, unknown>) =>
     Object.entries(tree).map(([field, value]) => [
       field,
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -3,7 +3,7 @@
 import type { ProtocolError } from '../protocol/protocol-error.js';
 import type { Manifest } from '../protocol/resource/manifest.js';
 import type { Changeset } from '../protocol/resource/operator.js';
-import type { OperatorClient, ShownResource } from '../protocol/resource/operator-client.js';
+import type { ApiResource, OperatorClient } from '../protocol/resource/operator-client.js';
 import { KINDS, READ_ONLY_KINDS, type Resource, resourceKey } from '../protocol/resource/resource.js';
 import { sameDeclaration } from '../state/resource/configuration/index.js';
 import type { Declaration } from './declarations.js';
@@ -42,7 +42,7 @@
 
 type Tree = Record<string, unknown>;
 
-function withOperationalFields(manifest: Manifest, stored: ShownResource | undefined): Manifest {
+function withOperationalFields(manifest: Manifest, stored: ApiResource | undefined): Manifest {
   const spec: Tree = { ...manifest.spec };
   for (const field of OPERATIONAL_FIELDS[manifest.kind] ?? []) {
     if (!(field in spec) && stored && field in stored.spec) spec[field] = stored.spec[field];
@@ -67,7 +67,7 @@
 
 function planOne(
   declaration: Declaration,
-  stored: ShownResource | undefined,
+  stored: ApiResource | undefined,
   options: PlanOptions,
 ): PlannedChange {
   const completed = withOperationalFields(declaration.manifest, stored);
@@ -99,7 +99,7 @@
   declarations: readonly Declaration[],
   options: PlanOptions,
 ): Promise<Result<PlannedChange[], ProtocolError>> {
-  const stored = new Map<string, ShownResource>();
+  const stored = new Map<string, ApiResource>();
   for (const kind of KINDS.filter((one) => !READ_ONLY_KINDS.includes(one))) {
     const found = await client.list(kind);
     if (found.isErr()) return err(found.error);
--- a/src/coordination/resource/coordination-error.ts
+++ b/src/coordination/resource/coordination-error.ts
@@ -4,7 +4,7 @@
  */
 import type { Result } from 'neverthrow';
 import type { ProtocolError } from '../../protocol/protocol-error.js';
-import type { Executed, RefusalCode } from '../../protocol/resource/problem.js';
+import type { Executed, ProblemCode } from '../../protocol/resource/problem.js';
 import type { StateError, VersionPair } from '../../state/state-error.js';
 
 /** Work that was rejected or failed. `executed` is `no` only when it is certain that it did not run. */
@@ -12,7 +12,7 @@
   override readonly name = 'CoordinationError';
 
   constructor(
-    readonly code: RefusalCode,
+    readonly code: ProblemCode,
     readonly executed: Executed,
     message: string,
     readonly retryAfterMs?: number,
@@ -28,7 +28,7 @@
 /** Retry-After of temporary failures that name none, milliseconds. Chosen, not measured. */
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
-const CODE_OF_STATE_FAILURE: Readonly<Record<StateError['failure'], RefusalCode>> = {
+const CODE_OF_STATE_FAILURE: Readonly<Record<StateError['failure'], ProblemCode>> = {
   unavailable: 'platform-unavailable',
   'rate-limited': 'overloaded',
   conflict: 'conflict',
--- a/src/coordination/resource/membership/machine-watch.ts
+++ b/src/coordination/resource/membership/machine-watch.ts
@@ -10,7 +10,7 @@
 import type { Machine, MachineListClient } from '../../../protocol/resource/machine-list.js';
 import type { Manifest } from '../../../protocol/resource/manifest.js';
 import { API_VERSION } from '../../../protocol/resource/resource.js';
-import type { ConfigStore, ConfigView, WantedChange } from '../../../state/resource/configuration/index.js';
+import type { ConfigStore, ConfigView, DesiredChange } from '../../../state/resource/configuration/index.js';
 
 /** Changes in one revision. Chosen, not measured: the rest follows at the next poll. */
 const CHANGES_PER_COMMIT = 100;
@@ -46,7 +46,7 @@
   }
 }
 
-function toChange(machine: Machine): WantedChange {
+function toChange(machine: Machine): DesiredChange {
   const { name, zone, state } = machine;
   const manifest: Manifest = {
     apiVersion: API_VERSION,
--- a/src/coordination/resource/requests/application-relay.ts
+++ b/src/coordination/resource/requests/application-relay.ts
@@ -174,7 +174,7 @@
       response.body.resume();
       return err(this.noteNotAdmitted(service, backend, retryAfterMs(response.headers)));
     }
-    backend.noteSuccess();
+    backend.recordSuccess();
     this.metrics.attempts.inc({ service: service.metadata.name, outcome: 'answered' });
     return ok({ backend, response, release });
   }
@@ -202,7 +202,7 @@
       const code = isPastDeadline(context) ? 'deadline-passed' : 'outcome-unknown';
       return { failure: new CoordinationError(code, executed, message), mayRetry: false };
     }
-    backend.noteFailure(error.message);
+    backend.recordFailure(error.message);
     const code = error.requestSent ? 'outcome-unknown' : 'backend-failed';
     const failure = new CoordinationError(code, executed, message, AT_CAPACITY_RETRY_MS);
     return { failure, mayRetry: isSafeToRetry(service, error) };
--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -161,7 +161,7 @@
     const { context, request, transcript } = run;
     const end = await this.relay(stream, transcript, sink).finally(release);
     if (end === 'complete') {
-      backend.noteSuccess();
+      backend.recordSuccess();
       this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'complete' });
       return ok(undefined);
     }
@@ -178,7 +178,7 @@
     const { context, request, excluded } = run;
     this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: error.failure });
     if (context.signal.aborted) return { mayRetry: false, failure: this.abandoned(context) };
-    if (error.failure !== 'refused') backend.noteFailure(error.message);
+    if (error.failure !== 'refused') backend.recordFailure(error.message);
     excluded.add(backend.name);
     this.decisions.record({
       kind: 'retry',
@@ -211,7 +211,7 @@
   }
 
   private noteCut({ context, request, transcript, excluded }: Run, backend: BackendEntry): void {
-    backend.noteFailure('stream cut');
+    backend.recordFailure('stream cut');
     excluded.add(backend.name);
     this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'cut' });
     if (!transcript.isEmpty) this.metrics.resumes.inc();
--- a/src/coordination/resource/singleton-tasks/singleton-tasks.ts
+++ b/src/coordination/resource/singleton-tasks/singleton-tasks.ts
@@ -192,7 +192,7 @@
 
   private noteEnded(name: string, reason: string): void {
     this.running.delete(name);
-    this.leases.forget(name);
+    this.leases.drop(name);
     this.lifecycle(name).send('lost', reason);
   }
 
--- a/src/coordination/resource/weights/engine-monitor.ts
+++ b/src/coordination/resource/weights/engine-monitor.ts
@@ -55,8 +55,8 @@
   private async watch(backend: BackendEntry, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const state = await this.engines.state(backend.declaration.spec.address);
-      if (state.isOk()) backend.noteReport(state.value);
-      else backend.noteFailure(state.error.message);
+      if (state.isOk()) backend.recordReport(state.value);
+      else backend.recordFailure(state.error.message);
       await this.pause(backend, signal);
     }
   }
--- a/src/coordination/resource/weights/weight-rollout.ts
+++ b/src/coordination/resource/weights/weight-rollout.ts
@@ -170,7 +170,7 @@
   private async command(backend: BackendEntry, command: EngineCommand): Promise<Result<EngineState, string>> {
     const answer = await this.parts.engines.order(backend.declaration.spec.address, command);
     if (answer.isErr()) return err(answer.error.message);
-    backend.noteReport(answer.value);
+    backend.recordReport(answer.value);
     return ok(answer.value);
   }
 
--- a/src/node/resource/api/change-routes.ts
+++ b/src/node/resource/api/change-routes.ts
@@ -18,7 +18,7 @@
 } from '../../../protocol/resource/operator.js';
 import { READ_ONLY_KINDS, type ResourceOf } from '../../../protocol/resource/resource.js';
 import { Validator } from '../../../protocol/validation.js';
-import type { CommitOutcome, WantedChange } from '../../../state/resource/configuration/index.js';
+import type { CommitOutcome, DesiredChange } from '../../../state/resource/configuration/index.js';
 import { StateError } from '../../../state/state-error.js';
 import { sendJson } from '../../../transport/http-server.js';
 import type { Route } from './api-server.js';
@@ -149,7 +149,7 @@
 async function commitOne(
   parts: ResourceParts,
   exchange: Exchange,
-  want: WantedChange,
+  want: DesiredChange,
 ): CoordinationResult<void> {
   const committed = await commitAndAccept(parts, operationId(exchange), [want]);
   if (committed.isErr()) return err(committed.error);
@@ -180,7 +180,7 @@
 async function commitAndAccept(
   parts: ResourceParts,
   id: string,
-  wanted: readonly WantedChange[],
+  wanted: readonly DesiredChange[],
 ): CoordinationResult<CommitOutcome> {
   const committed = await parts.store.commit(id, wanted);
   if (committed.isErr()) return err(fromState(committed.error));
@@ -211,8 +211,8 @@
   return ok(undefined);
 }
 
-function toWanted(exchange: Exchange, body: Changeset): Result<WantedChange[], CoordinationError> {
-  const wanted: WantedChange[] = [];
+function toWanted(exchange: Exchange, body: Changeset): Result<DesiredChange[], CoordinationError> {
+  const wanted: DesiredChange[] = [];
   for (const [index, change] of body.changes.entries()) {
     if (change.action === 'delete') {
       const { kind, name, expectedVersion } = change;
--- a/src/node/resource/api/exchange.ts
+++ b/src/node/resource/api/exchange.ts
@@ -8,7 +8,7 @@
   CoordinationError,
   type CoordinationResult,
 } from '../../../coordination/resource/coordination-error.js';
-import { PROBLEM_MEDIA_TYPE, type Problem, STATUS_OF_CODE } from '../../../protocol/resource/problem.js';
+import { PROBLEM_MEDIA_TYPE, type Problem, STATUS_BY_CODE } from '../../../protocol/resource/problem.js';
 import type { FieldProblem, Validator } from '../../../protocol/validation.js';
 import type { Principal } from '../../../state/resource/configuration/index.js';
 import { readFully } from '../../../transport/http-client.js';
@@ -41,7 +41,7 @@
   return {
     type: `urn:thymecove:problem:${error.code}`,
     title: error.code.replaceAll('-', ' '),
-    status: STATUS_OF_CODE[error.code],
+    status: STATUS_BY_CODE[error.code],
     detail: error.message,
     code: error.code,
     executed: error.executed,
--- a/src/protocol/resource/engine.ts
+++ b/src/protocol/resource/engine.ts
@@ -101,14 +101,14 @@
 
 const state = new Validator(EngineStateSchema);
 // Chosen, not measured; times in milliseconds.
-const REJECTION_LIMIT_BYTES = 64 * 1024;
+const MAX_ERROR_BODY_BYTES = 64 * 1024;
 const STATE_TIMEOUT_MS = 1_000;
 /** A load of weights responds when it is done. */
 const COMMAND_TIMEOUT_MS = 20_000;
 /** Until the head of a stream, in the engine's queue. */
 const ADMISSION_TIMEOUT_MS = 10_000;
 /** Between two pieces of a stream; then it counts as cut. */
-const SILENCE_TIMEOUT_MS = 15_000;
+const STREAM_IDLE_TIMEOUT_MS = 15_000;
 
 /** Response to a completion request. */
 export interface EngineStream {
@@ -132,11 +132,11 @@
       body: JSON.stringify(body),
       signal,
       headTimeoutMs: ADMISSION_TIMEOUT_MS,
-      idleTimeoutMs: SILENCE_TIMEOUT_MS,
+      idleTimeoutMs: STREAM_IDLE_TIMEOUT_MS,
     });
     if (sent.isErr()) return err(fromTransport(sent.error, 'generate'));
     if (sent.value.status === 200) return ok({ response: sent.value });
-    const reason = await readFully(sent.value.body, REJECTION_LIMIT_BYTES);
+    const reason = await readFully(sent.value.body, MAX_ERROR_BODY_BYTES);
     const effect = sent.value.headers[NOT_ADMITTED_HEADER] === 'true' ? 'none' : 'unknown';
     const wait = retryAfterMs(sent.value.headers);
     const text = reason.map((bytes) => bytes.toString('utf8')).unwrapOr('');
--- a/src/protocol/resource/json-exchange.ts
+++ b/src/protocol/resource/json-exchange.ts
@@ -34,7 +34,7 @@
   }
 }
 
-function rejection(response: BufferedResponse, target: string): ProtocolError {
+function rejectionError(response: BufferedResponse, target: string): ProtocolError {
   const detail = parseJson(response.body).unwrapOr(undefined);
   const wait = retryAfterMs(response.headers);
   const message = `${target}: status ${response.status}`;
@@ -58,7 +58,7 @@
   const headers = body === undefined ? call.headers : { 'content-type': 'application/json', ...call.headers };
   const response = await client.exchange({ ...rest, headers, body });
   if (response.isErr()) return err(fromTransport(response.error, target));
-  if (response.value.status >= 300) return err(rejection(response.value, target));
+  if (response.value.status >= 300) return err(rejectionError(response.value, target));
   const parsed = parseJson(response.value.body);
   if (parsed.isErr()) return err(new ProtocolError('malformed', 'unknown', `${target}: ${parsed.error}`));
   const checked = answer.check(parsed.value);
--- a/src/protocol/resource/operator-client.ts
+++ b/src/protocol/resource/operator-client.ts
@@ -23,16 +23,16 @@
 import { type Problem, ProblemSchema } from './problem.js';
 
 /** A resource as the interface shows it. */
-export interface ShownResource {
+export interface ApiResource {
   readonly apiVersion: string;
   readonly kind: string;
   readonly metadata: Record<string, unknown> & { readonly name: string; readonly resourceVersion: number };
   readonly spec: Record<string, unknown>;
-  readonly status?: { readonly observedGeneration: number; readonly conditions: readonly ShownCondition[] };
+  readonly status?: { readonly observedGeneration: number; readonly conditions: readonly ApiCondition[] };
 }
 
 /** A condition as the interface shows it. */
-export interface ShownCondition {
+export interface ApiCondition {
   readonly type: string;
   readonly status: string;
   readonly reason: string;
@@ -42,10 +42,10 @@
 /** A list of resources at a revision. */
 export interface ResourceList {
   readonly resourceVersion: number;
-  readonly items: readonly ShownResource[];
+  readonly items: readonly ApiResource[];
 }
 
-const anything = new Validator(Type.Unknown());
+const anyJson = new Validator(Type.Unknown());
 const changesetAnswer = new Validator(ChangesetAnswerSchema);
 const explanation = new Validator(ExplanationSchema);
 const revisionReport = new Validator(RevisionReportSchema);
@@ -68,25 +68,22 @@
   /** Resources of a kind. */
   async list(kind: string, set?: string): Promise<Result<ResourceList, ProtocolError>> {
     const query = set === undefined ? '' : `?set=${encodeURIComponent(set)}`;
-    return (await this.call('GET', `/v1/resources/${kind}${query}`, anything)) as Result<
+    return (await this.call('GET', `/v1/resources/${kind}${query}`, anyJson)) as Result<
       ResourceList,
       ProtocolError
     >;
   }
 
   /** One resource. */
-  async get(kind: string, name: string): Promise<Result<ShownResource, ProtocolError>> {
-    return (await this.call('GET', resourcePath(kind, name), anything)) as Result<
-      ShownResource,
-      ProtocolError
-    >;
+  async get(kind: string, name: string): Promise<Result<ApiResource, ProtocolError>> {
+    return (await this.call('GET', resourcePath(kind, name), anyJson)) as Result<ApiResource, ProtocolError>;
   }
 
   /** Creates, or with `ifMatch` replaces, a resource. */
-  async put(manifest: Manifest, ifMatch?: number): Promise<Result<ShownResource, ProtocolError>> {
+  async put(manifest: Manifest, ifMatch?: number): Promise<Result<ApiResource, ProtocolError>> {
     const path = resourcePath(manifest.kind, manifest.metadata.name);
-    return (await this.call('PUT', path, anything, manifest, matchHeaders(ifMatch))) as Result<
-      ShownResource,
+    return (await this.call('PUT', path, anyJson, manifest, matchHeaders(ifMatch))) as Result<
+      ApiResource,
       ProtocolError
     >;
   }
@@ -97,20 +94,14 @@
     name: string,
     change: unknown,
     ifMatch?: number,
-  ): Promise<Result<ShownResource, ProtocolError>> {
-    const answer = await this.call(
-      'PATCH',
-      resourcePath(kind, name),
-      anything,
-      change,
-      matchHeaders(ifMatch),
-    );
-    return answer as Result<ShownResource, ProtocolError>;
+  ): Promise<Result<ApiResource, ProtocolError>> {
+    const answer = await this.call('PATCH', resourcePath(kind, name), anyJson, change, matchHeaders(ifMatch));
+    return answer as Result<ApiResource, ProtocolError>;
   }
 
   /** Deletes a resource. */
   async remove(kind: string, name: string, ifMatch?: number): Promise<Result<unknown, ProtocolError>> {
-    return this.call('DELETE', resourcePath(kind, name), anything, undefined, matchHeaders(ifMatch));
+    return this.call('DELETE', resourcePath(kind, name), anyJson, undefined, matchHeaders(ifMatch));
   }
 
   /** Commits changes as one revision. */
@@ -119,10 +110,10 @@
   }
 
   /** Approves a model version. */
-  async approve(version: string, note?: string): Promise<Result<ShownResource, ProtocolError>> {
+  async approve(version: string, note?: string): Promise<Result<ApiResource, ProtocolError>> {
     const path = `/v1/approvals/${encodeURIComponent(version)}`;
-    return (await this.call('POST', path, anything, note ? { note } : {})) as Result<
-      ShownResource,
+    return (await this.call('POST', path, anyJson, note ? { note } : {})) as Result<
+      ApiResource,
       ProtocolError
     >;
   }
@@ -190,17 +181,17 @@
   body: AsyncIterable<Buffer | string>,
   onLine: (line: string) => void,
 ): Promise<Result<string, ProtocolError>> {
-  let carry = '';
+  let remainder = '';
   try {
     for await (const chunk of body) {
-      const lines = (carry + chunk.toString('utf8')).split('\n');
-      carry = lines.pop() ?? '';
+      const lines = (remainder + chunk.toString('utf8')).split('\n');
+      remainder = lines.pop() ?? '';
       for (const line of lines) onLine(line);
     }
   } catch (cause) {
     return err(new ProtocolError('unavailable', 'none', `the watch was cut: ${String(cause)}`));
   }
-  return ok(carry);
+  return ok(remainder);
 }
 
 /** The body of a rejection; `undefined` when it is not JSON: the status is reported all the same. */
--- a/src/protocol/resource/peer.ts
+++ b/src/protocol/resource/peer.ts
@@ -58,10 +58,10 @@
     answer: Validator<Schema>,
   ) {
     const headers = { authorization: `Bearer ${this.token}` };
-    const times = { headTimeoutMs: CALL_TIMEOUT_MS, idleTimeoutMs: CALL_TIMEOUT_MS };
+    const timeouts = { headTimeoutMs: CALL_TIMEOUT_MS, idleTimeoutMs: CALL_TIMEOUT_MS };
     return exchangeJson(
       this.client,
-      { method: 'POST', url: `${address}${path}`, json, headers, ...times },
+      { method: 'POST', url: `${address}${path}`, json, headers, ...timeouts },
       answer,
     );
   }
--- a/src/protocol/resource/problem.ts
+++ b/src/protocol/resource/problem.ts
@@ -6,7 +6,7 @@
 export type Executed = Static<typeof ExecutedSchema>;
 
 /** Reason codes of rejections. */
-export const REFUSAL_CODES = [
+export const PROBLEM_CODES = [
   'invalid-request',
   'not-found',
   'unauthenticated',
@@ -27,14 +27,14 @@
   'not-accepted-yet',
   'internal',
 ] as const;
-export type RefusalCode = (typeof REFUSAL_CODES)[number];
+export type ProblemCode = (typeof PROBLEM_CODES)[number];
 
 export const ProblemSchema = Type.Object({
   type: Type.String(),
   title: Type.String(),
   status: Type.Integer(),
   detail: Type.String(),
-  code: Type.Enum([...REFUSAL_CODES]),
+  code: Type.Enum([...PROBLEM_CODES]),
   executed: ExecutedSchema,
   requestId: Type.String(),
   /** Bad fields of the request, for `invalid-request`. */
@@ -47,7 +47,7 @@
 export type Problem = Static<typeof ProblemSchema>;
 
 /** HTTP status of each reason code. */
-export const STATUS_OF_CODE: Readonly<Record<RefusalCode, number>> = {
+export const STATUS_BY_CODE: Readonly<Record<ProblemCode, number>> = {
   'invalid-request': 400,
   'not-found': 404,
   unauthenticated: 401,
--- a/src/state/resource/backends/backend-registry.ts
+++ b/src/state/resource/backends/backend-registry.ts
@@ -16,7 +16,7 @@
 export type BackendHealth = 'unproven' | 'serving' | 'failing' | 'quarantined';
 type BackendEvent = 'answered' | 'failed' | 'mixedVersions' | 'versionsAgree';
 
-const HEALTH_TABLE = {
+const TRANSITIONS = {
   unproven: { answered: 'serving', failed: 'failing', mixedVersions: 'quarantined' },
   serving: { failed: 'failing', mixedVersions: 'quarantined' },
   failing: { answered: 'serving', mixedVersions: 'quarantined' },
@@ -24,9 +24,9 @@
 } as const;
 
 /** Failures in a row until a back end is `failing`. Chosen, not measured. */
-const FAILURES_UNTIL_FAILING = 2;
+const FAILURE_THRESHOLD = 2;
 /** Age at which a load report has no weight, milliseconds. Chosen, not measured. */
-const REPORT_LIFETIME_MS = 5_000;
+const REPORT_MAX_AGE_MS = 5_000;
 /** Ejection after a failure of a `failing` back end, milliseconds. Chosen, not measured. */
 const EJECTION_MS = 1_000;
 
@@ -37,7 +37,7 @@
   inFlight = 0;
   private report: EngineState | undefined;
   private reportedAtMs = 0;
-  private failuresInARow = 0;
+  private consecutiveFailures = 0;
   private failedAtMs = 0;
 
   constructor(
@@ -49,7 +49,7 @@
       'backend',
       name,
       'unproven',
-      HEALTH_TABLE,
+      TRANSITIONS,
       observer,
     );
   }
@@ -72,7 +72,7 @@
   /** Load in requests: own ones in flight, and the last report's by a weight that falls with its age. */
   get load(): number {
     if (!this.report) return this.inFlight;
-    const weight = Math.max(0, 1 - (monotonicMs() - this.reportedAtMs) / REPORT_LIFETIME_MS);
+    const weight = Math.max(0, 1 - (monotonicMs() - this.reportedAtMs) / REPORT_MAX_AGE_MS);
     return this.inFlight + weight * (this.report.running + this.report.queued);
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** Records an engine's report; a report is a success as well. */
-  noteReport(report: EngineState): void {
+  recordReport(report: EngineState): void {
     this.report = report;
     this.reportedAtMs = monotonicMs();
     const mixed = new Set(report.shardVersions).size > 1;
@@ -90,20 +90,20 @@
       this.lifecycle.sendIfAccepted('mixedVersions', `shards at ${report.shardVersions.join(', ')}`);
     }
     if (!mixed) this.lifecycle.sendIfAccepted('versionsAgree');
-    this.noteSuccess();
+    this.recordSuccess();
   }
 
   /** An exchange succeeded. */
-  noteSuccess(): void {
-    this.failuresInARow = 0;
+  recordSuccess(): void {
+    this.consecutiveFailures = 0;
     this.lifecycle.sendIfAccepted('answered');
   }
 
   /** An exchange failed. */
-  noteFailure(reason: string): void {
-    this.failuresInARow += 1;
+  recordFailure(reason: string): void {
+    this.consecutiveFailures += 1;
     this.failedAtMs = monotonicMs();
-    if (this.failuresInARow >= FAILURES_UNTIL_FAILING) this.lifecycle.sendIfAccepted('failed', reason);
+    if (this.consecutiveFailures >= FAILURE_THRESHOLD) this.lifecycle.sendIfAccepted('failed', reason);
   }
 }
 
@@ -141,7 +141,7 @@
     const declared = view.list('Backend');
     const names = new Set(declared.map((one) => one.metadata.name));
     for (const name of this.entries.keys()) if (!names.has(name)) this.entries.delete(name);
-    for (const declaration of declared) this.adopt(declaration);
+    for (const declaration of declared) this.upsert(declaration);
     this.byService.clear();
     for (const declaration of declared) {
       const entry = this.entries.get(declaration.metadata.name) as BackendEntry;
@@ -151,10 +151,11 @@
     }
   }
 
-  private adopt(declaration: ResourceOf<'Backend'>): void {
-    const known = this.entries.get(declaration.metadata.name);
+  private upsert(declaration: ResourceOf<'Backend'>): void {
+    const existing = this.entries.get(declaration.metadata.name);
     // A new address is another process: the state of the old one does not apply.
-    if (known && known.declaration.spec.address === declaration.spec.address) known.declaration = declaration;
+    if (existing && existing.declaration.spec.address === declaration.spec.address)
+      existing.declaration = declaration;
     else this.entries.set(declaration.metadata.name, new BackendEntry(declaration, this.observer));
   }
 }
--- a/src/state/resource/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -20,15 +20,15 @@
 } from '../../../protocol/resource/resource.js';
 import { StateError } from '../../state-error.js';
 import type { Row, StateResult, Transaction } from '../tables/index.js';
-import { type RoundResult, scanAll, settle, type Table } from '../tables/index.js';
+import { type Attempt, scanAll, settle, type Table } from '../tables/index.js';
 
 const HEAD_KEY = 'config/head';
 const RESOURCE_PREFIX = 'config/resource/';
 const REVISION_DIGITS = 12;
 /** Rounds of a commit. Chosen, not measured: a round is lost to each concurrent writer. */
-const MAX_COMMIT_ROUNDS = 8;
+const MAX_COMMIT_ATTEMPTS = 8;
 /** Log entries read at a time: the page size of the store's scans. */
-const MAX_ENTRIES_READ = 1_000;
+const LOG_PAGE_SIZE = 1_000;
 
 const logKey = (revision: number) => `config/log/${revision.toString().padStart(REVISION_DIGITS, '0')}`;
 const rowKey = (kind: string, name: string) => `${RESOURCE_PREFIX}${resourceKey(kind, name)}`;
@@ -43,7 +43,7 @@
 }
 
 /** A wanted change of one resource. */
-export interface WantedChange {
+export interface DesiredChange {
   readonly kind: string;
   readonly name: string;
   /** resourceVersion that the writer saw: 0 for none, `undefined` for any. */
@@ -60,13 +60,13 @@
   readonly resources: readonly (Resource | null)[];
 }
 
-interface Planned {
+interface CommitPlan {
   readonly entry: ConfigEntry;
   readonly transaction: Transaction;
   readonly outcome: CommitOutcome;
 }
 
-function stable(value: unknown): string {
+function canonicalJson(value: unknown): string {
   return JSON.stringify(value, (_key, inner) =>
     inner && typeof inner === 'object' && !Array.isArray(inner)
       ? Object.fromEntries(Object.entries(inner).sort(([a], [b]) => (a < b ? -1 : 1)))
@@ -76,15 +76,16 @@
 
 /** Whether a manifest declares what is stored. A new source revision alone is no difference. */
 export function sameDeclaration(stored: Resource, manifest: Manifest): boolean {
-  const declared = (labels: unknown, set: unknown, spec: unknown) => stable([labels ?? {}, set ?? '', spec]);
+  const declared = (labels: unknown, set: unknown, spec: unknown) =>
+    canonicalJson([labels ?? {}, set ?? '', spec]);
   return (
     declared(stored.metadata.labels, stored.metadata.set, stored.spec) ===
     declared(manifest.metadata.labels, manifest.metadata.set, manifest.spec)
   );
 }
 
-function storedForm(manifest: Manifest, before: Resource | undefined, revision: number): Resource {
-  const specChanged = before === undefined || stable(before.spec) !== stable(manifest.spec);
+function toStoredResource(manifest: Manifest, before: Resource | undefined, revision: number): Resource {
+  const specChanged = before === undefined || canonicalJson(before.spec) !== canonicalJson(manifest.spec);
   const { name, labels, source, set } = manifest.metadata;
   const metadata: Metadata = {
     name,
@@ -115,7 +116,7 @@
   async entries(after: number, upTo: number): StateResult<ConfigEntry[]> {
     const rows = await this.table.scan(
       'config/log/',
-      Math.max(1, Math.min(MAX_ENTRIES_READ, upTo - after)),
+      Math.max(1, Math.min(LOG_PAGE_SIZE, upTo - after)),
       logKey(after),
     );
     return rows.map((found) => found.map((row) => row.value as ConfigEntry));
@@ -136,18 +137,18 @@
    * Commits changes as one revision. The same operation ID never commits twice; repeating it, from any node,
    * returns the revision of the first time.
    */
-  async commit(operationId: string, wanted: readonly WantedChange[]): StateResult<CommitOutcome> {
-    return settle(MAX_COMMIT_ROUNDS, 'the commit could not be settled', () =>
-      this.commitOnce(operationId, wanted),
+  async commit(operationId: string, wanted: readonly DesiredChange[]): StateResult<CommitOutcome> {
+    return settle(MAX_COMMIT_ATTEMPTS, 'the commit could not be settled', () =>
+      this.tryCommit(operationId, wanted),
     );
   }
 
   /** `undefined` after a conflict or a lost answer: the next round reads the operation's row. */
-  private async commitOnce(operationId: string, wanted: readonly WantedChange[]): RoundResult<CommitOutcome> {
+  private async tryCommit(operationId: string, wanted: readonly DesiredChange[]): Attempt<CommitOutcome> {
     const rows = await this.readForCommit(operationId, wanted);
     if (rows.isErr()) return err(rows.error);
     const settled = rows.value.get(operationKey(operationId));
-    if (settled) return this.settledOutcome(settled, wanted, rows.value);
+    if (settled) return this.committedOutcome(settled, wanted, rows.value);
     const planned = await this.plan(operationId, wanted, rows.value);
     if (planned.isErr()) return err(planned.error);
     const { outcome, transaction } = planned.value;
@@ -159,22 +160,22 @@
   }
 
   /** The outcome that a commit would have, without committing. */
-  async preview(wanted: readonly WantedChange[]): StateResult<CommitOutcome> {
+  async preview(wanted: readonly DesiredChange[]): StateResult<CommitOutcome> {
     const rows = await this.readForCommit('preview', wanted);
     if (rows.isErr()) return err(rows.error);
     const planned = await this.plan('preview', wanted, rows.value);
     return planned.map((plan) => plan.outcome);
   }
 
-  private async readForCommit(operationId: string, wanted: readonly WantedChange[]) {
+  private async readForCommit(operationId: string, wanted: readonly DesiredChange[]) {
     const keys = [HEAD_KEY, operationKey(operationId), ...wanted.map((one) => rowKey(one.kind, one.name))];
     const rows = await this.table.read(keys);
     return rows.map((found) => new Map(found.map((row) => [row.key, row])));
   }
 
-  private settledOutcome(
+  private committedOutcome(
     settled: Row,
-    wanted: readonly WantedChange[],
+    wanted: readonly DesiredChange[],
     rows: ReadonlyMap<string, Row>,
   ): Result<CommitOutcome, StateError> {
     const { revision } = settled.value as { revision: number };
@@ -184,9 +185,9 @@
 
   private async plan(
     operationId: string,
-    wanted: readonly WantedChange[],
+    wanted: readonly DesiredChange[],
     rows: ReadonlyMap<string, Row>,
-  ): StateResult<Planned> {
+  ): StateResult<CommitPlan> {
     const revision = headRevision(rows) + 1;
     const changes: ConfigEntry['changes'] = [];
     const resources: (Resource | null)[] = [];
@@ -201,7 +202,7 @@
       transaction.conditions.push({ key: rowKey(want.kind, want.name), version: row?.version ?? 0 });
       transaction.writes.push({ key: rowKey(want.kind, want.name), value: next.value.resource });
     }
-    if (changes.length === 0) return ok(unchanged(revision - 1, resources));
+    if (changes.length === 0) return ok(unchangedPlan(revision - 1, resources));
     const entry: ConfigEntry = { revision, operationId, changes };
     const published = await this.publishedWrites(changes);
     if (published.isErr()) return err(published.error);
@@ -245,7 +246,7 @@
   return newest;
 }
 
-function unchanged(revision: number, resources: readonly (Resource | null)[]): Planned {
+function unchangedPlan(revision: number, resources: readonly (Resource | null)[]): CommitPlan {
   return {
     entry: { revision, operationId: '', changes: [] },
     transaction: { conditions: [], writes: [] },
@@ -254,7 +255,7 @@
 }
 
 function nextResource(
-  want: WantedChange,
+  want: DesiredChange,
   stored: Resource | undefined,
   revision: number,
 ): Result<{ resource: Resource | null; changed: boolean }, StateError> {
@@ -270,5 +271,5 @@
     return err(new StateError('conflict', 'none', message, undefined, versions));
   }
   if (manifest.value === null) return ok({ resource: null, changed: stored !== undefined });
-  return ok({ resource: storedForm(manifest.value, stored, revision), changed: true });
+  return ok({ resource: toStoredResource(manifest.value, stored, revision), changed: true });
 }
--- a/src/state/resource/configuration/config-view.ts
+++ b/src/state/resource/configuration/config-view.ts
@@ -51,11 +51,11 @@
   loadSnapshot(revision: number, resources: readonly Resource[]): boolean {
     if (revision <= this.currentRevision) return false;
     const incoming = new Map(resources.map((one) => [resourceKey(one.kind, one.metadata.name), one]));
-    const gone = [...this.resources.values()].filter(
+    const removed = [...this.resources.values()].filter(
       (one) => !incoming.has(resourceKey(one.kind, one.metadata.name)),
     );
     const events = [
-      ...gone.map((one) =>
+      ...removed.map((one) =>
         this.applyChange(revision, { kind: one.kind, name: one.metadata.name, resource: null }),
       ),
       ...resources.map((one) =>
--- a/src/state/resource/configuration/freshness-lease.ts
+++ b/src/state/resource/configuration/freshness-lease.ts
@@ -9,7 +9,7 @@
   private sinceConfirmedMs: () => number = () => Number.POSITIVE_INFINITY;
 
   /** `lengthMs`: how long a confirmation lasts, milliseconds. */
-  constructor(readonly lengthMs: number) {}
+  constructor(readonly durationMs: number) {}
 
   /** The configuration held now was the newest accepted one when `elapsed` began to measure. */
   confirm(elapsed: () => number): void {
@@ -23,6 +23,6 @@
 
   /** Whether new work may be taken. */
   get isFresh(): boolean {
-    return this.ageMs() < this.lengthMs;
+    return this.ageMs() < this.durationMs;
   }
 }
--- a/src/state/resource/configuration/index.ts
+++ b/src/state/resource/configuration/index.ts
@@ -2,10 +2,10 @@
 export {
   type CommitOutcome,
   ConfigStore,
+  type DesiredChange,
   publishedKey,
   publishedVersion,
   sameDeclaration,
-  type WantedChange,
 } from './config-store.js';
 export { ConfigView } from './config-view.js';
 export { FreshnessLease } from './freshness-lease.js';
--- a/src/state/resource/decision-log.ts
+++ b/src/state/resource/decision-log.ts
@@ -57,7 +57,7 @@
 export type Decision = Omit<DecisionRecord, 'id' | 'at' | 'node' | 'configRevision'>;
 
 /** Records kept in memory. Chosen, not measured. */
-const RING_LIMIT = 20_000;
+const RECENT_LIMIT = 20_000;
 /** Interval of flushes, milliseconds. Chosen, not measured: a crash loses records of this time. */
 const FLUSH_INTERVAL_MS = 2_000;
 /** Records that wait for the object store. Chosen, not measured: bounds memory. */
@@ -77,7 +77,7 @@
 }
 
 /** Whether a batch may hold records of a time. */
-function mayHold(name: string, atMs: number): boolean {
+function mayContain(name: string, atMs: number): boolean {
   const [first, last] = (name.split('/').at(-1) ?? '').split('-').map(Number);
   return (
     first !== undefined &&
@@ -89,10 +89,10 @@
 
 /** The decisions of one node. */
 export class DecisionLog {
-  private ring: TimedRecord[] = [];
+  private recent: TimedRecord[] = [];
   private pending: TimedRecord[] = [];
   private sequence = 0;
-  private recorded = 0;
+  private recordCount = 0;
   private readonly startedAtMs = Date.now();
 
   constructor(
@@ -103,25 +103,25 @@
 
   /** Records a decision and returns it. */
   record(decision: Decision): DecisionRecord {
-    this.recorded += 1;
+    this.recordCount += 1;
     const record: DecisionRecord = {
-      id: `${this.nodeId}.${this.startedAtMs}.${this.recorded}`,
+      id: `${this.nodeId}.${this.startedAtMs}.${this.recordCount}`,
       at: wallTime(),
       node: this.nodeId,
       configRevision: this.configRevision(),
       ...decision,
     };
     const timed = { atMs: Date.now(), record };
-    this.ring.push(timed);
+    this.recent.push(timed);
     this.pending.push(timed);
-    if (this.ring.length > RING_LIMIT) this.ring = this.ring.slice(RING_LIMIT / 2);
+    if (this.recent.length > RECENT_LIMIT) this.recent = this.recent.slice(RECENT_LIMIT / 2);
     if (this.pending.length > PENDING_LIMIT) this.pending.shift();
     return record;
   }
 
   /** Records about a subject that this node still has in memory. */
   find(subject: string): DecisionRecord[] {
-    return this.ring.filter((one) => one.record.subjects.includes(subject)).map((one) => one.record);
+    return this.recent.filter((one) => one.record.subjects.includes(subject)).map((one) => one.record);
   }
 
   /** Flushes until stopped. */
@@ -158,7 +158,7 @@
   const names = await objects.list(`decisions/${nodeId}/`);
   if (names.isErr()) return [];
   const found: DecisionRecord[] = [];
-  for (const name of names.value.filter((one) => mayHold(one, atMs))) {
+  for (const name of names.value.filter((one) => mayContain(one, atMs))) {
     const bytes = await objects.get(name);
     if (bytes.isErr() || !bytes.value) continue;
     const records = JSON.parse((await decompress(bytes.value)).toString('utf8')) as DecisionRecord[];
--- a/src/state/resource/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -84,10 +84,10 @@
       if (renewed.error.failure === 'conflict') this.held.clear();
       return renewed;
     }
-    return mayHaveExpired ? this.dropTakenOver() : renewed;
+    return mayHaveExpired ? this.dropLostLeases() : renewed;
   }
 
-  private async dropTakenOver(): StateResult<void> {
+  private async dropLostLeases(): StateResult<void> {
     const rows = await this.table.read([...this.held.keys()].map(leaseKey));
     if (rows.isErr()) return err(rows.error);
     const byKey = new Map(rows.value.map((row) => [row.key, row.value as LeaseRow]));
@@ -107,28 +107,28 @@
       writes: [{ key: sessionKey(this.nodeId), value }],
     });
     if (written.isOk() && written.value.committed) {
-      this.noteRenewed(this.sessionVersion + 1, heartbeat, startedAt);
+      this.recordRenewal(this.sessionVersion + 1, heartbeat, startedAt);
       return ok(undefined);
     }
     if (written.isErr() && written.error.effect === 'none') return err(written.error);
-    return this.settleRenewal(heartbeat, startedAt);
+    return this.resolveRenewal(heartbeat, startedAt);
   }
 
   /** Reads the outcome of a renewal whose answer was lost or whose condition failed. */
-  private async settleRenewal(heartbeat: number, startedAt: number): StateResult<void> {
+  private async resolveRenewal(heartbeat: number, startedAt: number): StateResult<void> {
     const rows = await this.table.read([sessionKey(this.nodeId)]);
     if (rows.isErr()) return err(rows.error);
     const row = rows.value[0];
     const value = row?.value as SessionRow | undefined;
     this.sessionVersion = row?.version ?? 0;
     if (value?.session === this.session && value.beat === heartbeat) {
-      this.noteRenewed(this.sessionVersion, heartbeat, startedAt);
+      this.recordRenewal(this.sessionVersion, heartbeat, startedAt);
       return ok(undefined);
     }
     return err(new StateError('conflict', 'none', 'the session row was written by another one'));
   }
 
-  private noteRenewed(version: number, heartbeat: number, startedAt: number): void {
+  private recordRenewal(version: number, heartbeat: number, startedAt: number): void {
     this.sessionVersion = version;
     this.heartbeat = heartbeat;
     this.renewedAtMs = startedAt;
@@ -136,8 +136,8 @@
 
   /** Acquires a lease that is free or whose holder's session expired; else `undefined`. */
   async tryAcquire(name: string): StateResult<HeldLease | undefined> {
-    const known = this.get(name);
-    if (known) return ok(known);
+    const current = this.get(name);
+    if (current) return ok(current);
     if (!this.isValid) return ok(undefined);
     const rows = await this.table.read([leaseKey(name), epochKey(name)]);
     if (rows.isErr()) return err(rows.error);
@@ -149,7 +149,7 @@
     const expired = await this.expiryConditions(value);
     if (expired.isErr()) return err(expired.error);
     if (expired.value === undefined) return ok(undefined);
-    return this.take(name, lease, epochRow, expired.value);
+    return this.acquire(name, lease, epochRow, expired.value);
   }
 
   /** Releases a lease, so that others need not wait for its expiry. Best effort. */
@@ -167,7 +167,7 @@
   }
 
   /** Drops a lease that turned out to be lost. */
-  forget(name: string): void {
+  drop(name: string): void {
     this.held.delete(name);
   }
 
@@ -183,15 +183,15 @@
     const condition = [{ key: sessionKey(value.holder), version }];
     // The holder has restarted with another session: the old one can no longer be renewed.
     if ((row?.value as SessionRow | undefined)?.session !== value.session) return ok(condition);
-    const seen = this.observations.get(value.holder);
-    if (seen?.version !== version) {
+    const observation = this.observations.get(value.holder);
+    if (observation?.version !== version) {
       this.observations.set(value.holder, { version, sinceMs: monotonicMs() });
       return ok(undefined);
     }
-    return ok(monotonicMs() - seen.sinceMs > this.leaseMs ? condition : undefined);
+    return ok(monotonicMs() - observation.sinceMs > this.leaseMs ? condition : undefined);
   }
 
-  private async take(
+  private async acquire(
     name: string,
     lease: Row | undefined,
     epochRow: Row | undefined,
@@ -199,7 +199,7 @@
   ): StateResult<HeldLease | undefined> {
     const epoch = ((epochRow?.value as { epoch: number } | undefined)?.epoch ?? 0) + 1;
     const value: LeaseRow = { holder: this.nodeId, session: this.session, epoch };
-    const taken = await this.table.transact({
+    const outcome = await this.table.transact({
       conditions: [
         { key: leaseKey(name), version: lease?.version ?? 0 },
         { key: epochKey(name), version: epochRow?.version ?? 0 },
@@ -211,8 +211,8 @@
       ],
     });
     // A lost answer is settled by the next try, which finds the lease held by this session.
-    if (taken.isErr()) return err(taken.error);
-    if (!taken.value.committed) return ok(undefined);
+    if (outcome.isErr()) return err(outcome.error);
+    if (!outcome.value.committed) return ok(undefined);
     return ok(this.hold(name, epoch, (epochRow?.version ?? 0) + 1));
   }
 
--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -14,8 +14,8 @@
 import { StateError } from '../../state-error.js';
 import { publishedKey, publishedVersion } from '../configuration/index.js';
 import {
+  type Attempt,
   type Objects,
-  type RoundResult,
   type Row,
   type StateResult,
   settle,
@@ -80,7 +80,7 @@
     terms: DrawTerms,
     request: DrawRequest,
     discarded: DiscardedSample[],
-  ): RoundResult<DrawOutcome> {
+  ): Attempt<DrawOutcome> {
     const state = await this.readState(terms, request);
     if (state.isErr()) return err(state.error);
     const clash = cursorClash(state.value.cursorRow, request);
@@ -105,7 +105,7 @@
   private async acknowledgeOnce(
     key: string,
     batch: Pick<CursorRow, 'cursor' | 'attempt' | 'digest'>,
-  ): RoundResult<void> {
+  ): Attempt<void> {
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
--- a/src/state/resource/samples/claim-store.ts
+++ b/src/state/resource/samples/claim-store.ts
@@ -10,7 +10,7 @@
 import { sleep } from '../../../common/clock.js';
 import { sha256Hex, uniqueId } from '../../../common/identifier.js';
 import { StateError } from '../../state-error.js';
-import { type Objects, type RoundResult, type StateResult, settle, type Table } from '../tables/index.js';
+import { type Attempt, type Objects, type StateResult, settle, type Table } from '../tables/index.js';
 
 /** The recorded response. */
 export interface RecordedAnswer {
@@ -85,7 +85,7 @@
     );
   }
 
-  private async claimOnce(key: string, row: ClaimRow, request: ClaimRequest): RoundResult<ClaimOutcome> {
+  private async claimOnce(key: string, row: ClaimRow, request: ClaimRequest): Attempt<ClaimOutcome> {
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
--- a/src/state/resource/samples/rollout-ledger.ts
+++ b/src/state/resource/samples/rollout-ledger.ts
@@ -12,8 +12,8 @@
 import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
 import {
+  type Attempt,
   type Objects,
-  type RoundResult,
   type StateResult,
   scanAll,
   settle,
@@ -92,7 +92,7 @@
     );
   }
 
-  private async submitOnce(trainer: string, rolloutId: string, row: RolloutRow): RoundResult<RolloutRow> {
+  private async submitOnce(trainer: string, rolloutId: string, row: RolloutRow): Attempt<RolloutRow> {
     const key = ledgerKeys.rollout(trainer, rolloutId);
     const open = { rolloutId } satisfies OpenRow;
     const written = await this.table.transact({
@@ -116,7 +116,7 @@
     );
   }
 
-  private async cancelOnce(trainer: string, rolloutId: string): RoundResult<void> {
+  private async cancelOnce(trainer: string, rolloutId: string): Attempt<void> {
     const key = ledgerKeys.rollout(trainer, rolloutId);
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
--- a/src/state/resource/samples/sample-commits.ts
+++ b/src/state/resource/samples/sample-commits.ts
@@ -9,8 +9,8 @@
 import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
 import {
+  type Attempt,
   type Objects,
-  type RoundResult,
   type Row,
   type StateResult,
   settle,
@@ -90,7 +90,7 @@
     );
   }
 
-  private async commitOnce(lease: HeldLease, prepared: readonly PreparedCommit[]): RoundResult<boolean> {
+  private async commitOnce(lease: HeldLease, prepared: readonly PreparedCommit[]): Attempt<boolean> {
     const written = await this.table.transact({
       conditions: [lease.condition, ...prepared.flatMap((one) => one.conditions)],
       writes: prepared.flatMap((one) => one.writes),
--- a/src/state/resource/tables/index.ts
+++ b/src/state/resource/tables/index.ts
@@ -7,5 +7,5 @@
   type Table,
   type Transaction,
 } from './row-table.js';
-export { type RoundResult, settle } from './settle.js';
+export { type Attempt, settle } from './settle.js';
 export { type Objects, StoredObjects } from './stored-objects.js';
--- a/src/state/resource/tables/row-table.ts
+++ b/src/state/resource/tables/row-table.ts
@@ -49,14 +49,14 @@
 
 /** Table of the configuration's rows. */
 export const CONFIGURATION_TABLE = 'configuration';
-const OTHER_TABLE = 'rows';
+const DEFAULT_TABLE = 'rows';
 const CONFIGURATION_PREFIX = 'config/';
 /** Sorts after every character that keys use. */
-const AFTER_KEYS = '\u{10ffff}';
+const HIGHEST_KEY_SUFFIX = '\u{10ffff}';
 
 /** Table and partition of a row, by its key. */
 function rowAddress(key: string): RecordAddress {
-  const table = key.startsWith(CONFIGURATION_PREFIX) ? CONFIGURATION_TABLE : OTHER_TABLE;
+  const table = key.startsWith(CONFIGURATION_PREFIX) ? CONFIGURATION_TABLE : DEFAULT_TABLE;
   return { table, partition: '', key };
 }
 
@@ -76,20 +76,20 @@
 type Health = 'available' | 'slow' | 'down';
 type HealthEvent = 'answered' | 'answeredLate' | 'failed';
 
-const HEALTH_TABLE = {
+const TRANSITIONS = {
   available: { answeredLate: 'slow', failed: 'down' },
   slow: { answered: 'available', failed: 'down' },
   down: { answered: 'available', answeredLate: 'slow' },
 } as const;
 
 /** Duration above which a call counts as slow, milliseconds. Chosen, not measured. */
-const LATE_MS = 500;
+const SLOW_CALL_MS = 500;
 /** Longest wait for the node's share of the rate, milliseconds. Chosen, not measured. */
-const MAX_BUDGET_WAIT_MS = 2_000;
+const MAX_RATE_WAIT_MS = 2_000;
 /** Calls that may exceed the rate at once. Chosen, not measured. */
-const BURST = 64;
+const BURST_CALLS = 64;
 /** Rows in the cache. Chosen, not measured: bounds memory. */
-const REMEMBERED_VERSIONS = 20_000;
+const MAX_CACHED_VERSIONS = 20_000;
 
 /** The rows of a node. */
 export class RowTable implements Table {
@@ -103,26 +103,26 @@
     private readonly observer: LifecycleObserver,
     callsPerSecond: number,
   ) {
-    this.bucket = new TokenBucket(callsPerSecond, BURST);
-    this.health = new Lifecycle<Health, HealthEvent>('store', 'store', 'available', HEALTH_TABLE, observer);
+    this.bucket = new TokenBucket(callsPerSecond, BURST_CALLS);
+    this.health = new Lifecycle<Health, HealthEvent>('store', 'store', 'available', TRANSITIONS, observer);
   }
 
   async transact(transaction: Transaction): StateResult<TransactionOutcome> {
     const keys = [...new Set([...transaction.conditions, ...transaction.writes].map((one) => one.key))];
-    const known = await this.learnVersions(keys);
+    const known = await this.loadVersions(keys);
     if (known.isErr()) return err(known.error);
     const failed = transaction.conditions.filter((one) => this.versionOf(one.key).own !== one.version);
     if (failed.length > 0) return this.verifyFailure(transaction);
     const before = new Map(keys.map((key) => [key, this.versionOf(key)]));
-    const outcome = await this.budgeted('transact', () =>
+    const outcome = await this.withRateLimit('transact', () =>
       this.store.transact(this.toRecords(transaction, before)),
     );
     if (outcome.isOk()) {
-      this.noteWritten(transaction, before, outcome.value);
+      this.cacheWrites(transaction, before, outcome.value);
       return ok({ committed: true, failed: [] });
     }
     for (const key of keys) this.versions.delete(key);
-    if (outcome.error.failure !== 'conflict') return err(fromStore(outcome.error));
+    if (outcome.error.failure !== 'conflict') return err(toStateError(outcome.error));
     return this.verifyFailure(transaction);
   }
 
@@ -137,13 +137,13 @@
   }
 
   async scan(prefix: string, limit: number, after?: string): StateResult<Row[]> {
-    const range = { ...rowAddress(prefix), until: `${prefix}${AFTER_KEYS}` };
+    const range = { ...rowAddress(prefix), until: `${prefix}${HIGHEST_KEY_SUFFIX}` };
     const rows: Row[] = [];
     let from = after === undefined ? prefix : `${after}\0`;
     while (rows.length < limit) {
       const request = { ...range, from, limit: limit - rows.length };
-      const page = await this.budgeted('scan', () => this.store.scan(request));
-      if (page.isErr()) return err(fromStore(page.error));
+      const page = await this.withRateLimit('scan', () => this.store.scan(request));
+      if (page.isErr()) return err(toStateError(page.error));
       rows.push(...page.value.records.map((record) => this.toRow(record)));
       const last = rows.at(-1);
       if (!page.value.hasMore || !last) break;
@@ -154,22 +154,22 @@
 
   private async readOne(key: string): StateResult<Row | undefined> {
     const range = { ...rowAddress(key), from: key, until: `${key}\0`, limit: 1 };
-    const page = await this.budgeted('read', () => this.store.scan(range));
-    if (page.isErr()) return err(fromStore(page.error));
+    const page = await this.withRateLimit('read', () => this.store.scan(range));
+    if (page.isErr()) return err(toStateError(page.error));
     const [record] = page.value.records;
     if (record) return ok(this.toRow(record));
-    this.remember(key, ABSENT);
+    this.cacheVersion(key, ABSENT);
     return ok(undefined);
   }
 
   private toRow(record: StoredRecord): Row {
     const { v, d } = JSON.parse(record.value.toString('utf8')) as StoredValue;
-    this.remember(record.key, { own: v, store: record.version });
+    this.cacheVersion(record.key, { own: v, store: record.version });
     return { key: record.key, version: v, value: d };
   }
 
   /** Reads the rows that are not cached. */
-  private async learnVersions(keys: readonly string[]): StateResult<void> {
+  private async loadVersions(keys: readonly string[]): StateResult<void> {
     const unknown = keys.filter((key) => !this.versions.has(key));
     const read = await this.read(unknown);
     return read.map(() => undefined);
@@ -197,29 +197,29 @@
     };
   }
 
-  private noteWritten(
+  private cacheWrites(
     transaction: Transaction,
     before: ReadonlyMap<string, VersionPair>,
     store: number,
   ): void {
     for (const { key, value } of transaction.writes)
-      this.remember(key, isRemoval(value) ? ABSENT : { own: (before.get(key)?.own ?? 0) + 1, store });
+      this.cacheVersion(key, isRemoval(value) ? ABSENT : { own: (before.get(key)?.own ?? 0) + 1, store });
   }
 
   private versionOf(key: string): VersionPair {
     return this.versions.get(key) ?? ABSENT;
   }
 
-  private remember(key: string, version: VersionPair): void {
-    if (this.versions.size >= REMEMBERED_VERSIONS) this.versions.clear();
+  private cacheVersion(key: string, version: VersionPair): void {
+    if (this.versions.size >= MAX_CACHED_VERSIONS) this.versions.clear();
     this.versions.set(key, version);
   }
 
-  private async budgeted<T>(
+  private async withRateLimit<T>(
     operation: string,
     call: () => Promise<Result<T, RecordStoreError>>,
   ): Promise<Result<T, RecordStoreError | StateError>> {
-    const waitMs = await this.awaitBudget();
+    const waitMs = await this.awaitToken();
     if (waitMs > 0) {
       this.observer.metrics.platformCalls.inc({ operation, outcome: 'over-budget' });
       return err(new StateError('rate-limited', 'none', 'share of the store rate is used up', waitMs));
@@ -228,13 +228,13 @@
     const answer = await call();
     const outcome = answer.isOk() ? 'ok' : answer.error.failure;
     this.observer.metrics.platformCalls.inc({ operation, outcome });
-    this.noteHealth(answer, monotonicMs() - startedAt);
+    this.updateHealth(answer, monotonicMs() - startedAt);
     return answer;
   }
 
   /** Waits for a token; returns 0 when one was taken, otherwise the wait that was too long. */
-  private async awaitBudget(): Promise<number> {
-    const deadline = monotonicMs() + MAX_BUDGET_WAIT_MS;
+  private async awaitToken(): Promise<number> {
+    const deadline = monotonicMs() + MAX_RATE_WAIT_MS;
     for (;;) {
       const waitMs = this.bucket.take();
       if (waitMs === 0) return 0;
@@ -243,10 +243,10 @@
     }
   }
 
-  private noteHealth(answer: Result<unknown, RecordStoreError>, tookMs: number): void {
+  private updateHealth(answer: Result<unknown, RecordStoreError>, tookMs: number): void {
     const isDown = answer.isErr() && answer.error.failure === 'unavailable';
     if (isDown) this.health.sendIfAccepted('failed', answer.error.message);
-    else this.health.sendIfAccepted(tookMs > LATE_MS ? 'answeredLate' : 'answered');
+    else this.health.sendIfAccepted(tookMs > SLOW_CALL_MS ? 'answeredLate' : 'answered');
   }
 }
 
@@ -255,7 +255,7 @@
 }
 
 /** Converts an error of the store. */
-export function fromStore(error: RecordStoreError | StateError): StateError {
+export function toStateError(error: RecordStoreError | StateError): StateError {
   if (error instanceof StateError) return error;
   if (error.failure === 'rate-limited') return new StateError('rate-limited', 'none', error.message);
   if (error.failure === 'refused') return new StateError('invalid', 'none', error.message);
--- a/src/state/resource/tables/settle.ts
+++ b/src/state/resource/tables/settle.ts
@@ -7,20 +7,20 @@
 import type { StateResult } from './row-table.js';
 
 /** Time after which a caller may repeat the operation, milliseconds. Chosen, not measured. */
-const UNSETTLED_RETRY_MS = 1_000;
+const RETRY_AFTER_MS = 1_000;
 
 /** Result of one round; `undefined` to go into the next one. */
-export type RoundResult<T> = Promise<Result<T, StateError> | undefined>;
+export type Attempt<T> = Promise<Result<T, StateError> | undefined>;
 
 /** The first result of at most `maxRounds` rounds, else `unavailable`, effect unknown. */
 export async function settle<T>(
-  maxRounds: number,
+  maxAttempts: number,
   message: string,
-  round: () => RoundResult<T>,
+  attempt: () => Attempt<T>,
 ): StateResult<T> {
-  for (let count = 0; count < maxRounds; count += 1) {
-    const result = await round();
+  for (let count = 0; count < maxAttempts; count += 1) {
+    const result = await attempt();
     if (result !== undefined) return result;
   }
-  return err(new StateError('unavailable', 'unknown', message, UNSETTLED_RETRY_MS));
+  return err(new StateError('unavailable', 'unknown', message, RETRY_AFTER_MS));
 }
--- a/src/state/resource/tables/stored-objects.ts
+++ b/src/state/resource/tables/stored-objects.ts
@@ -6,13 +6,13 @@
 import type { Metrics } from '../../../common/metrics.js';
 import { TokenBucket } from '../../../common/token-bucket.js';
 import type { RecordStore, RecordStoreError } from '../../../protocol/record-store.js';
-import { fromStore, type StateResult } from './row-table.js';
+import { type StateResult, toStateError } from './row-table.js';
 
 /** Tries of a call, and the delay between them, milliseconds. Chosen, not measured. */
-const MAX_TRIES = 3;
+const MAX_ATTEMPTS = 3;
 const RETRY_DELAY_MS = 50;
 /** Calls that may exceed the rate at once. Chosen, not measured. */
-const BURST = 64;
+const BURST_CALLS = 64;
 
 /** Operations on objects. */
 export interface Objects {
@@ -30,38 +30,38 @@
     private readonly metrics: Metrics,
     callsPerSecond: number,
   ) {
-    this.bucket = new TokenBucket(callsPerSecond, BURST);
+    this.bucket = new TokenBucket(callsPerSecond, BURST_CALLS);
   }
 
   put(name: string, bytes: Buffer): StateResult<void> {
-    return this.repeated('put-object', () => this.store.putObject(name, bytes));
+    return this.withRetry('put-object', () => this.store.putObject(name, bytes));
   }
 
   get(name: string): StateResult<Buffer | undefined> {
-    return this.repeated('get-object', () => this.store.getObject(name));
+    return this.withRetry('get-object', () => this.store.getObject(name));
   }
 
   list(prefix: string): StateResult<string[]> {
-    return this.repeated('list-objects', () => this.store.listObjects(prefix));
+    return this.withRetry('list-objects', () => this.store.listObjects(prefix));
   }
 
-  private async repeated<T>(
+  private async withRetry<T>(
     operation: string,
     call: () => Promise<Result<T, RecordStoreError>>,
   ): StateResult<T> {
     let last: RecordStoreError | undefined;
-    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
-      await this.awaitBudget();
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+      await this.awaitToken();
       const answer = await call();
       this.metrics.platformCalls.inc({ operation, outcome: answer.isOk() ? 'ok' : answer.error.failure });
-      if (answer.isOk()) return answer.mapErr(fromStore);
+      if (answer.isOk()) return answer.mapErr(toStateError);
       last = answer.error;
       await sleep(RETRY_DELAY_MS * 2 ** attempt);
     }
-    return err(fromStore(last as RecordStoreError));
+    return err(toStateError(last as RecordStoreError));
   }
 
-  private async awaitBudget(): Promise<void> {
+  private async awaitToken(): Promise<void> {
     for (let waitMs = this.bucket.take(); waitMs > 0; waitMs = this.bucket.take()) await sleep(waitMs);
   }
 }
