--- a/src/state/resource/backends/admission-limits.ts
+++ b/src/state/resource/backends/admission-limits.ts
@@ -1,21 +1,19 @@
 /**
- * Limits on the requests that this node has in flight, by service and by caller. Counts are of this node
- * alone; a caller that uses several nodes has the limit at each.
+ * Limits on requests in flight, per service and per caller. Each node counts only its own requests, so a
+ * caller that uses several nodes has the full limit on each.
  */
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
 
-/** Requests in flight when the service declares no limit. Chosen, not measured. */
+/** Requests in flight, used when the service declares no limit. */
 const DEFAULT_MAX_IN_FLIGHT = 1_024;
 const DEFAULT_MAX_IN_FLIGHT_PER_CALLER = 256;
 
-/** Why a request was not admitted. */
 export type LimitReached = 'service-limit' | 'caller-limit';
 
-/** Counts requests in flight. */
 export class AdmissionLimits {
   private readonly counts = new Map<string, number>();
 
-  /** Admits a request, or returns the limit that is reached. An admitted request must be `release`d once. */
+  /** Admits a request or returns the limit reached. Each admitted request must be released once. */
   admit(service: ResourceOf<'Service'>, identity: string): LimitReached | undefined {
     const { limits } = service.spec;
     const name = service.metadata.name;
@@ -28,7 +26,6 @@
     return undefined;
   }
 
-  /** Ends an admitted request. */
   release(service: ResourceOf<'Service'>, identity: string): void {
     const name = service.metadata.name;
     this.add(name, -1);
--- a/src/state/resource/backends/backend-registry.ts
+++ b/src/state/resource/backends/backend-registry.ts
@@ -1,10 +1,10 @@
 /**
- * Back ends as this node sees them: declaration, last report, health, requests in flight. Nothing is shared
- * between nodes; each learns from its own polls and exchanges.
+ * State of the back ends as observed by this node: declaration, last report, health, requests in flight.
+ * Nodes do not share it.
  *
- * Health: `unproven` until the first success; `serving`; `failing` after `FAILURES_UNTIL_FAILING` failures in
- * a row, ejected for `EJECTION_MS` after each failure, until the next success; `quarantined` while its shards
- * have different versions outside of a load, until a report says that they agree.
+ * Health: `unproven` until the first success; `failing` from `FAILURE_THRESHOLD` consecutive failures until
+ * the next success, and ejected for `EJECTION_MS` after each failure; `quarantined` from a report of
+ * different shard versions outside of a weight load until a report of a single version; otherwise `serving`.
  */
 import { monotonicMs } from '../../../common/clock.js';
 import { Lifecycle, type LifecycleObserver } from '../../../common/lifecycle.js';
@@ -12,7 +12,6 @@
 import type { ResourceOf } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from '../configuration/index.js';
 
-/** Health of a back end. */
 export type BackendHealth = 'unproven' | 'serving' | 'failing' | 'quarantined';
 type BackendEvent = 'answered' | 'failed' | 'mixedVersions' | 'versionsAgree';
 
@@ -23,17 +22,16 @@
   quarantined: { versionsAgree: 'serving' },
 } as const;
 
-/** Failures in a row until a back end is `failing`. Chosen, not measured. */
+/** Consecutive failures after which a back end is `failing`. */
 const FAILURE_THRESHOLD = 2;
-/** Age at which a load report has no weight, milliseconds. Chosen, not measured. */
+/** Age at which a load report no longer counts, milliseconds. */
 const REPORT_MAX_AGE_MS = 5_000;
-/** Ejection after a failure of a `failing` back end, milliseconds. Chosen, not measured. */
+/** Ejection time after a failure of a `failing` back end, milliseconds. */
 const EJECTION_MS = 1_000;
 
-/** One back end. */
 export class BackendEntry {
   readonly lifecycle: Lifecycle<BackendHealth, BackendEvent>;
-  /** Requests that this node has in flight there. */
+  /** Requests in flight from this node. */
   inFlight = 0;
   private report: EngineState | undefined;
   private reportedAtMs = 0;
@@ -58,48 +56,46 @@
     return this.declaration.metadata.name;
   }
 
-  /** The last report of an engine. */
+  /** Last report; `undefined` before the first one and for back ends that are not engines. */
   get engineState(): EngineState | undefined {
     return this.report;
   }
 
-  /** The one version that an engine reported, or `undefined` when it is unknown or mixed. */
+  /** Weight version of the engine; `undefined` if it is unknown or differs between shards. */
   get version(): number | undefined {
     const versions = new Set(this.report?.shardVersions ?? []);
     return versions.size === 1 ? [...versions][0] : undefined;
   }
 
-  /** Load in requests: own ones in flight, and the last report's by a weight that falls with its age. */
+  /** Requests in flight from this node plus those of the last report, weighted down with its age. */
   get load(): number {
     if (!this.report) return this.inFlight;
     const weight = Math.max(0, 1 - (monotonicMs() - this.reportedAtMs) / REPORT_MAX_AGE_MS);
     return this.inFlight + weight * (this.report.running + this.report.queued);
   }
 
-  /** Whether it is not to be used while another one is eligible. */
+  /** An ejected back end is used only if no other one is eligible. */
   get isEjected(): boolean {
     return this.lifecycle.current === 'failing' && monotonicMs() - this.failedAtMs < EJECTION_MS;
   }
 
-  /** Records an engine's report; a report is a success as well. */
+  /** Records a report of the engine, which also counts as a success. */
   recordReport(report: EngineState): void {
     this.report = report;
     this.reportedAtMs = monotonicMs();
     const mixed = new Set(report.shardVersions).size > 1;
     if (mixed && !report.swapping) {
-      this.lifecycle.sendIfAccepted('mixedVersions', `shards at ${report.shardVersions.join(', ')}`);
+      this.lifecycle.sendIfAccepted('mixedVersions', `shard versions ${report.shardVersions.join(', ')}`);
     }
     if (!mixed) this.lifecycle.sendIfAccepted('versionsAgree');
     this.recordSuccess();
   }
 
-  /** An exchange succeeded. */
   recordSuccess(): void {
     this.consecutiveFailures = 0;
     this.lifecycle.sendIfAccepted('answered');
   }
 
-  /** An exchange failed. */
   recordFailure(reason: string): void {
     this.consecutiveFailures += 1;
     this.failedAtMs = monotonicMs();
@@ -107,7 +103,7 @@
   }
 }
 
-/** All back ends, kept in step with the configuration. */
+/** All declared back ends, updated with the configuration. */
 export class BackendRegistry {
   private readonly entries = new Map<string, BackendEntry>();
   private readonly byService = new Map<string, BackendEntry[]>();
@@ -122,17 +118,15 @@
     this.synchronize(view);
   }
 
-  /** One back end. */
   get(name: string): BackendEntry | undefined {
     return this.entries.get(name);
   }
 
-  /** The back ends of a service, by name. */
+  /** Back ends of a service, sorted by name. */
   ofService(service: string): readonly BackendEntry[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** All back ends. */
   all(): BackendEntry[] {
     return [...this.entries.values()];
   }
@@ -153,7 +147,7 @@
 
   private upsert(declaration: ResourceOf<'Backend'>): void {
     const existing = this.entries.get(declaration.metadata.name);
-    // A new address is another process: the state of the old one does not apply.
+    // A new address is a different process, so the observed state starts from scratch.
     if (existing && existing.declaration.spec.address === declaration.spec.address)
       existing.declaration = declaration;
     else this.entries.set(declaration.metadata.name, new BackendEntry(declaration, this.observer));
--- a/src/state/resource/configuration/access-control.ts
+++ b/src/state/resource/configuration/access-control.ts
@@ -1,15 +1,12 @@
-/**
- * Authentication: principals by hashes of bearer tokens, from the settings and from AccessPolicy resources.
- */
+/** Authentication by bearer tokens, whose hashes come from the settings and from AccessPolicy resources. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { Role, TokenGrant } from '../../../protocol/resource/resource.js';
 import type { ConfigView } from './config-view.js';
 
-/** The holder of a known token. */
 export interface Principal {
   readonly identity: string;
   readonly roles: readonly Role[];
-  /** Trainer whose calls it may make. */
+  /** Trainer that the principal may act for. */
   readonly trainer?: string;
 }
 
@@ -23,7 +20,7 @@
   return { hash: Buffer.from(tokenSha256, 'hex'), principal: { identity, roles, trainer } };
 }
 
-/** Looks tokens up. Comparison takes the same time whichever grant matches. */
+/** Compares a token with every grant in constant time. */
 export class AccessControl {
   private grants: Grant[];
 
@@ -37,7 +34,7 @@
     });
   }
 
-  /** The principal of an `Authorization` header; `undefined` when the token is unknown. */
+  /** Returns the principal of an `Authorization` header; `undefined` if the token is missing or unknown. */
   authenticate(header: string | undefined): Principal | undefined {
     const token = header?.startsWith('Bearer ') ? header.slice('Bearer '.length) : undefined;
     if (token === undefined) return undefined;
--- a/src/state/resource/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -1,10 +1,7 @@
 /**
- * The configuration in the store. A change is committed when one transaction has written the head, the log
- * entry of the revision, the resources, and the operation's own row, by which a repeated operation finds its
- * outcome.
- *
- * Owns no state. Two writers conflict at the head: the later one reads again. A commit whose outcome stays
- * unknown fails as `unavailable`; repeating it under the same operation ID is safe.
+ * The configuration in the store. One transaction writes the head, the log entry of the revision, the
+ * resources and a row for the operation ID, which makes a repeated commit return the first outcome.
+ * Concurrent commits conflict at the head, and the losing one is retried.
  *
  * Rows: `config/head` {revision}, `config/log/{revision}` ConfigEntry, `config/resource/{kind}/{name}`
  * Resource, `config/operation/{operationId}` {revision}, `published/{model}` {version}.
@@ -25,37 +22,35 @@
 const HEAD_KEY = 'config/head';
 const RESOURCE_PREFIX = 'config/resource/';
 const REVISION_DIGITS = 12;
-/** Rounds of a commit. Chosen, not measured: a round is lost to each concurrent writer. */
+/** Each concurrent writer can cost one attempt. */
 const MAX_COMMIT_ATTEMPTS = 8;
-/** Log entries read at a time: the page size of the store's scans. */
+/** Page size of the store's scans. */
 const LOG_PAGE_SIZE = 1_000;
 
 const logKey = (revision: number) => `config/log/${revision.toString().padStart(REVISION_DIGITS, '0')}`;
 const rowKey = (kind: string, name: string) => `${RESOURCE_PREFIX}${resourceKey(kind, name)}`;
 const operationKey = (operationId: string) => `config/operation/${operationId}`;
 
-/** Key of the row that holds the newest published version of a model. */
 export const publishedKey = (model: string) => `published/${model}`;
 
-/** The version in a `published/{model}` row; 0 when there is no row. */
+/** Newest published version of a model, from its row; 0 without a row. */
 export function publishedVersion(row: Row | undefined): number {
   return (row?.value as { version: number } | undefined)?.version ?? 0;
 }
 
-/** A wanted change of one resource. */
 export interface DesiredChange {
   readonly kind: string;
   readonly name: string;
-  /** resourceVersion that the writer saw: 0 for none, `undefined` for any. */
+  /** Expected `resourceVersion`: 0 if the resource must not exist, `undefined` for any. */
   readonly expectedVersion: number | undefined;
-  /** Computes the new manifest from the stored resource; null deletes. */
+  /** Returns the new manifest for the stored resource; null deletes it. */
   readonly update: (stored: Resource | undefined) => Result<Manifest | null, StateError>;
 }
 
-/** Result of a commit, or of its preview. */
+/** Result of a commit or a preview. */
 export interface CommitOutcome {
   readonly revision: number;
-  /** False when nothing differed and so nothing was written. */
+  /** False if there was no difference, so that nothing was written. */
   readonly changed: boolean;
   readonly resources: readonly (Resource | null)[];
 }
@@ -74,7 +69,7 @@
   );
 }
 
-/** Whether a manifest declares what is stored. A new source revision alone is no difference. */
+/** Compares labels, set and spec; a different source revision alone does not count as a change. */
 export function sameDeclaration(stored: Resource, manifest: Manifest): boolean {
   const declared = (labels: unknown, set: unknown, spec: unknown) =>
     canonicalJson([labels ?? {}, set ?? '', spec]);
@@ -102,17 +97,16 @@
   return (rows.get(HEAD_KEY)?.value as { revision: number } | undefined)?.revision ?? 0;
 }
 
-/** Reads and commits configuration. */
 export class ConfigStore {
   constructor(private readonly table: Table) {}
 
-  /** The newest committed revision. */
+  /** Newest committed revision. */
   async head(): StateResult<number> {
     const rows = await this.table.read([HEAD_KEY]);
     return rows.map((found) => headRevision(new Map(found.map((row) => [row.key, row]))));
   }
 
-  /** Log entries with a revision above `after` and at most `upTo`. */
+  /** Log entries from `after` (exclusive) to `upTo` (inclusive), at most one page. */
   async entries(after: number, upTo: number): StateResult<ConfigEntry[]> {
     const rows = await this.table.scan(
       'config/log/',
@@ -122,7 +116,7 @@
     return rows.map((found) => found.map((row) => row.value as ConfigEntry));
   }
 
-  /** All resources. Rows may be newer than the revision; replaying the log from there is exact. */
+  /** All resources. Rows may be newer than `revision`; replaying the log from there corrects that. */
   async snapshot(): StateResult<{ revision: number; resources: Resource[] }> {
     const head = await this.head();
     if (head.isErr()) return err(head.error);
@@ -134,16 +128,16 @@
   }
 
   /**
-   * Commits changes as one revision. The same operation ID never commits twice; repeating it, from any node,
-   * returns the revision of the first time.
+   * Commits changes as one revision. An operation ID commits at most once; repeating it, from any node,
+   * returns the revision of the first commit. Fails as `unavailable` if the outcome stays unknown.
    */
   async commit(operationId: string, wanted: readonly DesiredChange[]): StateResult<CommitOutcome> {
-    return settle(MAX_COMMIT_ATTEMPTS, 'the commit could not be settled', () =>
+    return settle(MAX_COMMIT_ATTEMPTS, 'outcome of the commit is still unknown', () =>
       this.tryCommit(operationId, wanted),
     );
   }
 
-  /** `undefined` after a conflict or a lost answer: the next round reads the operation's row. */
+  /** `undefined` after a conflict or a lost response: the next attempt reads the row of the operation. */
   private async tryCommit(operationId: string, wanted: readonly DesiredChange[]): Attempt<CommitOutcome> {
     const rows = await this.readForCommit(operationId, wanted);
     if (rows.isErr()) return err(rows.error);
@@ -159,7 +153,7 @@
     return isFinal ? err(result.error) : undefined;
   }
 
-  /** The outcome that a commit would have, without committing. */
+  /** Outcome that a commit would have. */
   async preview(wanted: readonly DesiredChange[]): StateResult<CommitOutcome> {
     const rows = await this.readForCommit('preview', wanted);
     if (rows.isErr()) return err(rows.error);
@@ -216,7 +210,7 @@
     return ok({ entry, transaction, outcome: { revision, changed: true, resources } });
   }
 
-  /** Rows that keep, for each model, the newest published version, for the staleness check of draws. */
+  /** Updates the newest published version of each model, against which draws check staleness. */
   private async publishedWrites(changes: ConfigEntry['changes']): StateResult<Transaction> {
     const newest = newestVersions(changes);
     const transaction: Transaction = { conditions: [], writes: [] };
@@ -234,7 +228,7 @@
   }
 }
 
-/** The newest version of each model among the changes. */
+/** Newest version of each model among the changes. */
 function newestVersions(changes: ConfigEntry['changes']): Map<string, number> {
   const newest = new Map<string, number>();
   for (const change of changes) {
--- a/src/state/resource/configuration/config-view.ts
+++ b/src/state/resource/configuration/config-view.ts
@@ -1,7 +1,6 @@
 /**
- * The configuration in force on this node: resources at one revision, which only grows. `ConfigFollower`
- * feeds it from the store; readers see each revision whole. The last `HISTORY_LIMIT` entries are kept for
- * watches, which list again beyond.
+ * In-memory copy of the configuration on this node, updated by `ConfigFollower` one whole revision at a time.
+ * The last `HISTORY_LIMIT` revisions are kept for watches; a watch that is further behind lists again.
  */
 import type { ConfigEntry } from '../../../protocol/resource/configuration-entry.js';
 import {
@@ -11,7 +10,7 @@
   resourceKey,
 } from '../../../protocol/resource/resource.js';
 
-/** A change as watchers see it. */
+/** A change delivered to watches and listeners. */
 export interface ConfigEvent {
   readonly type: 'put' | 'delete';
   readonly revision: number;
@@ -20,24 +19,21 @@
   readonly resource: Resource | null;
 }
 
-/** Accepted revisions kept for peers and watches that are behind. Chosen, not measured. */
 const HISTORY_LIMIT = 4_096;
 
 type Listener = (events: readonly ConfigEvent[], revision: number) => void;
 
-/** One view for a node. */
 export class ConfigView {
   private readonly resources = new Map<string, Resource>();
   private history: ConfigEntry[] = [];
   private readonly listeners = new Set<Listener>();
   private currentRevision = 0;
 
-  /** The revision in force. */
   get revision(): number {
     return this.currentRevision;
   }
 
-  /** Puts the next revision in force. False when it does not follow the current one. */
+  /** Applies the next revision. Returns false if it does not directly follow the current one. */
   apply(entry: ConfigEntry): boolean {
     if (entry.revision !== this.currentRevision + 1) return false;
     const events = entry.changes.map((change) => this.applyChange(entry.revision, change));
@@ -47,7 +43,7 @@
     return true;
   }
 
-  /** Replaces everything by a newer state. False when it is not newer. */
+  /** Replaces all resources. Returns false if the revision is not newer than the current one. */
   loadSnapshot(revision: number, resources: readonly Resource[]): boolean {
     if (revision <= this.currentRevision) return false;
     const incoming = new Map(resources.map((one) => [resourceKey(one.kind, one.metadata.name), one]));
@@ -67,7 +63,7 @@
     return true;
   }
 
-  /** Entries after `revision`, or `undefined` when they are no longer kept. */
+  /** Entries after `revision`; `undefined` if they are no longer in the history. */
   entriesAfter(revision: number): readonly ConfigEntry[] | undefined {
     if (revision >= this.currentRevision) return [];
     const first = this.history[0]?.revision;
@@ -75,12 +71,11 @@
     return this.history.slice(revision + 1 - first);
   }
 
-  /** One resource. */
   get<K extends Kind>(kind: K, name: string): ResourceOf<K> | undefined {
     return this.resources.get(resourceKey(kind, name)) as ResourceOf<K> | undefined;
   }
 
-  /** All resources of a kind, by name. */
+  /** All resources of a kind, sorted by name. */
   list<K extends Kind>(kind: K): ResourceOf<K>[] {
     const found = [...this.resources.values()].filter(
       (one) => one.kind === kind,
@@ -88,13 +83,13 @@
     return found.sort((a, b) => (a.metadata.name < b.metadata.name ? -1 : 1));
   }
 
-  /** Calls `listener` after each change; returns a function that unsubscribes it. */
+  /** Calls `listener` after each revision; returns a function that unsubscribes it. */
   subscribe(listener: Listener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  /** Resolves once the revision is at least `atLeast`, after `waitMs`, or on abort. */
+  /** Resolves when the revision reaches `atLeast`, after `waitMs` milliseconds, or on abort. */
   waitForRevision(atLeast: number, waitMs: number, signal?: AbortSignal): Promise<void> {
     if (this.currentRevision >= atLeast || waitMs === 0 || signal?.aborted) return Promise.resolve();
     return new Promise((resolve) => {
--- a/src/state/resource/configuration/freshness-lease.ts
+++ b/src/state/resource/configuration/freshness-lease.ts
@@ -1,27 +1,26 @@
 /**
- * Freshness lease: how long this node may treat its configuration as the newest accepted one. It is extended
- * only by responses to the node's own calls, counted from the start of the call, so that it has expired after
- * a process pause or a suspended machine. When it has expired, `WorkGate` rejects new work.
+ * Time for which this node may treat its configuration as the newest one. Only responses to the node's own
+ * calls extend it, counted from the start of the call, so it has expired after a process pause or a suspended
+ * machine. `WorkGate` rejects new work while it is expired.
  */
 
-/** One lease for a node. */
 export class FreshnessLease {
   private sinceConfirmedMs: () => number = () => Number.POSITIVE_INFINITY;
 
-  /** `lengthMs`: how long a confirmation lasts, milliseconds. */
+  /** `durationMs`: validity of a confirmation. */
   constructor(readonly durationMs: number) {}
 
-  /** The configuration held now was the newest accepted one when `elapsed` began to measure. */
+  /** Records that the configuration was the newest one when `elapsed`, in milliseconds, started to count. */
   confirm(elapsed: () => number): void {
     if (elapsed() <= this.ageMs()) this.sinceConfirmedMs = elapsed;
   }
 
-  /** Age of the last confirmation, milliseconds; infinite without one, or when the clock is in doubt. */
+  /** Age of the last confirmation; infinite without one or when the clock is not trusted. */
   ageMs(): number {
     return this.sinceConfirmedMs();
   }
 
-  /** Whether new work may be taken. */
+  /** Whether new work may be accepted. */
   get isFresh(): boolean {
     return this.ageMs() < this.durationMs;
   }
--- a/src/state/resource/decision-log.ts
+++ b/src/state/resource/decision-log.ts
@@ -1,7 +1,7 @@
 /**
- * Decision records. The newest are in a bounded ring in memory; all are flushed in compressed batches to the
- * object store, under `decisions/{nodeId}/{first ms}-{last ms}-{sequence}`, so that they outlive the node.
- * While that is not reachable, up to `PENDING_LIMIT` records wait; beyond that the oldest are dropped.
+ * Log of decisions, kept for diagnosis. The most recent records stay in memory; all are flushed in compressed
+ * batches to the object store, named `decisions/{nodeId}/{first ms}-{last ms}-{sequence}`. While the object
+ * store is unreachable, at most `PENDING_LIMIT` records are kept, and the oldest are dropped first.
  */
 import { promisify } from 'node:util';
 import { gunzip, gzip } from 'node:zlib';
@@ -11,7 +11,6 @@
 const compress = promisify(gzip);
 const decompress = promisify(gunzip);
 
-/** Kinds of decisions. */
 export type DecisionKind =
   | 'route'
   | 'retry'
@@ -24,23 +23,21 @@
   | 'weights'
   | 'lease';
 
-/** Inputs of a decision, as shown to an operator. */
+/** Inputs of a decision, shown to operators. */
 export interface DecisionInputs {
-  /** Eligible back ends, with the load that was known. */
+  /** Eligible back ends, with their load as known at the time. */
   readonly candidates?: readonly {
     readonly backend: string;
     readonly load: number;
     readonly version?: number;
   }[];
-  /** Back ends that were not eligible, and why. */
   readonly rejected?: readonly { readonly backend: string; readonly reason: string }[];
-  /** Versions that mattered: the sample's oldest, the newest published, the bound. */
+  /** Oldest version of the sample, newest published version, and the staleness bound. */
   readonly staleness?: { readonly oldest: number; readonly newest: number; readonly bound: number };
-  /** Anything else, as text. */
   readonly note?: string;
 }
 
-/** A decision. `subjects` are what it can be looked up by: request, sample, `backend/{name}`, trainer. */
+/** A decision. `subjects` are its search keys: request ID, sample ID, `backend/{name}`, trainer. */
 export interface DecisionRecord {
   readonly id: string;
   readonly at: string;
@@ -53,18 +50,18 @@
   readonly inputs: DecisionInputs;
 }
 
-/** A decision as its maker records it; the log adds the other fields. */
+/** A decision without the fields that the log adds. */
 export type Decision = Omit<DecisionRecord, 'id' | 'at' | 'node' | 'configRevision'>;
 
-/** Records kept in memory. Chosen, not measured. */
+/** Records kept in memory. */
 const RECENT_LIMIT = 20_000;
-/** Interval of flushes, milliseconds. Chosen, not measured: a crash loses records of this time. */
+/** A crash loses the records of this interval. */
 const FLUSH_INTERVAL_MS = 2_000;
-/** Records that wait for the object store. Chosen, not measured: bounds memory. */
+/** Records kept while the object store is unreachable. */
 const PENDING_LIMIT = 50_000;
-/** Time by which a record may be later than the ID it is searched by, milliseconds. Chosen. */
+/** Time by which a record may be later than the time searched for, milliseconds. */
 const CLOCK_SLACK_MS = 10 * 60 * 1_000;
-/** Tolerance at both ends of a batch's times, milliseconds. Chosen, not measured. */
+/** Tolerance at both ends of the time range of a batch, milliseconds. */
 const BATCH_TIME_MARGIN_MS = 1_000;
 
 interface TimedRecord {
@@ -76,7 +73,7 @@
   return `decisions/${nodeId}/${batch[0]?.atMs ?? 0}-${batch.at(-1)?.atMs ?? 0}-${sequence}`;
 }
 
-/** Whether a batch may hold records of a time. */
+/** Whether a batch may contain records around `atMs`. */
 function mayContain(name: string, atMs: number): boolean {
   const [first, last] = (name.split('/').at(-1) ?? '').split('-').map(Number);
   return (
@@ -87,7 +84,6 @@
   );
 }
 
-/** The decisions of one node. */
 export class DecisionLog {
   private recent: TimedRecord[] = [];
   private pending: TimedRecord[] = [];
@@ -101,7 +97,6 @@
     private readonly configRevision: () => number,
   ) {}
 
-  /** Records a decision and returns it. */
   record(decision: Decision): DecisionRecord {
     this.recordCount += 1;
     const record: DecisionRecord = {
@@ -119,12 +114,12 @@
     return record;
   }
 
-  /** Records about a subject that this node still has in memory. */
+  /** Records about a subject that are still in memory. */
   find(subject: string): DecisionRecord[] {
     return this.recent.filter((one) => one.record.subjects.includes(subject)).map((one) => one.record);
   }
 
-  /** Flushes until stopped. */
+  /** Flushes periodically until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await sleep(FLUSH_INTERVAL_MS, signal);
@@ -132,7 +127,7 @@
     }
   }
 
-  /** Writes the pending records. They stay pending when the object store is not reachable. */
+  /** Writes the pending records, which stay pending if the object store is unreachable. */
   async flush(): Promise<void> {
     const batch = this.pending;
     if (batch.length === 0) return;
@@ -145,9 +140,8 @@
 }
 
 /**
- * Records about a subject in the batches that a node wrote around a time; works when the node has ended. Best
- * effort: batches that cannot be read are left out, since `explain` shows what it finds and is repeated by
- * hand.
+ * Finds records about a subject in the batches that a node wrote around a time, also after the node has
+ * stopped. Batches that cannot be read are skipped.
  */
 export async function findFlushedDecisions(
   objects: Objects,
--- a/src/state/resource/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -1,12 +1,9 @@
 /**
- * Leases in the store. A node renews one session row by heartbeats; each lease names the session that holds
- * it, so that renewals cost one write a node, whatever the number of its leases.
- *
- * A candidate observes the holder's session row on its own monotonic clock and acquires the lease only when
- * the row has not changed for the whole lease time, in a transaction conditional on it. Each change of holder
- * raises the epoch. Safety does not rest on holders noticing a process pause: writes under a lease are
- * conditional on the version of its epoch row, and commands to engines carry the epoch as fence. When the
- * store is not reachable, no lease changes holder.
+ * Leases in the store. Each lease names the session of its holder, and a node renews all its leases by
+ * writing one session row. Another node acquires a lease only after the holder's session row has not changed
+ * for the lease time, measured on its own monotonic clock. Writes under a lease are conditional on its epoch
+ * row and commands to engines carry the epoch as a fencing token, so a paused holder cannot overwrite its
+ * successor.
  *
  * Rows: `session/{nodeId}` {session, beat}, `lease/{name}` {holder, session, epoch}, `lease-epoch/{name}`
  * {epoch}.
@@ -18,23 +15,22 @@
 
 interface SessionRow {
   readonly session: string;
-  /** Heartbeat number; grows with each renewal. */
+  /** Heartbeat number; incremented by each renewal. */
   readonly beat: number;
 }
 
 interface LeaseRow {
-  /** Node that holds the lease; empty when it was released. */
+  /** Node ID of the holder; empty after a release. */
   readonly holder: string;
   readonly session: string;
   readonly epoch: number;
 }
 
-/** A lease that this node holds. */
 export interface HeldLease {
   readonly name: string;
-  /** Grows by one with each change of holder. */
+  /** Incremented by each change of holder. */
   readonly epoch: number;
-  /** Condition to add to every transaction made under the lease. */
+  /** Condition that every transaction under the lease must include. */
   readonly condition: { readonly key: string; readonly version: number };
 }
 
@@ -55,7 +51,7 @@
   private heartbeat = 0;
   private renewedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** `leaseMs`: time without a heartbeat after which others may acquire a holder's leases, milliseconds. */
+  /** `leaseMs`: time without a heartbeat after which other nodes may acquire the leases of a holder. */
   constructor(
     private readonly table: Table,
     private readonly nodeId: string,
@@ -63,20 +59,20 @@
     readonly leaseMs: number,
   ) {}
 
-  /** Whether the session has certainly not expired. Saves calls; safety rests on conditions and fences. */
+  /** Whether the session cannot have expired yet. Only a shortcut: conditions and fences guarantee safety. */
   get isValid(): boolean {
     return monotonicMs() - this.renewedAtMs < this.leaseMs;
   }
 
   /**
-   * The lease, unless it is known to be lost. While the store is not reachable nobody can acquire it either,
-   * so work under it goes on; the conditions of its writes decide.
+   * The lease, unless it is known to be lost. It is also returned while the store is unreachable: no other
+   * node can acquire it then, and the conditions of its writes reject a stale holder.
    */
   get(name: string): HeldLease | undefined {
     return this.held.get(name);
   }
 
-  /** Renews the session. After a gap in which it may have expired, lost leases are dropped. */
+  /** Renews the session. If it may have expired before, leases acquired by other nodes are dropped. */
   async renew(): StateResult<void> {
     const mayHaveExpired = !this.isValid;
     const renewed = await this.writeHeartbeat();
@@ -114,7 +110,7 @@
     return this.resolveRenewal(heartbeat, startedAt);
   }
 
-  /** Reads the outcome of a renewal whose answer was lost or whose condition failed. */
+  /** Reads the session row after a renewal whose response was lost or whose condition failed. */
   private async resolveRenewal(heartbeat: number, startedAt: number): StateResult<void> {
     const rows = await this.table.read([sessionKey(this.nodeId)]);
     if (rows.isErr()) return err(rows.error);
@@ -125,7 +121,7 @@
       this.recordRenewal(this.sessionVersion, heartbeat, startedAt);
       return ok(undefined);
     }
-    return err(new StateError('conflict', 'none', 'the session row was written by another one'));
+    return err(new StateError('conflict', 'none', 'session row was written by another process'));
   }
 
   private recordRenewal(version: number, heartbeat: number, startedAt: number): void {
@@ -134,7 +130,7 @@
     this.renewedAtMs = startedAt;
   }
 
-  /** Acquires a lease that is free or whose holder's session expired; else `undefined`. */
+  /** Acquires a lease that is free or whose holder's session has expired; otherwise `undefined`. */
   async tryAcquire(name: string): StateResult<HeldLease | undefined> {
     const current = this.get(name);
     if (current) return ok(current);
@@ -152,7 +148,7 @@
     return this.acquire(name, lease, epochRow, expired.value);
   }
 
-  /** Releases a lease, so that others need not wait for its expiry. Best effort. */
+  /** Releases a lease, so that other nodes need not wait for its expiry. Errors are ignored. */
   async release(lease: HeldLease): Promise<void> {
     this.held.delete(lease.name);
     const rows = await this.table.read([leaseKey(lease.name)]);
@@ -166,12 +162,12 @@
     });
   }
 
-  /** Drops a lease that turned out to be lost. */
+  /** Removes a lost lease from memory; the store is not changed. */
   drop(name: string): void {
     this.held.delete(name);
   }
 
-  /** Conditions under which the holder may be replaced; `undefined` while it may hold the lease. */
+  /** Transaction conditions for replacing the holder; `undefined` while its session may be alive. */
   private async expiryConditions(
     value: LeaseRow | undefined,
   ): StateResult<{ key: string; version: number }[] | undefined> {
@@ -181,7 +177,7 @@
     const row = rows.value[0];
     const version = row?.version ?? 0;
     const condition = [{ key: sessionKey(value.holder), version }];
-    // The holder has restarted with another session: the old one can no longer be renewed.
+    // The holder restarted with a new session, so the old one can no longer be renewed.
     if ((row?.value as SessionRow | undefined)?.session !== value.session) return ok(condition);
     const observation = this.observations.get(value.holder);
     if (observation?.version !== version) {
@@ -210,13 +206,13 @@
         { key: epochKey(name), value: { epoch } },
       ],
     });
-    // A lost answer is settled by the next try, which finds the lease held by this session.
+    // If the response was lost, the next attempt finds the lease held by this session.
     if (outcome.isErr()) return err(outcome.error);
     if (!outcome.value.committed) return ok(undefined);
     return ok(this.hold(name, epoch, (epochRow?.version ?? 0) + 1));
   }
 
-  /** A lease found to be this session's. Its rows are read one by one: both must be of one epoch. */
+  /** Adopts a lease already held by this session. Its rows are read separately, so the epochs may differ. */
   private adopt(name: string, epoch: number, epochRow: Row | undefined): HeldLease | undefined {
     const epochValue = epochRow?.value as { epoch: number } | undefined;
     return epochRow && epochValue?.epoch === epoch ? this.hold(name, epoch, epochRow.version) : undefined;
--- a/src/state/resource/tables/row-table.ts
+++ b/src/state/resource/tables/row-table.ts
@@ -1,8 +1,8 @@
 /**
- * Rows of JSON values by key, over the record store: within the node's share of the store's rate, counted,
- * and with the health of the store kept as a lifecycle (available, slow, down). Each row has a version of its
- * own that rises by one with each write; 0 means that it is absent. Configuration lies in a table of its own,
- * so that its changes can be followed without all the others.
+ * Rows of JSON values on top of the record store. Each row has its own version, incremented by each write; 0
+ * means that the row is absent. Calls are limited to the node's share of the store's request rate, counted in
+ * the metrics, and drive a lifecycle of the store's health. Configuration rows have a separate table, so that
+ * their changes can be watched alone.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { monotonicMs, sleep } from '../../../common/clock.js';
@@ -16,56 +16,53 @@
 } from '../../../protocol/record-store.js';
 import { StateError } from '../../state-error.js';
 
-/** Result of an operation on shared state. */
 export type StateResult<T> = Promise<Result<T, StateError>>;
 
-/** A row. */
 export interface Row {
   readonly key: string;
   readonly version: number;
   readonly value: unknown;
 }
 
-/** Conditions on versions, and writes; a null value deletes. */
+/** Writes that are applied only if all conditions hold. A null value deletes the row. */
 export interface Transaction {
   readonly conditions: { readonly key: string; readonly version: number }[];
   readonly writes: { readonly key: string; readonly value: unknown }[];
 }
 
-/** Whether a transaction was carried out, and if not, the keys whose condition failed. */
 export interface TransactionOutcome {
   readonly committed: boolean;
+  /** Keys whose condition failed. */
   readonly failed: readonly string[];
 }
 
-/** Operations on rows. */
 export interface Table {
   transact(transaction: Transaction): StateResult<TransactionOutcome>;
-  /** Rows by key; absent ones are left out. */
+  /** Absent rows are omitted. */
   read(keys: readonly string[]): StateResult<Row[]>;
-  /** Rows whose key starts with `prefix`, in key order, after the key `after`. */
+  /** Rows whose key starts with `prefix`, in key order; `after` is an exclusive lower bound. */
   scan(prefix: string, limit: number, after?: string): StateResult<Row[]>;
 }
 
-/** Table of the configuration's rows. */
 export const CONFIGURATION_TABLE = 'configuration';
 const DEFAULT_TABLE = 'rows';
 const CONFIGURATION_PREFIX = 'config/';
-/** Sorts after every character that keys use. */
+/** Sorts after every character used in keys. */
 const HIGHEST_KEY_SUFFIX = '\u{10ffff}';
 
-/** Table and partition of a row, by its key. */
 function rowAddress(key: string): RecordAddress {
   const table = key.startsWith(CONFIGURATION_PREFIX) ? CONFIGURATION_TABLE : DEFAULT_TABLE;
   return { table, partition: '', key };
 }
 
 interface StoredValue {
-  /** The row's own version. */
+  /** Version of the row. */
   readonly v: number;
+  /** Value of the row. */
   readonly d: unknown;
 }
 
+/** Version of the row and version of the record that stores it. */
 interface VersionPair {
   readonly own: number;
   readonly store: number;
@@ -82,20 +79,18 @@
   down: { answered: 'available', answeredLate: 'slow' },
 } as const;
 
-/** Duration above which a call counts as slow, milliseconds. Chosen, not measured. */
+/** Duration above which a call counts as slow, milliseconds. */
 const SLOW_CALL_MS = 500;
-/** Longest wait for the node's share of the rate, milliseconds. Chosen, not measured. */
+/** Longest wait for the rate limit, milliseconds. */
 const MAX_RATE_WAIT_MS = 2_000;
-/** Calls that may exceed the rate at once. Chosen, not measured. */
+/** Capacity of the token bucket, calls. */
 const BURST_CALLS = 64;
-/** Rows in the cache. Chosen, not measured: bounds memory. */
 const MAX_CACHED_VERSIONS = 20_000;
 
-/** The rows of a node. */
 export class RowTable implements Table {
   private readonly bucket: TokenBucket;
   private readonly health: Lifecycle<Health, HealthEvent>;
-  /** Cache of rows; a stale entry costs a failed condition and another read, no more. */
+  /** Version cache. A stale entry only costs a failed condition and another read. */
   private readonly versions = new Map<string, VersionPair>();
 
   constructor(
@@ -168,14 +163,14 @@
     return { key: record.key, version: v, value: d };
   }
 
-  /** Reads the rows that are not cached. */
+  /** Reads the rows whose versions are not cached. */
   private async loadVersions(keys: readonly string[]): StateResult<void> {
     const unknown = keys.filter((key) => !this.versions.has(key));
     const read = await this.read(unknown);
     return read.map(() => undefined);
   }
 
-  /** Reads the rows of a transaction whose condition seems to fail: the cache may be stale. */
+  /** Reads the rows of a failed transaction again, since the cache may be stale, and repeats it if so. */
   private async verifyFailure(transaction: Transaction): StateResult<TransactionOutcome> {
     const read = await this.read([...new Set(transaction.conditions.map((one) => one.key))]);
     if (read.isErr()) return err(read.error);
@@ -222,7 +217,7 @@
     const waitMs = await this.awaitToken();
     if (waitMs > 0) {
       this.observer.metrics.platformCalls.inc({ operation, outcome: 'over-budget' });
-      return err(new StateError('rate-limited', 'none', 'share of the store rate is used up', waitMs));
+      return err(new StateError('rate-limited', 'none', 'store rate limit of this node exceeded', waitMs));
     }
     const startedAt = monotonicMs();
     const answer = await call();
@@ -232,7 +227,7 @@
     return answer;
   }
 
-  /** Waits for a token; returns 0 when one was taken, otherwise the wait that was too long. */
+  /** Waits for a token; returns 0, or the remaining wait in milliseconds if that exceeds the limit. */
   private async awaitToken(): Promise<number> {
     const deadline = monotonicMs() + MAX_RATE_WAIT_MS;
     for (;;) {
@@ -254,7 +249,6 @@
   return value === null || value === undefined;
 }
 
-/** Converts an error of the store. */
 export function toStateError(error: RecordStoreError | StateError): StateError {
   if (error instanceof StateError) return error;
   if (error.failure === 'rate-limited') return new StateError('rate-limited', 'none', error.message);
@@ -262,7 +256,7 @@
   return new StateError('unavailable', error.effect, error.message);
 }
 
-/** All rows under a prefix, read page by page. */
+/** Reads all rows under a prefix, page by page. */
 export async function scanAll(table: Table, prefix: string): StateResult<Row[]> {
   const pageSize = 500;
   const all: Row[] = [];
--- a/src/state/resource/tables/settle.ts
+++ b/src/state/resource/tables/settle.ts
@@ -1,18 +1,18 @@
 /**
- * Repeats a conditional write until its outcome is known. A round reads the rows anew, so that it sees an
- * earlier write whose answer was lost; it returns `undefined` when a condition failed or the answer was lost.
+ * Retries a conditional write until its outcome is known. Each attempt reads the rows again, so it finds an
+ * earlier write whose response was lost.
  */
 import { err, type Result } from 'neverthrow';
 import { StateError } from '../../state-error.js';
 import type { StateResult } from './row-table.js';
 
-/** Time after which a caller may repeat the operation, milliseconds. Chosen, not measured. */
+/** Delay suggested to the caller before it repeats the operation, milliseconds. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Result of one round; `undefined` to go into the next one. */
+/** `undefined` after a failed condition or a lost response, which leads to another attempt. */
 export type Attempt<T> = Promise<Result<T, StateError> | undefined>;
 
-/** The first result of at most `maxRounds` rounds, else `unavailable`, effect unknown. */
+/** Returns the first known result; after `maxAttempts`, the error `unavailable` with effect `unknown`. */
 export async function settle<T>(
   maxAttempts: number,
   message: string,
--- a/src/state/resource/tables/stored-objects.ts
+++ b/src/state/resource/tables/stored-objects.ts
@@ -1,6 +1,4 @@
-/**
- * The store's objects within the node's share of the rate, counted. A failed call is repeated, then reported.
- */
+/** Access to the store's objects with a rate limit, call metrics and retries. */
 import { err, type Result } from 'neverthrow';
 import { sleep } from '../../../common/clock.js';
 import type { Metrics } from '../../../common/metrics.js';
@@ -8,20 +6,19 @@
 import type { RecordStore, RecordStoreError } from '../../../protocol/record-store.js';
 import { type StateResult, toStateError } from './row-table.js';
 
-/** Tries of a call, and the delay between them, milliseconds. Chosen, not measured. */
 const MAX_ATTEMPTS = 3;
+/** Delay before the first retry, milliseconds; doubled by each further attempt. */
 const RETRY_DELAY_MS = 50;
-/** Calls that may exceed the rate at once. Chosen, not measured. */
+/** Capacity of the token bucket, calls. */
 const BURST_CALLS = 64;
 
-/** Operations on objects. */
 export interface Objects {
   put(name: string, bytes: Buffer): StateResult<void>;
   get(name: string): StateResult<Buffer | undefined>;
   list(prefix: string): StateResult<string[]>;
 }
 
-/** The budgeted objects. They are written once, so repeating a call is safe. */
+/** Objects are never overwritten, so every call can be retried. */
 export class StoredObjects implements Objects {
   private readonly bucket: TokenBucket;
 
--- a/src/state/state-error.ts
+++ b/src/state/state-error.ts
@@ -1,26 +1,25 @@
-/** Failures of the state layer: what became of a change or look-up of shared state. */
-/** How an operation on shared state failed. */
+/** Errors of the state layer. */
+
 export type StateFailure =
-  /** The platform could not be reached, was too slow, or answered with an error. */
+  /** The store could not be reached, timed out, or responded with an error. */
   | 'unavailable'
-  /** The node's share of the platform's rate is used up. */
+  /** The node's request rate limit for the store is exceeded. */
   | 'rate-limited'
-  /** Another writer was first; nothing was changed. */
+  /** A concurrent write came first; nothing was changed. */
   | 'conflict'
-  /** The lease under which the change was to be made is no longer held; nothing was changed. */
+  /** The lease required for the change is no longer held; nothing was changed. */
   | 'lease-lost'
-  /** The thing does not exist. */
   | 'not-found'
   /** The request contradicts what is stored; nothing was changed. */
   | 'invalid';
 
-/** Versions of a race. */
+/** Versions of a conflict. */
 export interface VersionPair {
   readonly expected: number;
   readonly current: number;
 }
 
-/** A failed operation. `effect` is `none` only when it is certain that nothing was changed. */
+/** A failed operation. `effect` is `none` only if it is certain that nothing was changed. */
 export class StateError extends Error {
   override readonly name = 'StateError';
 
--- a/test/state/resource/leases/lease-store.test.ts
+++ b/test/state/resource/leases/lease-store.test.ts
@@ -1,4 +1,4 @@
-/** Leases whose rows change while they are read. */
+/** Guards against adopting a lease whose rows changed while they were read. */
 import { expect } from 'chai';
 import { ok } from 'neverthrow';
 import { LeaseStore } from '../../../../src/state/resource/leases/lease-store.js';
@@ -8,7 +8,7 @@
 const SESSION = 'session-1';
 const LEASE_MS = 60_000;
 
-/** A table in which the session holds the lease at epoch 2, and whose epoch row is read as given. */
+/** A table in which the session holds the lease at epoch 2 and reads return the given epoch row. */
 function tableWith(epochRow: { version: number; epoch: number }): Table {
   const rows = [
     { key: `lease/${LEASE}`, version: 2, value: { holder: 'node-1', session: SESSION, epoch: 2 } },
@@ -26,12 +26,12 @@
   return (await leases.tryAcquire(LEASE))._unsafeUnwrap();
 }
 
-describe('leases that a session was found to hold', () => {
-  it('are adopted with the version of their epoch', async () => {
+describe('LeaseStore with a lease already held by its session', () => {
+  it('adopts the lease with the version of its epoch row', async () => {
     expect((await acquire({ version: 2, epoch: 2 }))?.condition.version).to.equal(2);
   });
 
-  it('are not adopted with the row of an earlier epoch, which was read before the lease was taken', async () => {
+  it('does not adopt the lease with an epoch row that was read before the acquisition', async () => {
     expect(await acquire({ version: 1, epoch: 1 })).to.equal(undefined);
   });
 });
