--- a/src/protocol/resource/configuration-entry.ts
+++ b/src/protocol/resource/configuration-entry.ts
@@ -1,14 +1,14 @@
-/** One accepted revision of the configuration, as the store keeps it and as watchers see it. */
+/** A committed revision of the configuration, as stored and as sent to watches. */
 import Type, { type Static } from 'typebox';
 
 const ConfigChangeSchema = Type.Object({
   kind: Type.String(),
   name: Type.String(),
-  /** The new resource, or null when it was deleted. */
+  /** New resource; null after a deletion. */
   resource: Type.Unknown(),
 });
 
-/** Source: the row `config/log/{revision}`. */
+/** Value of the row `config/log/{revision}`. */
 export const ConfigEntrySchema = Type.Object({
   revision: Type.Integer(),
   operationId: Type.String(),
--- a/src/protocol/resource/json-exchange.ts
+++ b/src/protocol/resource/json-exchange.ts
@@ -1,4 +1,4 @@
-/** JSON request and response over the transport, with the response checked against a schema. */
+/** JSON requests over HTTP, with responses validated against a schema. */
 
 import { err, ok, type Result } from 'neverthrow';
 import type { Static, TSchema } from 'typebox';
@@ -7,19 +7,15 @@
 import { fromTransport, ProtocolError } from '../protocol-error.js';
 import { formatProblems, type Validator } from '../validation.js';
 
-/** A JSON call. */
 export interface JsonCall extends Omit<OutgoingRequest, 'body'> {
-  /** Value to send as the JSON body. */
+  /** Request body, serialized as JSON. */
   readonly json?: unknown;
 }
 
 const HTTP_CONFLICT = 409;
 const HTTP_TOO_MANY_REQUESTS = 429;
 
-/**
- * Reads the `Retry-After` of a response, milliseconds; `undefined` unless it is in seconds. Computing the
- * value for a rejected request of a service is another job (`src/state/service/admission/admission.ts`).
- */
+/** Reads `Retry-After` in milliseconds; `undefined` if it is missing or not a number of seconds. */
 export function retryAfterMs(headers: BufferedResponse['headers']): number | undefined {
   const seconds = Number(headers['retry-after']);
   return Number.isFinite(seconds) ? seconds * MILLISECONDS_PER_SECOND : undefined;
@@ -46,7 +42,7 @@
   return new ProtocolError('refused', 'none', message, wait, detail);
 }
 
-/** Sends a JSON call; any status other than 2xx is an error. */
+/** Sends a request; any status from 300 is an error. */
 export async function exchangeJson<Schema extends TSchema>(
   client: HttpClient,
   call: JsonCall,
--- a/src/protocol/resource/machine-list.ts
+++ b/src/protocol/resource/machine-list.ts
@@ -1,4 +1,4 @@
-/** The platform's list of live and leaving machines: wire format and client. The list lags. */
+/** Wire format and client of the list of machines. The list may be out of date. */
 import type { Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
 import type { HttpClient } from '../../transport/http-client.js';
@@ -14,17 +14,14 @@
 export type Machine = Static<typeof MachineSchema>;
 
 const machines = new Validator(Type.Object({ machines: Type.Array(MachineSchema) }));
-/** Timeout of a call, milliseconds. Chosen, not measured. */
 const CALL_TIMEOUT_MS = 2_000;
 
-/** Client of the machine list at `baseUrl`. */
 export class MachineListClient {
   constructor(
     private readonly client: HttpClient,
     private readonly baseUrl: string,
   ) {}
 
-  /** The machines in the platform's list. */
   async list(): Promise<Result<Machine[], ProtocolError>> {
     const url = `${this.baseUrl}/machines`;
     const answer = await exchangeJson(
--- a/src/protocol/resource/manifest.ts
+++ b/src/protocol/resource/manifest.ts
@@ -1,9 +1,9 @@
-/** Checking of declared resources, the same offline (`validate`) and on the server. */
+/** Validation of declared resources, identical offline (`validate`) and on the server. */
 import { err, ok, type Result } from 'neverthrow';
 import { type FieldProblem, Validator } from '../validation.js';
 import { KINDS, type Kind, ManifestSchemas, type Metadata, type Resource } from './resource.js';
 
-/** A declared resource that passed the check; metadata set by the server may be missing. */
+/** A validated resource declaration; metadata set by the server may be missing. */
 export type Manifest = Omit<Resource, 'metadata'> & {
   readonly metadata: Pick<Metadata, 'name' | 'labels'> & Partial<Metadata>;
 };
@@ -16,12 +16,11 @@
   return typeof value === 'object' && value !== null ? (value as { kind?: unknown }).kind : undefined;
 }
 
-/** True when `kind` is declared by operators. */
 export function isKind(kind: unknown): kind is Kind {
   return typeof kind === 'string' && (KINDS as string[]).includes(kind);
 }
 
-/** Checks one document. */
+/** Validates one document against the schema of its kind. */
 export function checkManifest(value: unknown): Result<Manifest, FieldProblem[]> {
   const kind = kindOf(value);
   if (!isKind(kind)) return err([{ field: 'kind', message: `must be one of ${KINDS.join(', ')}` }]);
--- a/src/protocol/resource/operator-client.ts
+++ b/src/protocol/resource/operator-client.ts
@@ -1,6 +1,6 @@
 /**
- * Client of operators, for the command line and for programs. Reads may be repeated, and commits under the
- * same operation ID; put, patch and remove are safe to repeat with `ifMatch`.
+ * Client of the operator API, for the command line and for programs. Reads are safe to retry, as are commits
+ * with the same operation ID; put, patch and remove are safe to retry with `ifMatch`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type TSchema } from 'typebox';
@@ -22,7 +22,7 @@
 } from './operator.js';
 import { type Problem, ProblemSchema } from './problem.js';
 
-/** A resource as the interface shows it. */
+/** A resource as returned by the API. */
 export interface ApiResource {
   readonly apiVersion: string;
   readonly kind: string;
@@ -31,7 +31,6 @@
   readonly status?: { readonly observedGeneration: number; readonly conditions: readonly ApiCondition[] };
 }
 
-/** A condition as the interface shows it. */
 export interface ApiCondition {
   readonly type: string;
   readonly status: string;
@@ -39,7 +38,6 @@
   readonly message: string;
 }
 
-/** A list of resources at a revision. */
 export interface ResourceList {
   readonly resourceVersion: number;
   readonly items: readonly ApiResource[];
@@ -52,12 +50,11 @@
 const status = new Validator(StatusSchema);
 const problem = new Validator(ProblemSchema);
 
-/** The problem document of a rejection, when it has one. */
+/** Problem document of a rejection; `undefined` if the response has none. */
 export function problemOf(error: ProtocolError): Problem | undefined {
   return problem.check(error.detail).unwrapOr(undefined as never);
 }
 
-/** Client of one node. */
 export class OperatorClient {
   constructor(
     private readonly client: HttpClient,
@@ -65,7 +62,6 @@
     private readonly token: string,
   ) {}
 
-  /** Resources of a kind. */
   async list(kind: string, set?: string): Promise<Result<ResourceList, ProtocolError>> {
     const query = set === undefined ? '' : `?set=${encodeURIComponent(set)}`;
     return (await this.call('GET', `/v1/resources/${kind}${query}`, anyJson)) as Result<
@@ -74,12 +70,11 @@
     >;
   }
 
-  /** One resource. */
   async get(kind: string, name: string): Promise<Result<ApiResource, ProtocolError>> {
     return (await this.call('GET', resourcePath(kind, name), anyJson)) as Result<ApiResource, ProtocolError>;
   }
 
-  /** Creates, or with `ifMatch` replaces, a resource. */
+  /** Creates a resource, or replaces it if `ifMatch` is its version. */
   async put(manifest: Manifest, ifMatch?: number): Promise<Result<ApiResource, ProtocolError>> {
     const path = resourcePath(manifest.kind, manifest.metadata.name);
     return (await this.call('PUT', path, anyJson, manifest, matchHeaders(ifMatch))) as Result<
@@ -88,7 +83,7 @@
     >;
   }
 
-  /** Changes fields of a resource by a merge patch. */
+  /** Applies a JSON merge patch. */
   async patch(
     kind: string,
     name: string,
@@ -99,7 +94,6 @@
     return answer as Result<ApiResource, ProtocolError>;
   }
 
-  /** Deletes a resource. */
   async remove(kind: string, name: string, ifMatch?: number): Promise<Result<unknown, ProtocolError>> {
     return this.call('DELETE', resourcePath(kind, name), anyJson, undefined, matchHeaders(ifMatch));
   }
@@ -109,7 +103,6 @@
     return this.call('POST', '/v1/changesets', changesetAnswer, changeset);
   }
 
-  /** Approves a model version. */
   async approve(version: string, note?: string): Promise<Result<ApiResource, ProtocolError>> {
     const path = `/v1/approvals/${encodeURIComponent(version)}`;
     return (await this.call('POST', path, anyJson, note ? { note } : {})) as Result<
@@ -118,22 +111,21 @@
     >;
   }
 
-  /** Who holds a revision. */
+  /** Reports which nodes have applied a revision. */
   revision(revision: number): Promise<Result<RevisionReport, ProtocolError>> {
     return this.call('GET', `/v1/revisions/${revision}`, revisionReport);
   }
 
-  /** Decisions about a request, a sample or a back end. */
+  /** Returns the decisions about a request, a sample or a back end. */
   explain(subject: string): Promise<Result<Explanation, ProtocolError>> {
     return this.call('GET', `/v1/explain/${encodeURIComponent(subject)}`, explanation);
   }
 
-  /** The node's status. */
   status(): Promise<Result<Status, ProtocolError>> {
     return this.call('GET', '/v1/status', status);
   }
 
-  /** Lines of a watch, until the node ends it or `signal` is aborted. An aborted watch is no error. */
+  /** Passes on the lines of a watch until the node ends it or `signal` aborts it, which is not an error. */
   async watch(
     kind: string,
     resourceVersion: number | undefined,
@@ -176,7 +168,7 @@
   return ifMatch === undefined ? {} : { 'if-match': `"${ifMatch}"` };
 }
 
-/** Passes whole lines to `onLine`; resolves to the text after the last one. Error: a cut stream. */
+/** Passes complete lines to `onLine` and returns the text after the last one. Fails if the stream is cut. */
 async function readLines(
   body: AsyncIterable<Buffer | string>,
   onLine: (line: string) => void,
@@ -189,12 +181,12 @@
       for (const line of lines) onLine(line);
     }
   } catch (cause) {
-    return err(new ProtocolError('unavailable', 'none', `the watch was cut: ${String(cause)}`));
+    return err(new ProtocolError('unavailable', 'none', `watch stream interrupted: ${String(cause)}`));
   }
   return ok(remainder);
 }
 
-/** The body of a rejection; `undefined` when it is not JSON: the status is reported all the same. */
+/** Returns `undefined` for text that is not JSON, since the status of the rejection is reported anyway. */
 function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/protocol/resource/operator.ts
+++ b/src/protocol/resource/operator.ts
@@ -1,16 +1,16 @@
-/** Messages between operators and nodes, beyond the resources themselves. */
+/** Messages between operators and nodes, except for the resources. */
 import Type, { type Static } from 'typebox';
 
 const CLOSED = { additionalProperties: false } as const;
-/** The store takes 100 entries in a transaction; a change needs up to two, a published version two more. */
+/** The store accepts 100 entries per transaction; a change needs up to two, a published version two more. */
 const MAX_CHANGES = 40;
 
-/** Changes to commit as one revision. */
+/** Changes that are committed as one revision. */
 export const ChangesetSchema = Type.Object(
   {
-    /** Idempotency key: the same ID never commits twice. */
+    /** Idempotency key: an ID commits at most once. */
     operationId: Type.String({ minLength: 8, maxLength: 64 }),
-    /** When true nothing is committed; the response says whether something would change. */
+    /** If true, nothing is committed; the response tells whether there would be changes. */
     dryRun: Type.Optional(Type.Boolean()),
     changes: Type.Array(
       Type.Union([
@@ -39,7 +39,6 @@
 );
 export type Changeset = Static<typeof ChangesetSchema>;
 
-/** Result of a changeset. */
 export const ChangesetAnswerSchema = Type.Object({
   revision: Type.Integer(),
   changed: Type.Boolean(),
@@ -52,7 +51,7 @@
   CLOSED,
 );
 
-/** Nodes that hold a revision. */
+/** Number of nodes that have applied a revision. */
 export const RevisionReportSchema = Type.Object({
   revision: Type.Integer(),
   accepted: Type.Boolean(),
@@ -62,7 +61,7 @@
 });
 export type RevisionReport = Static<typeof RevisionReportSchema>;
 
-/** State of the responding node, and of members and back ends as it sees them. */
+/** State of the responding node, and of members and back ends as observed by it. */
 export const StatusSchema = Type.Object({
   node: Type.Object({
     id: Type.String(),
@@ -89,7 +88,7 @@
 });
 export type Status = Static<typeof StatusSchema>;
 
-/** Response of `explain`. */
+/** Response of `/v1/explain`. */
 export const ExplanationSchema = Type.Object({
   subject: Type.String(),
   kind: Type.Union([Type.Literal('request'), Type.Literal('sample'), Type.Literal('backend')]),
--- a/src/protocol/resource/peer.ts
+++ b/src/protocol/resource/peer.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes: TypeBox with JSON over HTTP. */
+/** Messages between nodes, sent as JSON over HTTP. */
 import type { Result } from 'neverthrow';
 import Type, { type Static } from 'typebox';
 import type { HttpClient } from '../../transport/http-client.js';
@@ -6,47 +6,45 @@
 import { Validator } from '../validation.js';
 import { exchangeJson } from './json-exchange.js';
 
-/** Record of a node in the store. */
+/** A node as recorded in the store. */
 export const NodeRecordSchema = Type.Object({
   id: Type.String(),
-  /** Base URL under which other nodes reach it. */
+  /** Base URL for calls from other nodes. */
   address: Type.String(),
   zone: Type.String(),
-  /** Name of its machine in the machine list. */
+  /** Name in the machine list. */
   machine: Type.String(),
-  /** Incarnation: differs for each process of a node. */
+  /** Incarnation ID, different for each process of a node. */
   life: Type.String(),
 });
 export type NodeRecord = Static<typeof NodeRecordSchema>;
 
-/** Query of the revision in force. */
+/** Query for the current configuration revision. */
 export const RevisionQuerySchema = Type.Object({});
 export const RevisionAnswerSchema = Type.Object({ revision: Type.Integer() });
 export type RevisionAnswer = Static<typeof RevisionAnswerSchema>;
 
-/** Query of decision records about a subject. */
+/** Query for decision records about a subject. */
 export const DecisionQuerySchema = Type.Object({ subject: Type.String() });
 const DecisionAnswerSchema = Type.Object({ decisions: Type.Array(Type.Unknown()) });
 
 const revisionAnswer = new Validator(RevisionAnswerSchema);
 const decisionAnswer = new Validator(DecisionAnswerSchema);
 
-/** Timeout of a call, milliseconds. Chosen, not measured: operators wait for these calls. */
+/** Short, since operators wait for these calls. */
 const CALL_TIMEOUT_MS = 500;
 
-/** Client of other nodes. */
+/** Client for calls to other nodes. */
 export class PeerClient {
   constructor(
     private readonly client: HttpClient,
     private readonly token: string,
   ) {}
 
-  /** Reads the revision in force. */
   revision(address: string): Promise<Result<RevisionAnswer, ProtocolError>> {
     return this.post(address, '/peer/revision', {}, revisionAnswer);
   }
 
-  /** Reads decision records. */
   decisions(address: string, subject: string): Promise<Result<{ decisions: unknown[] }, ProtocolError>> {
     return this.post(address, '/peer/decisions', { subject }, decisionAnswer);
   }
--- a/src/protocol/resource/problem.ts
+++ b/src/protocol/resource/problem.ts
@@ -1,11 +1,10 @@
-/** Problem documents (RFC 9457), the form of every rejection. */
+/** Problem documents (RFC 9457), the response body of every rejected request. */
 import Type, { type Static } from 'typebox';
 
-/** Whether the rejected request has run. `no` is certain, so that a retry is safe. */
+/** Whether the rejected request was executed. `no` is certain, so a retry is safe. */
 export const ExecutedSchema = Type.Union([Type.Literal('no'), Type.Literal('unknown'), Type.Literal('yes')]);
 export type Executed = Static<typeof ExecutedSchema>;
 
-/** Reason codes of rejections. */
 export const PROBLEM_CODES = [
   'invalid-request',
   'not-found',
@@ -37,16 +36,15 @@
   code: Type.Enum([...PROBLEM_CODES]),
   executed: ExecutedSchema,
   requestId: Type.String(),
-  /** Bad fields of the request, for `invalid-request`. */
+  /** Invalid fields, for `invalid-request`. */
   fields: Type.Optional(Type.Array(Type.Object({ field: Type.String(), message: Type.String() }))),
-  /** The version that the caller named and the one in force, for `conflict`. */
+  /** Version expected by the caller and current version, for `conflict`. */
   versions: Type.Optional(Type.Object({ expected: Type.Integer(), current: Type.Integer() })),
-  /** Seconds until a new attempt is worth while; the same as the Retry-After header. */
+  /** Same value as the `Retry-After` header. */
   retryAfterSeconds: Type.Optional(Type.Integer()),
 });
 export type Problem = Static<typeof ProblemSchema>;
 
-/** HTTP status of each reason code. */
 export const STATUS_BY_CODE: Readonly<Record<ProblemCode, number>> = {
   'invalid-request': 400,
   'not-found': 404,
@@ -69,5 +67,4 @@
   internal: 500,
 };
 
-/** Media type of a problem document. */
 export const PROBLEM_MEDIA_TYPE = 'application/problem+json';
--- a/src/protocol/resource/resource.ts
+++ b/src/protocol/resource/resource.ts
@@ -1,8 +1,6 @@
 /**
- * The resources that operators declare. These TypeBox schemas are the one source of the types, of the
- * validation and of `docs/RESOURCES.md`. One file, over 300 lines: it is a table of declarations without
- * logic, read from top to bottom like the page that is generated from it, and its schemas refer to each
- * other.
+ * Schemas of the resources that operators declare. Types, validation and `docs/RESOURCES.md` are derived from
+ * them; the page follows the order of this file.
  */
 import Type, { type Static, type TSchema } from 'typebox';
 
@@ -208,7 +206,7 @@
   CLOSED,
 );
 
-/** Kinds that stand in the configuration, with the schema of each spec. */
+/** Schema of the spec of each kind that is stored in the configuration. */
 export const STORED_KINDS = {
   Service: ServiceSpec,
   Backend: BackendSpec,
@@ -220,18 +218,17 @@
 } as const satisfies Record<string, TSchema>;
 
 export type Kind = keyof typeof STORED_KINDS;
-/** Names of the kinds that stand in the configuration. */
 export const KINDS = Object.keys(STORED_KINDS) as Kind[];
-/** Kinds that the system itself writes; operators only read them. */
+/** Kinds written only by the system. */
 export const READ_ONLY_KINDS: readonly Kind[] = ['Machine'];
-/** Kind that is read from the sample ledger; it does not stand in the configuration. */
+/** Kind that is read from the sample ledger and not stored in the configuration. */
 export const ROLLOUT_KIND = 'Rollout';
 
 export const API_VERSION = 'thymecove/v1';
 
 const Labels = Type.Record(Type.String({ pattern: '^.{1,128}$' }), Type.String({ maxLength: 256 }));
 
-/** What an operator writes. */
+/** Schema of a resource as an operator writes it; server-set fields are accepted and optional. */
 const manifestOf = <K extends Kind>(kind: K) =>
   Type.Object(
     {
@@ -266,17 +263,16 @@
 
 export type SpecOf<K extends Kind> = Static<(typeof STORED_KINDS)[K]>;
 
-/** Metadata of a stored resource. */
 export interface Metadata {
   readonly name: string;
   readonly labels?: Record<string, string>;
-  /** Revision of the configuration that last changed it. */
+  /** Configuration revision of the last change. */
   readonly resourceVersion: number;
-  /** Counts the changes of the spec. */
+  /** Incremented by each change of the spec. */
   readonly generation: number;
-  /** Revision of the source tree that declared it. */
+  /** Revision of the source tree that contains the declaration. */
   readonly source?: string;
-  /** Set of declarations that it belongs to, for pruning. */
+  /** Name of the set of declarations, used for pruning. */
   readonly set?: string;
 }
 
@@ -288,10 +284,9 @@
   readonly spec: SpecOf<K>;
 }
 
-/** A stored resource of any declared kind. */
+/** A stored resource of any kind. */
 export type Resource = { [K in Kind]: ResourceOf<K> }[Kind];
 
-/** A condition of a resource's status. */
 export interface Condition {
   readonly type: string;
   readonly status: 'True' | 'False' | 'Unknown';
@@ -299,13 +294,12 @@
   readonly message: string;
 }
 
-/** Status, worked out by the node that answers. */
+/** Computed by the responding node; not stored. */
 export interface ResourceStatus {
   readonly observedGeneration: number;
   readonly conditions: readonly Condition[];
 }
 
-/** Key of a resource in views and rows. */
 export function resourceKey(kind: string, name: string): string {
   return `${kind}/${name}`;
 }
