--- a/src/coordination/resource/rollouts/generation.ts
+++ b/src/coordination/resource/rollouts/generation.ts
@@ -154,7 +154,7 @@
     const { context, request, transcript } = run;
     const end = await this.relayEvents(stream, transcript, sink).finally(release);
     if (end === 'complete') {
-      backend.noteSuccess();
+      backend.recordSuccess();
       this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'complete' });
       return ok(undefined);
     }
@@ -171,7 +171,7 @@
     const { context, request, excluded } = run;
     this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: error.failure });
     if (context.signal.aborted) return { mayRetry: false, failure: this.cancellationError(context) };
-    if (error.failure !== 'refused') backend.noteFailure(error.message);
+    if (error.failure !== 'refused') backend.recordFailure(error.message);
     excluded.add(backend.name);
     this.decisions.record({
       kind: 'retry',
@@ -204,7 +204,7 @@
   }
 
   private recordCut({ context, request, transcript, excluded }: Run, backend: BackendEntry): void {
-    backend.noteFailure('stream interrupted');
+    backend.recordFailure('stream interrupted');
     excluded.add(backend.name);
     this.metrics.attempts.inc({ service: request.service.metadata.name, outcome: 'cut' });
     if (!transcript.isEmpty) this.metrics.resumes.inc();
--- a/src/coordination/resource/weights/engine-monitor.ts
+++ b/src/coordination/resource/weights/engine-monitor.ts
@@ -52,8 +52,8 @@
   private async pollEngine(backend: BackendEntry, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const state = await this.engines.state(backend.declaration.spec.address);
-      if (state.isOk()) backend.noteReport(state.value);
-      else backend.noteFailure(state.error.message);
+      if (state.isOk()) backend.recordReport(state.value);
+      else backend.recordFailure(state.error.message);
       await this.waitForNextPoll(backend, signal);
     }
   }
--- a/src/protocol/resource/operator-client.ts
+++ b/src/protocol/resource/operator-client.ts
@@ -1,6 +1,6 @@
 /**
- * Client of operators, for the command line and for programs. Reads may be repeated, and commits under the
- * same operation ID; put, patch and remove are safe to repeat with `ifMatch`.
+ * Client of the operator API, for the command line and for programs. Reads are safe to retry, as are commits
+ * with the same operation ID; put, patch and remove are safe to retry with `ifMatch`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import Type, { type TSchema } from 'typebox';
@@ -22,42 +22,39 @@
 } from './operator.js';
 import { type Problem, ProblemSchema } from './problem.js';
 
-/** A resource as the interface shows it. */
-export interface ShownResource {
+/** A resource as returned by the API. */
+export interface ApiResource {
   readonly apiVersion: string;
   readonly kind: string;
   readonly metadata: Record<string, unknown> & { readonly name: string; readonly resourceVersion: number };
   readonly spec: Record<string, unknown>;
-  readonly status?: { readonly observedGeneration: number; readonly conditions: readonly ShownCondition[] };
+  readonly status?: { readonly observedGeneration: number; readonly conditions: readonly ApiCondition[] };
 }
 
-/** A condition as the interface shows it. */
-export interface ShownCondition {
+export interface ApiCondition {
   readonly type: string;
   readonly status: string;
   readonly reason: string;
   readonly message: string;
 }
 
-/** A list of resources at a revision. */
 export interface ResourceList {
   readonly resourceVersion: number;
-  readonly items: readonly ShownResource[];
+  readonly items: readonly ApiResource[];
 }
 
-const anything = new Validator(Type.Unknown());
+const anyJson = new Validator(Type.Unknown());
 const changesetAnswer = new Validator(ChangesetAnswerSchema);
 const explanation = new Validator(ExplanationSchema);
 const revisionReport = new Validator(RevisionReportSchema);
 const status = new Validator(StatusSchema);
 const problem = new Validator(ProblemSchema);
 
-/** The problem document of a rejection, when it has one. */
+/** Problem document of a rejection; `undefined` if the response has none. */
 export function problemOf(error: ProtocolError): Problem | undefined {
   return problem.check(error.detail).unwrapOr(undefined as never);
 }
 
-/** Client of one node. */
 export class OperatorClient {
   constructor(
     private readonly client: HttpClient,
@@ -65,52 +62,40 @@
     private readonly token: string,
   ) {}
 
-  /** Resources of a kind. */
   async list(kind: string, set?: string): Promise<Result<ResourceList, ProtocolError>> {
     const query = set === undefined ? '' : `?set=${encodeURIComponent(set)}`;
-    return (await this.call('GET', `/v1/resources/${kind}${query}`, anything)) as Result<
+    return (await this.call('GET', `/v1/resources/${kind}${query}`, anyJson)) as Result<
       ResourceList,
       ProtocolError
     >;
   }
 
-  /** One resource. */
-  async get(kind: string, name: string): Promise<Result<ShownResource, ProtocolError>> {
-    return (await this.call('GET', resourcePath(kind, name), anything)) as Result<
-      ShownResource,
-      ProtocolError
-    >;
+  async get(kind: string, name: string): Promise<Result<ApiResource, ProtocolError>> {
+    return (await this.call('GET', resourcePath(kind, name), anyJson)) as Result<ApiResource, ProtocolError>;
   }
 
-  /** Creates, or with `ifMatch` replaces, a resource. */
-  async put(manifest: Manifest, ifMatch?: number): Promise<Result<ShownResource, ProtocolError>> {
+  /** Creates a resource, or replaces it if `ifMatch` is its version. */
+  async put(manifest: Manifest, ifMatch?: number): Promise<Result<ApiResource, ProtocolError>> {
     const path = resourcePath(manifest.kind, manifest.metadata.name);
-    return (await this.call('PUT', path, anything, manifest, matchHeaders(ifMatch))) as Result<
-      ShownResource,
+    return (await this.call('PUT', path, anyJson, manifest, matchHeaders(ifMatch))) as Result<
+      ApiResource,
       ProtocolError
     >;
   }
 
-  /** Changes fields of a resource by a merge patch. */
+  /** Applies a JSON merge patch. */
   async patch(
     kind: string,
     name: string,
     change: unknown,
     ifMatch?: number,
-  ): Promise<Result<ShownResource, ProtocolError>> {
-    const answer = await this.call(
-      'PATCH',
-      resourcePath(kind, name),
-      anything,
-      change,
-      matchHeaders(ifMatch),
-    );
-    return answer as Result<ShownResource, ProtocolError>;
+  ): Promise<Result<ApiResource, ProtocolError>> {
+    const answer = await this.call('PATCH', resourcePath(kind, name), anyJson, change, matchHeaders(ifMatch));
+    return answer as Result<ApiResource, ProtocolError>;
   }
 
-  /** Deletes a resource. */
   async remove(kind: string, name: string, ifMatch?: number): Promise<Result<unknown, ProtocolError>> {
-    return this.call('DELETE', resourcePath(kind, name), anything, undefined, matchHeaders(ifMatch));
+    return this.call('DELETE', resourcePath(kind, name), anyJson, undefined, matchHeaders(ifMatch));
   }
 
   /** Commits changes as one revision. */
@@ -118,31 +103,29 @@
     return this.call('POST', '/v1/changesets', changesetAnswer, changeset);
   }
 
-  /** Approves a model version. */
-  async approve(version: string, note?: string): Promise<Result<ShownResource, ProtocolError>> {
+  async approve(version: string, note?: string): Promise<Result<ApiResource, ProtocolError>> {
     const path = `/v1/approvals/${encodeURIComponent(version)}`;
-    return (await this.call('POST', path, anything, note ? { note } : {})) as Result<
-      ShownResource,
+    return (await this.call('POST', path, anyJson, note ? { note } : {})) as Result<
+      ApiResource,
       ProtocolError
     >;
   }
 
-  /** Who holds a revision. */
+  /** Reports which nodes have applied a revision. */
   revision(revision: number): Promise<Result<RevisionReport, ProtocolError>> {
     return this.call('GET', `/v1/revisions/${revision}`, revisionReport);
   }
 
-  /** Decisions about a request, a sample or a back end. */
+  /** Returns the decisions about a request, a sample or a back end. */
   explain(subject: string): Promise<Result<Explanation, ProtocolError>> {
     return this.call('GET', `/v1/explain/${encodeURIComponent(subject)}`, explanation);
   }
 
-  /** The node's status. */
   status(): Promise<Result<Status, ProtocolError>> {
     return this.call('GET', '/v1/status', status);
   }
 
-  /** Lines of a watch, until the node ends it or `signal` is aborted. An aborted watch is no error. */
+  /** Passes on the lines of a watch until the node ends it or `signal` aborts it, which is not an error. */
   async watch(
     kind: string,
     resourceVersion: number | undefined,
@@ -185,25 +168,25 @@
   return ifMatch === undefined ? {} : { 'if-match': `"${ifMatch}"` };
 }
 
-/** Passes whole lines to `onLine`; resolves to the text after the last one. Error: a cut stream. */
+/** Passes complete lines to `onLine` and returns the text after the last one. Fails if the stream is cut. */
 async function readLines(
   body: AsyncIterable<Buffer | string>,
   onLine: (line: string) => void,
 ): Promise<Result<string, ProtocolError>> {
-  let carry = '';
+  let remainder = '';
   try {
     for await (const chunk of body) {
-      const lines = (carry + chunk.toString('utf8')).split('\n');
-      carry = lines.pop() ?? '';
+      const lines = (remainder + chunk.toString('utf8')).split('\n');
+      remainder = lines.pop() ?? '';
       for (const line of lines) onLine(line);
     }
   } catch (cause) {
-    return err(new ProtocolError('unavailable', 'none', `the watch was cut: ${String(cause)}`));
+    return err(new ProtocolError('unavailable', 'none', `watch stream interrupted: ${String(cause)}`));
   }
-  return ok(carry);
+  return ok(remainder);
 }
 
-/** The body of a rejection; `undefined` when it is not JSON: the status is reported all the same. */
+/** Returns `undefined` for text that is not JSON, since the status of the rejection is reported anyway. */
 function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/state/resource/configuration/config-store.ts
+++ b/src/state/resource/configuration/config-store.ts
@@ -1,10 +1,7 @@
 /**
- * The configuration in the store. A change is committed when one transaction has written the head, the log
- * entry of the revision, the resources, and the operation's own row, by which a repeated operation finds its
- * outcome.
- *
- * Owns no state. Two writers conflict at the head: the later one reads again. A commit whose outcome stays
- * unknown fails as `unavailable`; repeating it under the same operation ID is safe.
+ * The configuration in the store. One transaction writes the head, the log entry of the revision, the
+ * resources and a row for the operation ID, which makes a repeated commit return the first outcome.
+ * Concurrent commits conflict at the head, and the losing one is retried.
  *
  * Rows: `config/head` {revision}, `config/log/{revision}` ConfigEntry, `config/resource/{kind}/{name}`
  * Resource, `config/operation/{operationId}` {revision}, `published/{model}` {version}.
@@ -20,53 +17,51 @@
 } from '../../../protocol/resource/resource.js';
 import { StateError } from '../../state-error.js';
 import type { Row, StateResult, Transaction } from '../tables/index.js';
-import { type RoundResult, scanAll, settle, type Table } from '../tables/index.js';
+import { type Attempt, scanAll, settle, type Table } from '../tables/index.js';
 
 const HEAD_KEY = 'config/head';
 const RESOURCE_PREFIX = 'config/resource/';
 const REVISION_DIGITS = 12;
-/** Rounds of a commit. Chosen, not measured: a round is lost to each concurrent writer. */
-const MAX_COMMIT_ROUNDS = 8;
-/** Log entries read at a time: the page size of the store's scans. */
-const MAX_ENTRIES_READ = 1_000;
+/** Each concurrent writer can cost one attempt. */
+const MAX_COMMIT_ATTEMPTS = 8;
+/** Page size of the store's scans. */
+const LOG_PAGE_SIZE = 1_000;
 
 const logKey = (revision: number) => `config/log/${revision.toString().padStart(REVISION_DIGITS, '0')}`;
 const rowKey = (kind: string, name: string) => `${RESOURCE_PREFIX}${resourceKey(kind, name)}`;
 const operationKey = (operationId: string) => `config/operation/${operationId}`;
 
-/** Key of the row that holds the newest published version of a model. */
 export const publishedKey = (model: string) => `published/${model}`;
 
-/** The version in a `published/{model}` row; 0 when there is no row. */
+/** Newest published version of a model, from its row; 0 without a row. */
 export function publishedVersion(row: Row | undefined): number {
   return (row?.value as { version: number } | undefined)?.version ?? 0;
 }
 
-/** A wanted change of one resource. */
-export interface WantedChange {
+export interface DesiredChange {
   readonly kind: string;
   readonly name: string;
-  /** resourceVersion that the writer saw: 0 for none, `undefined` for any. */
+  /** Expected `resourceVersion`: 0 if the resource must not exist, `undefined` for any. */
   readonly expectedVersion: number | undefined;
-  /** Computes the new manifest from the stored resource; null deletes. */
+  /** Returns the new manifest for the stored resource; null deletes it. */
   readonly update: (stored: Resource | undefined) => Result<Manifest | null, StateError>;
 }
 
-/** Result of a commit, or of its preview. */
+/** Result of a commit or a preview. */
 export interface CommitOutcome {
   readonly revision: number;
-  /** False when nothing differed and so nothing was written. */
+  /** False if there was no difference, so that nothing was written. */
   readonly changed: boolean;
   readonly resources: readonly (Resource | null)[];
 }
 
-interface Planned {
+interface CommitPlan {
   readonly entry: ConfigEntry;
   readonly transaction: Transaction;
   readonly outcome: CommitOutcome;
 }
 
-function stable(value: unknown): string {
+function canonicalJson(value: unknown): string {
   return JSON.stringify(value, (_key, inner) =>
     inner && typeof inner === 'object' && !Array.isArray(inner)
       ? Object.fromEntries(Object.entries(inner).sort(([a], [b]) => (a < b ? -1 : 1)))
@@ -74,17 +69,18 @@
   );
 }
 
-/** Whether a manifest declares what is stored. A new source revision alone is no difference. */
+/** Compares labels, set and spec; a different source revision alone does not count as a change. */
 export function sameDeclaration(stored: Resource, manifest: Manifest): boolean {
-  const declared = (labels: unknown, set: unknown, spec: unknown) => stable([labels ?? {}, set ?? '', spec]);
+  const declared = (labels: unknown, set: unknown, spec: unknown) =>
+    canonicalJson([labels ?? {}, set ?? '', spec]);
   return (
     declared(stored.metadata.labels, stored.metadata.set, stored.spec) ===
     declared(manifest.metadata.labels, manifest.metadata.set, manifest.spec)
   );
 }
 
-function storedForm(manifest: Manifest, before: Resource | undefined, revision: number): Resource {
-  const specChanged = before === undefined || stable(before.spec) !== stable(manifest.spec);
+function toStoredResource(manifest: Manifest, before: Resource | undefined, revision: number): Resource {
+  const specChanged = before === undefined || canonicalJson(before.spec) !== canonicalJson(manifest.spec);
   const { name, labels, source, set } = manifest.metadata;
   const metadata: Metadata = {
     name,
@@ -101,27 +97,26 @@
   return (rows.get(HEAD_KEY)?.value as { revision: number } | undefined)?.revision ?? 0;
 }
 
-/** Reads and commits configuration. */
 export class ConfigStore {
   constructor(private readonly table: Table) {}
 
-  /** The newest committed revision. */
+  /** Newest committed revision. */
   async head(): StateResult<number> {
     const rows = await this.table.read([HEAD_KEY]);
     return rows.map((found) => headRevision(new Map(found.map((row) => [row.key, row]))));
   }
 
-  /** Log entries with a revision above `after` and at most `upTo`. */
+  /** Log entries from `after` (exclusive) to `upTo` (inclusive), at most one page. */
   async entries(after: number, upTo: number): StateResult<ConfigEntry[]> {
     const rows = await this.table.scan(
       'config/log/',
-      Math.max(1, Math.min(MAX_ENTRIES_READ, upTo - after)),
+      Math.max(1, Math.min(LOG_PAGE_SIZE, upTo - after)),
       logKey(after),
     );
     return rows.map((found) => found.map((row) => row.value as ConfigEntry));
   }
 
-  /** All resources. Rows may be newer than the revision; replaying the log from there is exact. */
+  /** All resources. Rows may be newer than `revision`; replaying the log from there corrects that. */
   async snapshot(): StateResult<{ revision: number; resources: Resource[] }> {
     const head = await this.head();
     if (head.isErr()) return err(head.error);
@@ -133,21 +128,21 @@
   }
 
   /**
-   * Commits changes as one revision. The same operation ID never commits twice; repeating it, from any node,
-   * returns the revision of the first time.
+   * Commits changes as one revision. An operation ID commits at most once; repeating it, from any node,
+   * returns the revision of the first commit. Fails as `unavailable` if the outcome stays unknown.
    */
-  async commit(operationId: string, wanted: readonly WantedChange[]): StateResult<CommitOutcome> {
-    return settle(MAX_COMMIT_ROUNDS, 'the commit could not be settled', () =>
-      this.commitOnce(operationId, wanted),
+  async commit(operationId: string, wanted: readonly DesiredChange[]): StateResult<CommitOutcome> {
+    return settle(MAX_COMMIT_ATTEMPTS, 'outcome of the commit is still unknown', () =>
+      this.tryCommit(operationId, wanted),
     );
   }
 
-  /** `undefined` after a conflict or a lost answer: the next round reads the operation's row. */
-  private async commitOnce(operationId: string, wanted: readonly WantedChange[]): RoundResult<CommitOutcome> {
+  /** `undefined` after a conflict or a lost response: the next attempt reads the row of the operation. */
+  private async tryCommit(operationId: string, wanted: readonly DesiredChange[]): Attempt<CommitOutcome> {
     const rows = await this.readForCommit(operationId, wanted);
     if (rows.isErr()) return err(rows.error);
     const settled = rows.value.get(operationKey(operationId));
-    if (settled) return this.settledOutcome(settled, wanted, rows.value);
+    if (settled) return this.committedOutcome(settled, wanted, rows.value);
     const planned = await this.plan(operationId, wanted, rows.value);
     if (planned.isErr()) return err(planned.error);
     const { outcome, transaction } = planned.value;
@@ -158,23 +153,23 @@
     return isFinal ? err(result.error) : undefined;
   }
 
-  /** The outcome that a commit would have, without committing. */
-  async preview(wanted: readonly WantedChange[]): StateResult<CommitOutcome> {
+  /** Outcome that a commit would have. */
+  async preview(wanted: readonly DesiredChange[]): StateResult<CommitOutcome> {
     const rows = await this.readForCommit('preview', wanted);
     if (rows.isErr()) return err(rows.error);
     const planned = await this.plan('preview', wanted, rows.value);
     return planned.map((plan) => plan.outcome);
   }
 
-  private async readForCommit(operationId: string, wanted: readonly WantedChange[]) {
+  private async readForCommit(operationId: string, wanted: readonly DesiredChange[]) {
     const keys = [HEAD_KEY, operationKey(operationId), ...wanted.map((one) => rowKey(one.kind, one.name))];
     const rows = await this.table.read(keys);
     return rows.map((found) => new Map(found.map((row) => [row.key, row])));
   }
 
-  private settledOutcome(
+  private committedOutcome(
     settled: Row,
-    wanted: readonly WantedChange[],
+    wanted: readonly DesiredChange[],
     rows: ReadonlyMap<string, Row>,
   ): Result<CommitOutcome, StateError> {
     const { revision } = settled.value as { revision: number };
@@ -184,9 +179,9 @@
 
   private async plan(
     operationId: string,
-    wanted: readonly WantedChange[],
+    wanted: readonly DesiredChange[],
     rows: ReadonlyMap<string, Row>,
-  ): StateResult<Planned> {
+  ): StateResult<CommitPlan> {
     const revision = headRevision(rows) + 1;
     const changes: ConfigEntry['changes'] = [];
     const resources: (Resource | null)[] = [];
@@ -201,7 +196,7 @@
       transaction.conditions.push({ key: rowKey(want.kind, want.name), version: row?.version ?? 0 });
       transaction.writes.push({ key: rowKey(want.kind, want.name), value: next.value.resource });
     }
-    if (changes.length === 0) return ok(unchanged(revision - 1, resources));
+    if (changes.length === 0) return ok(unchangedPlan(revision - 1, resources));
     const entry: ConfigEntry = { revision, operationId, changes };
     const published = await this.publishedWrites(changes);
     if (published.isErr()) return err(published.error);
@@ -215,7 +210,7 @@
     return ok({ entry, transaction, outcome: { revision, changed: true, resources } });
   }
 
-  /** Rows that keep, for each model, the newest published version, for the staleness check of draws. */
+  /** Updates the newest published version of each model, against which draws check staleness. */
   private async publishedWrites(changes: ConfigEntry['changes']): StateResult<Transaction> {
     const newest = newestVersions(changes);
     const transaction: Transaction = { conditions: [], writes: [] };
@@ -233,7 +228,7 @@
   }
 }
 
-/** The newest version of each model among the changes. */
+/** Newest version of each model among the changes. */
 function newestVersions(changes: ConfigEntry['changes']): Map<string, number> {
   const newest = new Map<string, number>();
   for (const change of changes) {
@@ -245,7 +240,7 @@
   return newest;
 }
 
-function unchanged(revision: number, resources: readonly (Resource | null)[]): Planned {
+function unchangedPlan(revision: number, resources: readonly (Resource | null)[]): CommitPlan {
   return {
     entry: { revision, operationId: '', changes: [] },
     transaction: { conditions: [], writes: [] },
@@ -254,7 +249,7 @@
 }
 
 function nextResource(
-  want: WantedChange,
+  want: DesiredChange,
   stored: Resource | undefined,
   revision: number,
 ): Result<{ resource: Resource | null; changed: boolean }, StateError> {
@@ -270,5 +265,5 @@
     return err(new StateError('conflict', 'none', message, undefined, versions));
   }
   if (manifest.value === null) return ok({ resource: null, changed: stored !== undefined });
-  return ok({ resource: storedForm(manifest.value, stored, revision), changed: true });
+  return ok({ resource: toStoredResource(manifest.value, stored, revision), changed: true });
 }
--- a/src/state/resource/leases/lease-store.ts
+++ b/src/state/resource/leases/lease-store.ts
@@ -1,12 +1,9 @@
 /**
- * Leases in the store. A node renews one session row by heartbeats; each lease names the session that holds
- * it, so that renewals cost one write a node, whatever the number of its leases.
- *
- * A candidate observes the holder's session row on its own monotonic clock and acquires the lease only when
- * the row has not changed for the whole lease time, in a transaction conditional on it. Each change of holder
- * raises the epoch. Safety does not rest on holders noticing a process pause: writes under a lease are
- * conditional on the version of its epoch row, and commands to engines carry the epoch as fence. When the
- * store is not reachable, no lease changes holder.
+ * Leases in the store. Each lease names the session of its holder, and a node renews all its leases by
+ * writing one session row. Another node acquires a lease only after the holder's session row has not changed
+ * for the lease time, measured on its own monotonic clock. Writes under a lease are conditional on its epoch
+ * row and commands to engines carry the epoch as a fencing token, so a paused holder cannot overwrite its
+ * successor.
  *
  * Rows: `session/{nodeId}` {session, beat}, `lease/{name}` {holder, session, epoch}, `lease-epoch/{name}`
  * {epoch}.
@@ -18,23 +15,22 @@
 
 interface SessionRow {
   readonly session: string;
-  /** Heartbeat number; grows with each renewal. */
+  /** Heartbeat number; incremented by each renewal. */
   readonly beat: number;
 }
 
 interface LeaseRow {
-  /** Node that holds the lease; empty when it was released. */
+  /** Node ID of the holder; empty after a release. */
   readonly holder: string;
   readonly session: string;
   readonly epoch: number;
 }
 
-/** A lease that this node holds. */
 export interface HeldLease {
   readonly name: string;
-  /** Grows by one with each change of holder. */
+  /** Incremented by each change of holder. */
   readonly epoch: number;
-  /** Condition to add to every transaction made under the lease. */
+  /** Condition that every transaction under the lease must include. */
   readonly condition: { readonly key: string; readonly version: number };
 }
 
@@ -55,7 +51,7 @@
   private heartbeat = 0;
   private renewedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** `leaseMs`: time without a heartbeat after which others may acquire a holder's leases, milliseconds. */
+  /** `leaseMs`: time without a heartbeat after which other nodes may acquire the leases of a holder. */
   constructor(
     private readonly table: Table,
     private readonly nodeId: string,
@@ -63,20 +59,20 @@
     readonly leaseMs: number,
   ) {}
 
-  /** Whether the session has certainly not expired. Saves calls; safety rests on conditions and fences. */
+  /** Whether the session cannot have expired yet. Only a shortcut: conditions and fences guarantee safety. */
   get isValid(): boolean {
     return monotonicMs() - this.renewedAtMs < this.leaseMs;
   }
 
   /**
-   * The lease, unless it is known to be lost. While the store is not reachable nobody can acquire it either,
-   * so work under it goes on; the conditions of its writes decide.
+   * The lease, unless it is known to be lost. It is also returned while the store is unreachable: no other
+   * node can acquire it then, and the conditions of its writes reject a stale holder.
    */
   get(name: string): HeldLease | undefined {
     return this.held.get(name);
   }
 
-  /** Renews the session. After a gap in which it may have expired, lost leases are dropped. */
+  /** Renews the session. If it may have expired before, leases acquired by other nodes are dropped. */
   async renew(): StateResult<void> {
     const mayHaveExpired = !this.isValid;
     const renewed = await this.writeHeartbeat();
@@ -84,10 +80,10 @@
       if (renewed.error.failure === 'conflict') this.held.clear();
       return renewed;
     }
-    return mayHaveExpired ? this.dropTakenOver() : renewed;
+    return mayHaveExpired ? this.dropLostLeases() : renewed;
   }
 
-  private async dropTakenOver(): StateResult<void> {
+  private async dropLostLeases(): StateResult<void> {
     const rows = await this.table.read([...this.held.keys()].map(leaseKey));
     if (rows.isErr()) return err(rows.error);
     const byKey = new Map(rows.value.map((row) => [row.key, row.value as LeaseRow]));
@@ -107,37 +103,37 @@
       writes: [{ key: sessionKey(this.nodeId), value }],
     });
     if (written.isOk() && written.value.committed) {
-      this.noteRenewed(this.sessionVersion + 1, heartbeat, startedAt);
+      this.recordRenewal(this.sessionVersion + 1, heartbeat, startedAt);
       return ok(undefined);
     }
     if (written.isErr() && written.error.effect === 'none') return err(written.error);
-    return this.settleRenewal(heartbeat, startedAt);
+    return this.resolveRenewal(heartbeat, startedAt);
   }
 
-  /** Reads the outcome of a renewal whose answer was lost or whose condition failed. */
-  private async settleRenewal(heartbeat: number, startedAt: number): StateResult<void> {
+  /** Reads the session row after a renewal whose response was lost or whose condition failed. */
+  private async resolveRenewal(heartbeat: number, startedAt: number): StateResult<void> {
     const rows = await this.table.read([sessionKey(this.nodeId)]);
     if (rows.isErr()) return err(rows.error);
     const row = rows.value[0];
     const value = row?.value as SessionRow | undefined;
     this.sessionVersion = row?.version ?? 0;
     if (value?.session === this.session && value.beat === heartbeat) {
-      this.noteRenewed(this.sessionVersion, heartbeat, startedAt);
+      this.recordRenewal(this.sessionVersion, heartbeat, startedAt);
       return ok(undefined);
     }
-    return err(new StateError('conflict', 'none', 'the session row was written by another one'));
+    return err(new StateError('conflict', 'none', 'session row was written by another process'));
   }
 
-  private noteRenewed(version: number, heartbeat: number, startedAt: number): void {
+  private recordRenewal(version: number, heartbeat: number, startedAt: number): void {
     this.sessionVersion = version;
     this.heartbeat = heartbeat;
     this.renewedAtMs = startedAt;
   }
 
-  /** Acquires a lease that is free or whose holder's session expired; else `undefined`. */
+  /** Acquires a lease that is free or whose holder's session has expired; otherwise `undefined`. */
   async tryAcquire(name: string): StateResult<HeldLease | undefined> {
-    const known = this.get(name);
-    if (known) return ok(known);
+    const current = this.get(name);
+    if (current) return ok(current);
     if (!this.isValid) return ok(undefined);
     const rows = await this.table.read([leaseKey(name), epochKey(name)]);
     if (rows.isErr()) return err(rows.error);
@@ -149,10 +145,10 @@
     const expired = await this.expiryConditions(value);
     if (expired.isErr()) return err(expired.error);
     if (expired.value === undefined) return ok(undefined);
-    return this.take(name, lease, epochRow, expired.value);
+    return this.acquire(name, lease, epochRow, expired.value);
   }
 
-  /** Releases a lease, so that others need not wait for its expiry. Best effort. */
+  /** Releases a lease, so that other nodes need not wait for its expiry. Errors are ignored. */
   async release(lease: HeldLease): Promise<void> {
     this.held.delete(lease.name);
     const rows = await this.table.read([leaseKey(lease.name)]);
@@ -166,12 +162,12 @@
     });
   }
 
-  /** Drops a lease that turned out to be lost. */
-  forget(name: string): void {
+  /** Removes a lost lease from memory; the store is not changed. */
+  drop(name: string): void {
     this.held.delete(name);
   }
 
-  /** Conditions under which the holder may be replaced; `undefined` while it may hold the lease. */
+  /** Transaction conditions for replacing the holder; `undefined` while its session may be alive. */
   private async expiryConditions(
     value: LeaseRow | undefined,
   ): StateResult<{ key: string; version: number }[] | undefined> {
@@ -181,17 +177,17 @@
     const row = rows.value[0];
     const version = row?.version ?? 0;
     const condition = [{ key: sessionKey(value.holder), version }];
-    // The holder has restarted with another session: the old one can no longer be renewed.
+    // The holder restarted with a new session, so the old one can no longer be renewed.
     if ((row?.value as SessionRow | undefined)?.session !== value.session) return ok(condition);
-    const seen = this.observations.get(value.holder);
-    if (seen?.version !== version) {
+    const observation = this.observations.get(value.holder);
+    if (observation?.version !== version) {
       this.observations.set(value.holder, { version, sinceMs: monotonicMs() });
       return ok(undefined);
     }
-    return ok(monotonicMs() - seen.sinceMs > this.leaseMs ? condition : undefined);
+    return ok(monotonicMs() - observation.sinceMs > this.leaseMs ? condition : undefined);
   }
 
-  private async take(
+  private async acquire(
     name: string,
     lease: Row | undefined,
     epochRow: Row | undefined,
@@ -199,7 +195,7 @@
   ): StateResult<HeldLease | undefined> {
     const epoch = ((epochRow?.value as { epoch: number } | undefined)?.epoch ?? 0) + 1;
     const value: LeaseRow = { holder: this.nodeId, session: this.session, epoch };
-    const taken = await this.table.transact({
+    const outcome = await this.table.transact({
       conditions: [
         { key: leaseKey(name), version: lease?.version ?? 0 },
         { key: epochKey(name), version: epochRow?.version ?? 0 },
@@ -210,13 +206,13 @@
         { key: epochKey(name), value: { epoch } },
       ],
     });
-    // A lost answer is settled by the next try, which finds the lease held by this session.
-    if (taken.isErr()) return err(taken.error);
-    if (!taken.value.committed) return ok(undefined);
+    // If the response was lost, the next attempt finds the lease held by this session.
+    if (outcome.isErr()) return err(outcome.error);
+    if (!outcome.value.committed) return ok(undefined);
     return ok(this.hold(name, epoch, (epochRow?.version ?? 0) + 1));
   }
 
-  /** A lease found to be this session's. Its rows are read one by one: both must be of one epoch. */
+  /** Adopts a lease already held by this session. Its rows are read separately, so the epochs may differ. */
   private adopt(name: string, epoch: number, epochRow: Row | undefined): HeldLease | undefined {
     const epochValue = epochRow?.value as { epoch: number } | undefined;
     return epochRow && epochValue?.epoch === epoch ? this.hold(name, epoch, epochRow.version) : undefined;
--- a/src/state/resource/samples/batch-ledger.ts
+++ b/src/state/resource/samples/batch-ledger.ts
@@ -9,8 +9,8 @@
 import { StateError } from '../../state-error.js';
 import { publishedKey, publishedVersion } from '../configuration/index.js';
 import {
+  type Attempt,
   type Objects,
-  type RoundResult,
   type Row,
   type StateResult,
   settle,
@@ -73,7 +73,7 @@
     terms: DrawOptions,
     request: DrawRequest,
     discarded: DiscardedSample[],
-  ): RoundResult<DrawOutcome> {
+  ): Attempt<DrawOutcome> {
     const state = await this.readState(terms, request);
     if (state.isErr()) return err(state.error);
     const conflict = cursorConflict(state.value.cursorRow, request);
@@ -98,7 +98,7 @@
   private async tryAcknowledge(
     key: string,
     batch: Pick<CursorRow, 'cursor' | 'attempt' | 'digest'>,
-  ): RoundResult<void> {
+  ): Attempt<void> {
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
     const stored = rows.value[0];
--- a/src/state/resource/samples/rollout-ledger.ts
+++ b/src/state/resource/samples/rollout-ledger.ts
@@ -9,8 +9,8 @@
 import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
 import {
+  type Attempt,
   type Objects,
-  type RoundResult,
   type StateResult,
   scanAll,
   settle,
@@ -85,7 +85,7 @@
     );
   }
 
-  private async trySubmit(trainer: string, rolloutId: string, row: RolloutRow): RoundResult<RolloutRow> {
+  private async trySubmit(trainer: string, rolloutId: string, row: RolloutRow): Attempt<RolloutRow> {
     const key = ledgerKeys.rollout(trainer, rolloutId);
     const open = { rolloutId } satisfies OpenRow;
     const written = await this.table.transact({
@@ -111,7 +111,7 @@
     );
   }
 
-  private async tryCancel(trainer: string, rolloutId: string): RoundResult<void> {
+  private async tryCancel(trainer: string, rolloutId: string): Attempt<void> {
     const key = ledgerKeys.rollout(trainer, rolloutId);
     const rows = await this.table.read([key]);
     if (rows.isErr()) return err(rows.error);
--- a/src/state/resource/samples/sample-commits.ts
+++ b/src/state/resource/samples/sample-commits.ts
@@ -9,8 +9,8 @@
 import { StateError } from '../../state-error.js';
 import type { HeldLease } from '../leases/index.js';
 import {
+  type Attempt,
   type Objects,
-  type RoundResult,
   type Row,
   type StateResult,
   settle,
@@ -88,7 +88,7 @@
     );
   }
 
-  private async tryCommit(lease: HeldLease, prepared: readonly PreparedCommit[]): RoundResult<boolean> {
+  private async tryCommit(lease: HeldLease, prepared: readonly PreparedCommit[]): Attempt<boolean> {
     const written = await this.table.transact({
       conditions: [lease.condition, ...prepared.flatMap((one) => one.conditions)],
       writes: prepared.flatMap((one) => one.writes),
