--- a/scripts/check-layers.ts
+++ b/scripts/check-layers.ts
@@ -12,7 +12,7 @@
   SETTINGS_VARIABLE,
   STORE_PATH,
 } from '../platform/names.js';
-import { importBreaches, importCircle, type Source } from './layer-rules.js';
+import { findImportCycle, importViolations, type Source } from './layer-rules.js';
 
 /** Names that the platform shares with HTTP in general, or with flags of the product's own command line. */
 const COMMON_NAMES = new Set<string>([
@@ -28,7 +28,7 @@
 
 const ADAPTER = 'platform';
 /** Folders beside the product that enter its rooms through their index; tests look inside. */
-const COMPANIONS = [ADAPTER, 'emulator', 'bench'];
+const NON_PRODUCT_FOLDERS = [ADAPTER, 'emulator', 'bench'];
 
 /** Names of the platform's interface that stand nowhere outside the adapter and the tests of it. */
 const PLATFORM_NAMES: readonly string[] = [
@@ -64,20 +64,20 @@
   );
 }
 
-function linesOf(files: readonly string[]): number {
+function countLines(files: readonly string[]): number {
   return files.reduce((sum, file) => sum + readFileSync(file, 'utf8').split('\n').length, 0);
 }
 
 const product = sourcesUnder(join(root, 'src'));
 const adapter = sourcesUnder(join(root, ADAPTER));
-const companions = COMPANIONS.flatMap((folder) => sourcesUnder(join(root, folder)));
+const nonProduct = NON_PRODUCT_FOLDERS.flatMap((folder) => sourcesUnder(join(root, folder)));
 const violations = [
-  ...[...product, ...companions].map(toSource).flatMap(importBreaches),
+  ...[...product, ...nonProduct].map(toSource).flatMap(importViolations),
   ...product.flatMap(platformNamesIn),
 ];
-const circle = importCircle(product.map(toSource));
-if (circle) violations.push(`imports run in a circle: ${circle.join(' -> ')}`);
-const [productLines, adapterLines] = [linesOf(product), linesOf(adapter)];
+const cycle = findImportCycle(product.map(toSource));
+if (cycle) violations.push(`imports run in a circle: ${cycle.join(' -> ')}`);
+const [productLines, adapterLines] = [countLines(product), countLines(adapter)];
 if (adapterLines > productLines * MAX_ADAPTER_SHARE)
   violations.push(`${ADAPTER}: larger than a sixth of src`);
 for (const violation of violations) process.stderr.write(`${violation}\n`);
--- a/scripts/ci-summary.ts
+++ b/scripts/ci-summary.ts
@@ -29,26 +29,26 @@
     .map((line) => line.split(' | ')[0] as string);
 }
 
-const say = (text: string) => process.stdout.write(`${text}\n`);
+const print = (text: string) => process.stdout.write(`${text}\n`);
 
 const report = JSON.parse(readFileSync(process.argv[2] as string, 'utf8')) as Report;
 const knownRed = readKnownRed();
 const failed = new Set(report.failures.map((test) => test.fullTitle));
-for (const test of report.passes) say(`passed  ${test.fullTitle} (${test.duration ?? 0} ms)`);
-for (const test of report.pending) say(`not run ${test.fullTitle}`);
+for (const test of report.passes) print(`passed  ${test.fullTitle} (${test.duration ?? 0} ms)`);
+for (const test of report.pending) print(`not run ${test.fullTitle}`);
 for (const test of report.failures) {
-  say(`${knownRed.includes(test.fullTitle) ? 'known red' : 'FAILED '} ${test.fullTitle}`);
-  say(`        ${test.err.stack ?? test.err.message ?? ''}`);
+  print(`${knownRed.includes(test.fullTitle) ? 'known red' : 'FAILED '} ${test.fullTitle}`);
+  print(`        ${test.err.stack ?? test.err.message ?? ''}`);
 }
 const unexpected = report.failures.filter((test) => !knownRed.includes(test.fullTitle));
-const mended = knownRed.filter((title) => !failed.has(title));
-for (const title of mended) say(`listed in ${KNOWN_RED_FILE} but not failing: ${title}`);
-if (knownRed.length > MAX_KNOWN_RED) say(`${KNOWN_RED_FILE} lists more than ${MAX_KNOWN_RED} tests`);
-say(`${report.passes.length} passed, ${report.failures.length} failed`);
-const isGood =
+const unexpectedPasses = knownRed.filter((title) => !failed.has(title));
+for (const title of unexpectedPasses) print(`listed in ${KNOWN_RED_FILE} but not failing: ${title}`);
+if (knownRed.length > MAX_KNOWN_RED) print(`${KNOWN_RED_FILE} lists more than ${MAX_KNOWN_RED} tests`);
+print(`${report.passes.length} passed, ${report.failures.length} failed`);
+const isPassing =
   report.passes.length > 0 &&
   unexpected.length === 0 &&
-  mended.length === 0 &&
+  unexpectedPasses.length === 0 &&
   knownRed.length <= MAX_KNOWN_RED &&
   report.pending.length === 0;
-process.exit(isGood ? 0 : 1);
+process.exit(isPassing ? 0 : 1);
--- a/scripts/layer-rules.ts
+++ b/scripts/layer-rules.ts
@@ -28,7 +28,7 @@
  * Rooms of a layer; each may import those before it. Rooms below `resource` serve nodes of the product's own
  * interface, rooms below `service` those of a platform's, all others both.
  */
-const ROOMS: Readonly<Record<string, readonly string[]>> = {
+const MODULES: Readonly<Record<string, readonly string[]>> = {
   'src/protocol': [],
   'src/state': [
     'store',
@@ -78,15 +78,15 @@
 /** The interface that a path serves, if it serves one only. */
 function interfaceOf(path: string): string | undefined {
   const folder = path.split('/')[2];
-  return layerOf(path) in ROOMS ? INTERFACES.find((name) => name === folder) : undefined;
+  return layerOf(path) in MODULES ? INTERFACES.find((name) => name === folder) : undefined;
 }
 
 /** The room that a path stands in, if its layer has rooms and the path is not a file above them. */
-function roomOf(path: string): string | undefined {
-  if ((ROOMS[layerOf(path)] ?? []).length === 0) return undefined;
+function moduleOf(path: string): string | undefined {
+  if ((MODULES[layerOf(path)] ?? []).length === 0) return undefined;
   const folders = path.split('/').slice(2, -1);
-  const room = folders.slice(0, interfaceOf(path) === undefined ? 1 : 2);
-  return room.length === 0 || room.join('/') === interfaceOf(path) ? undefined : room.join('/');
+  const module = folders.slice(0, interfaceOf(path) === undefined ? 1 : 2);
+  return module.length === 0 || module.join('/') === interfaceOf(path) ? undefined : module.join('/');
 }
 
 /** Paths that a source imports, from the root of the repository. */
@@ -96,7 +96,7 @@
 }
 
 /** Violation of the order of layers by a file of the product. */
-function layerBreach(from: string, to: string): string | undefined {
+function layerViolation(from: string, to: string): string | undefined {
   const allowed = LAYERS[layerOf(from)];
   if (!allowed) return `${from}: stands in no known layer`;
   const target = layerOf(to);
@@ -106,26 +106,26 @@
 }
 
 /** Violation of the division between the two interfaces. */
-function interfaceBreach(from: string, to: string): string | undefined {
+function interfaceViolation(from: string, to: string): string | undefined {
   const [importer, imported] = [interfaceOf(from), interfaceOf(to)];
-  if (imported === undefined || importer === imported || !(layerOf(from) in ROOMS)) return undefined;
+  if (imported === undefined || importer === imported || !(layerOf(from) in MODULES)) return undefined;
   return importer === undefined
     ? `${from}: serves both interfaces and must not import ${to}`
     : `${from}: the ${importer} interface must not import the ${imported} interface`;
 }
 
 /** Violation of the order of rooms, or of the rule that a room is entered through its index. */
-function roomBreach(from: string, to: string): string | undefined {
+function moduleViolation(from: string, to: string): string | undefined {
   const layer = layerOf(to);
-  const room = roomOf(to);
-  if (room === undefined) return undefined;
-  const rooms = ROOMS[layer] ?? [];
-  if (!rooms.includes(room)) return `${to}: ${layer} has no room ${room}`;
-  const own = layer === layerOf(from) ? roomOf(from) : undefined;
-  if (own === room) return undefined;
-  if (!to.endsWith(`/${INDEX}`)) return `${from}: ${layer}/${room} is entered through its index`;
-  if (own !== undefined && rooms.indexOf(room) > rooms.indexOf(own))
-    return `${from}: ${layer}/${own} must not import ${layer}/${room}, which comes after it`;
+  const module = moduleOf(to);
+  if (module === undefined) return undefined;
+  const modules = MODULES[layer] ?? [];
+  if (!modules.includes(module)) return `${to}: ${layer} has no room ${module}`;
+  const own = layer === layerOf(from) ? moduleOf(from) : undefined;
+  if (own === module) return undefined;
+  if (!to.endsWith(`/${INDEX}`)) return `${from}: ${layer}/${module} is entered through its index`;
+  if (own !== undefined && modules.indexOf(module) > modules.indexOf(own))
+    return `${from}: ${layer}/${own} must not import ${layer}/${module}, which comes after it`;
   return undefined;
 }
 
@@ -133,34 +133,34 @@
  * Violations of a source. Files outside the product may import any layer, but enter rooms through their
  * index.
  */
-export function importBreaches(source: Source): string[] {
+export function importViolations(source: Source): string[] {
   const isProduct = source.path.startsWith('src/');
   return importsOf(source).flatMap((target) =>
     [
-      isProduct ? layerBreach(source.path, target) : undefined,
-      isProduct ? interfaceBreach(source.path, target) : undefined,
-      roomBreach(source.path, target),
-    ].filter((breach) => breach !== undefined),
+      isProduct ? layerViolation(source.path, target) : undefined,
+      isProduct ? interfaceViolation(source.path, target) : undefined,
+      moduleViolation(source.path, target),
+    ].filter((violation) => violation !== undefined),
   );
 }
 
 /** The first circle of imports found, as paths whose last one imports the first; undefined without one. */
-export function importCircle(sources: readonly Source[]): string[] | undefined {
+export function findImportCycle(sources: readonly Source[]): string[] | undefined {
   const edges = new Map(sources.map((source) => [source.path, importsOf(source)]));
   const done = new Set<string>();
   const visit = (path: string, trail: readonly string[]): string[] | undefined => {
     if (trail.includes(path)) return trail.slice(trail.indexOf(path));
     if (done.has(path)) return undefined;
     for (const target of edges.get(path) ?? []) {
-      const circle = visit(target, [...trail, path]);
-      if (circle) return circle;
+      const cycle = visit(target, [...trail, path]);
+      if (cycle) return cycle;
     }
     done.add(path);
     return undefined;
   };
   for (const path of edges.keys()) {
-    const circle = visit(path, []);
-    if (circle) return circle;
+    const cycle = visit(path, []);
+    if (cycle) return cycle;
   }
   return undefined;
 }
--- a/src/cli/commands/declare.ts
+++ b/src/cli/commands/declare.ts
@@ -9,7 +9,7 @@
 import type { ProtocolError } from '../../protocol/protocol-error.js';
 import type { Changeset, ChangesetAnswer, RevisionReport } from '../../protocol/resource/operator.js';
 import { type OperatorClient, problemOf } from '../../protocol/resource/operator-client.js';
-import { type ConnectionValues, connectionFlags, outputFlag, withOperator } from '../connection.js';
+import { type ConnectionValues, connectionFlags, outputFlag, withOperatorClient } from '../connection.js';
 import { type Declaration, loadDeclarations } from '../declarations.js';
 import { ExitCode } from '../exit-codes.js';
 import { formatTable, type OutputFormat, printNote, printResult, reportFailure } from '../output.js';
@@ -88,7 +88,7 @@
   args: { ...connectionFlags, files, set, prune, output: outputFlag },
   handler: (args) => {
     const declarations = loadOrExit(args.files);
-    return withOperator(args, async (client) => {
+    return withOperatorClient(args, async (client) => {
       const plan = await planApply(client, declarations, {
         set: args.set,
         source: undefined,
@@ -102,28 +102,32 @@
 });
 
 // Chosen, not measured; times in milliseconds.
-const MAX_COMMIT_TRIES = 10;
-const UNSETTLED_RETRY_MS = 1_000;
+const MAX_COMMIT_ATTEMPTS = 10;
+const COMMIT_RETRY_MS = 1_000;
 const DEFAULT_WAIT_MS = 60_000;
 const WAIT_POLL_MS = 200;
 
 /** Repeats a commit under its operation ID until its outcome is known. */
-async function commitUntilSettled(client: OperatorClient, changeset: Changeset) {
+async function commitWithRetry(client: OperatorClient, changeset: Changeset) {
   for (let attempt = 1; ; attempt += 1) {
     const answer = await client.commit(changeset);
-    if (answer.isOk() || !isUnsettled(answer.error) || attempt >= MAX_COMMIT_TRIES) return answer;
+    if (answer.isOk() || !isOutcomeUnknown(answer.error) || attempt >= MAX_COMMIT_ATTEMPTS) return answer;
     printNote(`outcome not known yet, repeating (${attempt}): ${answer.error.message}`);
-    await sleep(answer.error.retryAfterMs ?? UNSETTLED_RETRY_MS);
+    await sleep(answer.error.retryAfterMs ?? COMMIT_RETRY_MS);
   }
 }
 
-function isUnsettled(error: ProtocolError): boolean {
+function isOutcomeUnknown(error: ProtocolError): boolean {
   const problem = problemOf(error);
   return problem ? problem.executed === 'unknown' || problem.status === 503 : error.effect === 'unknown';
 }
 
 /** Waits until every member holds the revision; one progress line on standard error. */
-async function waitInForce(client: OperatorClient, revision: number, timeoutMs: number): Promise<number> {
+async function waitUntilApplied(
+  client: OperatorClient,
+  revision: number,
+  timeoutMs: number,
+): Promise<number> {
   const deadline = monotonicMs() + timeoutMs;
   for (;;) {
     const report = await client.revision(revision);
@@ -131,16 +135,16 @@
       const { holders, members } = report.value;
       process.stderr.write(`\rrevision ${revision}: in force on ${holders} of ${members} nodes`);
     }
-    const isInForce = report.isOk() && report.value.inForceEverywhere;
-    if (isInForce || monotonicMs() > deadline) {
+    const isApplied = report.isOk() && report.value.inForceEverywhere;
+    if (isApplied || monotonicMs() > deadline) {
       process.stderr.write('\n');
-      return isInForce ? ExitCode.ok : reportOverdue(report);
+      return isApplied ? ExitCode.ok : reportTimeout(report);
     }
     await sleep(WAIT_POLL_MS);
   }
 }
 
-function reportOverdue(report: Result<RevisionReport, ProtocolError>): number {
+function reportTimeout(report: Result<RevisionReport, ProtocolError>): number {
   if (report.isErr()) return reportFailure(report.error);
   printNote('error: not in force everywhere within the time allowed');
   return ExitCode.unavailable;
@@ -169,13 +173,13 @@
   });
   if (plan.isErr()) return reportFailure(plan.error);
   const changeset = toChangeset(plan.value, uniqueId(), args.dryRun);
-  const committed = changeset ? await commitUntilSettled(client, changeset) : ok(undefined);
+  const committed = changeset ? await commitWithRetry(client, changeset) : ok(undefined);
   if (committed.isErr()) return reportFailure(committed.error);
   const answer = committed.value;
   printPlan(args.output, plan.value);
   printNote(outcomeOf(answer, args.dryRun));
   if (!answer || args.dryRun || !args.wait) return ExitCode.ok;
-  return waitInForce(client, answer.revision, args.waitMs ?? DEFAULT_WAIT_MS);
+  return waitUntilApplied(client, answer.revision, args.waitMs ?? DEFAULT_WAIT_MS);
 }
 
 function outcomeOf(answer: ChangesetAnswer | undefined, dryRun: boolean): string {
@@ -211,6 +215,6 @@
   },
   handler: (args) => {
     const declarations = loadOrExit(args.files);
-    return withOperator(args, (client) => apply(client, declarations, args));
+    return withOperatorClient(args, (client) => apply(client, declarations, args));
   },
 });
--- a/src/cli/commands/inspect.ts
+++ b/src/cli/commands/inspect.ts
@@ -3,7 +3,7 @@
 import type { Explanation, Status } from '../../protocol/resource/operator.js';
 import type { ShownResource } from '../../protocol/resource/operator-client.js';
 import { KINDS, ROLLOUT_KIND } from '../../protocol/resource/resource.js';
-import { connectionFlags, outputFlag, withOperator } from '../connection.js';
+import { connectionFlags, outputFlag, withOperatorClient } from '../connection.js';
 import { ExitCode } from '../exit-codes.js';
 import { formatTable, printNote, printResult, reportFailure } from '../output.js';
 
@@ -41,7 +41,7 @@
     output: outputFlag,
   },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       if (args.name === undefined) {
         const found = await client.list(args.kind);
         if (found.isErr()) return reportFailure(found.error);
@@ -56,7 +56,7 @@
 });
 
 function describeText(resource: ShownResource): string {
-  const flat = (tree: Record<string, unknown>) =>
+  const toRows = (tree: Record<string, unknown>) =>
     Object.entries(tree).map(([field, value]) => [
       field,
       typeof value === 'string' ? value : JSON.stringify(value),
@@ -68,8 +68,8 @@
     one.message,
   ]);
   return [
-    formatTable(['METADATA', ''], flat(resource.metadata)),
-    formatTable(['SPEC', ''], flat(resource.spec)),
+    formatTable(['METADATA', ''], toRows(resource.metadata)),
+    formatTable(['SPEC', ''], toRows(resource.spec)),
     formatTable(['CONDITION', 'STATUS', 'REASON', 'MESSAGE'], conditions),
   ].join('\n\n');
 }
@@ -80,7 +80,7 @@
   description: 'Show a resource with its conditions.',
   args: { ...connectionFlags, kind, name, output: outputFlag },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const found = await client.get(args.kind, args.name);
       if (found.isErr()) return reportFailure(found.error);
       printResult(args.output, found.value, () => describeText(found.value));
@@ -104,15 +104,15 @@
     lines: option({ type: optional(number), long: 'lines', description: 'End after so many lines.' }),
   },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const stop = new AbortController();
       process.once('SIGINT', () => stop.abort());
-      let left = args.lines ?? Number.POSITIVE_INFINITY;
+      let remaining = args.lines ?? Number.POSITIVE_INFINITY;
       const onLine = (line: string) => {
-        if (left <= 0) return;
+        if (remaining <= 0) return;
         process.stdout.write(`${line}\n`);
-        left -= 1;
-        if (left <= 0) stop.abort();
+        remaining -= 1;
+        if (remaining <= 0) stop.abort();
       };
       const ended = await client.watch(args.kind, args.resourceVersion, onLine, stop.signal);
       return ended.isErr() ? reportFailure(ended.error) : ExitCode.ok;
@@ -147,7 +147,7 @@
     output: outputFlag,
   },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const found = await client.explain(args.subject);
       if (found.isErr()) return reportFailure(found.error);
       printResult(args.output, found.value, () => explanationText(found.value));
@@ -158,7 +158,7 @@
 function statusText(status: Status): string {
   const { node, members, backends } = status;
   const head = `node ${node.id} in ${node.zone}: ${node.state}, revision ${node.configRevision}`;
-  const fresh = node.configurationFresh ? 'confirmed' : 'NOT confirmed';
+  const freshness = node.configurationFresh ? 'confirmed' : 'NOT confirmed';
   const duties = node.duties.join(', ') || 'none';
   const memberRows = members.map((one) => [one.id, one.zone, one.state, one.address]);
   const backendRows = backends.map((one) => [
@@ -171,7 +171,7 @@
     one.takesWork,
   ]);
   return [
-    `${head} (${fresh})\nduties: ${duties}`,
+    `${head} (${freshness})\nduties: ${duties}`,
     formatTable(['MEMBER', 'ZONE', 'STATE', 'ADDRESS'], memberRows),
     formatTable(['BACKEND', 'SERVICE', 'ZONE', 'HEALTH', 'VERSION', 'IN FLIGHT', 'TAKES WORK'], backendRows),
   ].join('\n\n');
@@ -183,7 +183,7 @@
   description: 'Show the state of a node, its members and its back ends.',
   args: { ...connectionFlags, output: outputFlag },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const found = await client.status();
       if (found.isErr()) return reportFailure(found.error);
       printResult(args.output, found.value, () => statusText(found.value));
--- a/src/cli/commands/operate.ts
+++ b/src/cli/commands/operate.ts
@@ -1,6 +1,6 @@
 /** `thymecove drain` and `approve`. */
 import { boolean, command, flag, option, optional, positional, string } from 'cmd-ts';
-import { connectionFlags, outputFlag, withOperator } from '../connection.js';
+import { connectionFlags, outputFlag, withOperatorClient } from '../connection.js';
 import { ExitCode } from '../exit-codes.js';
 import { printNote, printResult, reportFailure } from '../output.js';
 
@@ -20,7 +20,7 @@
     output: outputFlag,
   },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const spec = args.undo
         ? { draining: null, drainReason: null }
         : { draining: true, drainReason: args.reason ?? 'drained by an operator' };
@@ -46,7 +46,7 @@
     output: outputFlag,
   },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const approved = await client.approve(args.version, args.note);
       if (approved.isErr()) return reportFailure(approved.error);
       printResult(args.output, approved.value, () => `${args.version}: approved`);
--- a/src/cli/connection.ts
+++ b/src/cli/connection.ts
@@ -50,12 +50,12 @@
 }
 
 /** Runs a command with a client; the process ends with the code that it returns. */
-export async function withOperator(
+export async function withOperatorClient(
   values: ConnectionValues,
-  work: (client: OperatorClient) => Promise<number>,
+  action: (client: OperatorClient) => Promise<number>,
 ): Promise<void> {
   const http = new HttpClient();
   const client = new OperatorClient(http, values.server.replace(/\/$/, ''), readToken(values));
-  process.exitCode = await work(client);
+  process.exitCode = await action(client);
   await http.close();
 }
--- a/src/cli/declarations.ts
+++ b/src/cli/declarations.ts
@@ -20,13 +20,13 @@
 
 const EXTENSIONS = ['.yaml', '.yml', '.json'];
 
-function filesUnder(path: string): string[] {
+function findFiles(path: string): string[] {
   if (!statSync(path).isDirectory()) return [path];
   return readdirSync(path)
     .sort()
     .flatMap((name) => {
       const child = join(path, name);
-      if (statSync(child).isDirectory()) return filesUnder(child);
+      if (statSync(child).isDirectory()) return findFiles(child);
       return EXTENSIONS.some((extension) => name.endsWith(extension)) ? [child] : [];
     });
 }
@@ -71,14 +71,14 @@
       else declarations.push(checked.value);
     }
   }
-  problems.push(...findRepeated(declarations));
+  problems.push(...findDuplicates(declarations));
   return problems.length > 0 ? err(problems) : ok(declarations);
 }
 
 function listFiles(problems: DeclarationProblem[]) {
   return (path: string): string[] => {
     try {
-      return filesUnder(path);
+      return findFiles(path);
     } catch (cause) {
       problems.push({ file: path, field: '(file)', message: (cause as Error).message });
       return [];
@@ -86,7 +86,7 @@
   };
 }
 
-function findRepeated(declarations: readonly Declaration[]): DeclarationProblem[] {
+function findDuplicates(declarations: readonly Declaration[]): DeclarationProblem[] {
   const seen = new Map<string, string>();
   return declarations.flatMap(({ file, manifest }) => {
     const key = resourceKey(manifest.kind, manifest.metadata.name);
--- a/src/cli/item-timeline.ts
+++ b/src/cli/item-timeline.ts
@@ -28,7 +28,7 @@
 }
 
 /** Where the time of one item went, milliseconds. */
-export interface ItemWaits {
+export interface ItemDurations {
   /** From the job's acceptance, or from an earlier attempt, until a replica was given the item. */
   readonly queueMs: number;
   /** At replicas that declined it. */
@@ -51,7 +51,7 @@
   readonly events: number;
   readonly attempts: number;
   readonly listedMs: number;
-  readonly waits: ItemWaits;
+  readonly waits: ItemDurations;
 }
 
 /** Runs of each item, by the item's identifier. */
@@ -100,8 +100,8 @@
   const listing = listings.find(({ startMs }) => startMs >= atMs - 1);
   if (!listing) return [];
   const lastEndMs = attempts.at(-1)?.endMs ?? atMs;
-  const tookMs = (fits: (attempt: Attempt) => boolean) =>
-    attempts.filter(fits).reduce((sum, { startMs, endMs }) => sum + endMs - startMs, 0);
+  const tookMs = (predicate: (attempt: Attempt) => boolean) =>
+    attempts.filter(predicate).reduce((sum, { startMs, endMs }) => sum + endMs - startMs, 0);
   const declinedMs = tookMs((attempt) => attempt.outcome === DECLINED);
   const runMs = tookMs((attempt) => attempt.outcome === WHOLE);
   const brokenMs = tookMs(() => true) - declinedMs - runMs;
@@ -145,6 +145,6 @@
 }
 
 /** The lines of completed items. */
-export function completions(lines: readonly TraceLine[]): TraceLine[] {
+export function completedLines(lines: readonly TraceLine[]): TraceLine[] {
   return lines.filter(({ event, fields }) => event === 'item-changed' && fields.change === COMPLETED);
 }
--- a/src/cli/job-accounts.ts
+++ b/src/cli/job-accounts.ts
@@ -7,7 +7,7 @@
 import { formatTable } from './output.js';
 
 /** Summary of a job. */
-export interface JobAccount {
+export interface JobSummary {
   readonly id: string;
   readonly state: 'open' | 'ended';
   /** Node that runs it, empty when none does. */
@@ -20,14 +20,14 @@
 }
 
 /** A job with counts of its items by state. */
-export interface JobDetail extends JobAccount {
+export interface JobDetail extends JobSummary {
   readonly listed: number;
   readonly dead: number;
   /** Items whose text so far is kept for the next owner. */
   readonly keptTexts: number;
 }
 
-function toAccount({ jobId, record }: JobHead, nowMs: number): JobAccount {
+function toSummary({ jobId, record }: JobHead, nowMs: number): JobSummary {
   return {
     id: jobId,
     state: record.state,
@@ -43,10 +43,10 @@
 export async function listJobs(
   repository: JobRepository,
   nowMs: () => number,
-): Promise<Result<JobAccount[], StateError>> {
+): Promise<Result<JobSummary[], StateError>> {
   const listing = await repository.list();
   return listing.map(({ heads }) =>
-    heads.map((head) => toAccount(head, nowMs())).sort((left, right) => left.ageSeconds - right.ageSeconds),
+    heads.map((head) => toSummary(head, nowMs())).sort((left, right) => left.ageSeconds - right.ageSeconds),
   );
 }
 
@@ -59,7 +59,7 @@
   const head = await repository.read(jobId);
   if (head.isErr()) return head.map(() => undefined);
   if (!head.value) return ok(undefined);
-  const account = toAccount(head.value, nowMs());
+  const account = toSummary(head.value, nowMs());
   const results = await repository.contents.allResults(jobId);
   if (results.isErr()) return results.map(() => undefined);
   const texts = await repository.contents.texts(jobId);
@@ -72,7 +72,7 @@
 }
 
 /** Jobs as an aligned table. */
-export function jobTable(jobs: readonly JobAccount[]): string {
+export function jobTable(jobs: readonly JobSummary[]): string {
   const head = ['JOB', 'STATE', 'OWNER', 'EPOCH', 'MODEL', 'ITEMS', 'AGE S'];
   const rows = jobs.map(({ id, state, owner, epoch, model, items, ageSeconds }) => [
     id,
--- a/src/cli/job-timeline.ts
+++ b/src/cli/job-timeline.ts
@@ -8,8 +8,8 @@
 import {
   type Attempt,
   attemptsByItem,
+  completedLines,
   completeGroups,
-  completions,
   DECLINED,
   type ItemTimeline,
   itemsOf,
@@ -29,7 +29,7 @@
 }
 
 /** A weight version, and when a node first logged it (time of day, milliseconds). */
-interface NamedVersion {
+interface LoggedVersion {
   readonly model: string;
   readonly version: number;
   readonly timeMs: number;
@@ -90,7 +90,7 @@
   const lines = [...unordered].sort(
     (left, right) => left.timeMs - right.timeMs || left.sequence - right.sequence,
   );
-  const named = namedVersions(lines);
+  const named = loggedVersions(lines);
   const seenItems = new Set<string>();
   const jobs = [...groupBy(lines, (line) => line.fields.jobId)]
     .flatMap(([jobId, ofJob]) => (jobId === undefined ? [] : plannedJob(String(jobId), ofJob)))
@@ -101,7 +101,7 @@
 }
 
 /** Published weight versions, once for each node that logged them. */
-function namedVersions(lines: readonly TraceLine[]): NamedVersion[] {
+function loggedVersions(lines: readonly TraceLine[]): LoggedVersion[] {
   return lines
     .filter((line) => line.event === 'belief-changed' && line.fields.subject === 'weight-version')
     .map(({ fields, timeMs }) => ({ model: String(fields.name), version: Number(fields.version), timeMs }));
@@ -120,7 +120,7 @@
 /** `seenItems` are those of earlier jobs; those of this one are added. */
 function jobOf(
   { jobId, lines, plan, owners, acceptedAtMs }: PlannedJob,
-  named: readonly NamedVersion[],
+  named: readonly LoggedVersion[],
   seenItems: Set<string>,
 ): JobTimeline {
   const model = String(plan.fields.model);
@@ -151,21 +151,21 @@
     groupsWholeMs: milestonesOf(complete, wantedGroups),
     endedMs: ended && ended.timeMs - acceptedAtMs,
     lastWanted: complete[wantedGroups - 1],
-    inFlight: bySecond(runs),
+    inFlight: inFlightBySecond(runs),
     inFlightByReplica: Object.fromEntries(
-      [...groupBy(runs, ({ replica }) => replica)].map(([replica, own]) => [replica, bySecond(own)]),
+      [...groupBy(runs, ({ replica }) => replica)].map(([replica, own]) => [replica, inFlightBySecond(own)]),
     ),
-    staleness: mean(completions(lines).map((line) => stalenessOf(line, model, named))),
+    staleness: mean(completedLines(lines).map((line) => stalenessOf(line, model, named))),
   };
 }
 
 function milestonesOf(items: readonly ItemTimeline[], total: number): (number | undefined)[] {
   const sorted = items.map(({ listedMs }) => listedMs).sort((left, right) => left - right);
-  return MILESTONES.map((part) => sorted[Math.ceil(total * part) - 1]);
+  return MILESTONES.map((share) => sorted[Math.ceil(total * share) - 1]);
 }
 
 /** Mean number of attempts in flight in each second. */
-function bySecond(attempts: readonly Attempt[]): number[] {
+function inFlightBySecond(attempts: readonly Attempt[]): number[] {
   const endMs = Math.max(0, ...attempts.map((attempt) => attempt.endMs));
   return Array.from({ length: Math.ceil(endMs / MILLISECONDS_PER_SECOND) }, (_, second) => {
     const fromMs = second * MILLISECONDS_PER_SECOND;
@@ -182,7 +182,7 @@
   });
 }
 
-function stalenessOf(line: TraceLine, model: string, named: readonly NamedVersion[]): number {
+function stalenessOf(line: TraceLine, model: string, named: readonly LoggedVersion[]): number {
   const oldest = Number(String(line.fields.versions).split(',')[0]);
   const newest = Math.max(
     oldest,
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -40,23 +40,23 @@
   ModelVersion: ['approvals'],
 };
 
-type Tree = Record<string, unknown>;
+type JsonObject = Record<string, unknown>;
 
 function withOperationalFields(manifest: Manifest, stored: ShownResource | undefined): Manifest {
-  const spec: Tree = { ...manifest.spec };
+  const spec: JsonObject = { ...manifest.spec };
   for (const field of OPERATIONAL_FIELDS[manifest.kind] ?? []) {
     if (!(field in spec) && stored && field in stored.spec) spec[field] = stored.spec[field];
   }
   return { ...manifest, spec: spec as Manifest['spec'] };
 }
 
-function isTree(value: unknown): value is Tree {
+function isJsonObject(value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
 /** Fields in which two values differ, by dotted path. */
 function differencesBetween(inForce: unknown, declared: unknown, path = ''): FieldDifference[] {
-  if (isTree(inForce) && isTree(declared)) {
+  if (isJsonObject(inForce) && isJsonObject(declared)) {
     const names = [...new Set([...Object.keys(inForce), ...Object.keys(declared)])].sort();
     return names.flatMap((name) =>
       differencesBetween(inForce[name], declared[name], path ? `${path}.${name}` : name),
@@ -65,7 +65,7 @@
   return JSON.stringify(inForce) === JSON.stringify(declared) ? [] : [{ field: path, inForce, declared }];
 }
 
-function planOne(
+function planChange(
   declaration: Declaration,
   stored: ShownResource | undefined,
   options: PlanOptions,
@@ -85,11 +85,11 @@
   if (sameDeclaration(stored as unknown as Resource, manifest)) {
     return { action: 'unchanged', kind, name, basedOn, differences: [] };
   }
-  const shown = (one: { metadata: Tree; spec: unknown }) => ({
+  const comparable = (one: { metadata: JsonObject; spec: unknown }) => ({
     metadata: { labels: one.metadata.labels ?? {}, set: one.metadata.set ?? '' },
     spec: one.spec,
   });
-  const differences = differencesBetween(shown(stored), shown(manifest as never));
+  const differences = differencesBetween(comparable(stored), comparable(manifest as never));
   return { action: 'update', kind, name, basedOn, differences, manifest };
 }
 
@@ -106,7 +106,7 @@
     for (const one of found.value.items) stored.set(resourceKey(one.kind, one.metadata.name), one);
   }
   const planned = declarations.map((one) =>
-    planOne(one, stored.get(resourceKey(one.manifest.kind, one.manifest.metadata.name)), options),
+    planChange(one, stored.get(resourceKey(one.manifest.kind, one.manifest.metadata.name)), options),
   );
   if (!options.prune) return ok(planned);
   const declared = new Set(planned.map((one) => resourceKey(one.kind, one.name)));
--- a/src/cli/timeline-table.ts
+++ b/src/cli/timeline-table.ts
@@ -20,7 +20,7 @@
   'carried',
   'stale',
 ];
-const LAST_HEAD = [
+const LAST_ITEM_HEAD = [
   'job',
   'last wanted item',
   'events',
@@ -31,18 +31,18 @@
   'scoring',
   'listing',
 ];
-const LOAD_HEAD = ['job', 'slots', 'runs in flight by second'];
+const IN_FLIGHT_HEAD = ['job', 'slots', 'runs in flight by second'];
 const TRAINER_HEAD = ['model', 'jobs', 'median wanted', 'median idle', 'total idle', 'stale'];
 
 /** All tables of a timeline. */
 export function renderTimeline({ jobs, trainers }: Timeline): string {
-  const lasts = jobs.flatMap((job) => (job.lastWanted ? [lastRow(job, job.lastWanted)] : []));
+  const lastRows = jobs.flatMap((job) => (job.lastWanted ? [lastRow(job, job.lastWanted)] : []));
   return [
     formatTable(JOB_HEAD, jobs.map(jobRow)),
-    formatTable(LAST_HEAD, lasts),
+    formatTable(LAST_ITEM_HEAD, lastRows),
     formatTable(
-      LOAD_HEAD,
-      jobs.map((job) => [nameOf(job), String(job.slots), job.inFlight.join(' ')]),
+      IN_FLIGHT_HEAD,
+      jobs.map((job) => [shortId(job), String(job.slots), job.inFlight.join(' ')]),
     ),
     formatTable(TRAINER_HEAD, trainers.map(trainerRow)),
   ].join('\n\n');
@@ -50,12 +50,12 @@
 
 function jobRow(job: JobTimeline): string[] {
   return [
-    nameOf(job),
-    time(job.firstStartMs),
-    time(job.lastStartMs),
-    ...job.itemsListedMs.map(time),
-    ...job.groupsWholeMs.map(time),
-    time(job.endedMs),
+    shortId(job),
+    formatMs(job.firstStartMs),
+    formatMs(job.lastStartMs),
+    ...job.itemsListedMs.map(formatMs),
+    ...job.groupsWholeMs.map(formatMs),
+    formatMs(job.endedMs),
     String(job.declined),
     String(job.owners),
     String(job.carriedGroups),
@@ -66,18 +66,18 @@
 function lastRow(job: JobTimeline, { id, events, waits }: ItemTimeline): string[] {
   const { queueMs, declinedMs, brokenMs, runMs, scoringMs, listingMs } = waits;
   const times = [queueMs, declinedMs, brokenMs, runMs, scoringMs, listingMs];
-  return [nameOf(job), id.slice(0, ID_LENGTH), String(events), ...times.map(time)];
+  return [shortId(job), id.slice(0, ID_LENGTH), String(events), ...times.map(formatMs)];
 }
 
 function trainerRow(trainer: TrainerTimeline): string[] {
   const times = [trainer.medianWantedMs, trainer.medianIdleMs, trainer.totalIdleMs];
-  return [trainer.model, String(trainer.jobs), ...times.map(time), trainer.staleness.toFixed(2)];
+  return [trainer.model, String(trainer.jobs), ...times.map(formatMs), trainer.staleness.toFixed(2)];
 }
 
-function nameOf(job: JobTimeline): string {
+function shortId(job: JobTimeline): string {
   return job.jobId.slice(0, ID_LENGTH);
 }
 
-function time(value: number | undefined): string {
+function formatMs(value: number | undefined): string {
   return value === undefined ? UNKNOWN : String(Math.round(value));
 }
--- a/src/cli/trace.ts
+++ b/src/cli/trace.ts
@@ -32,7 +32,7 @@
 
 /** Time around a trace within which gaps are reported, milliseconds. Chosen, not measured. */
 const MARGIN_MS = 2_000;
-const LEFT_OUT_EVENT = 'lines-left-out';
+const OMITTED_LINES_EVENT = 'lines-left-out';
 const STARTED_EVENT = 'process-started';
 const JOB_EVENTS: ReadonlySet<string> = new Set(['job-changed', 'results-listed']);
 const IDENTIFIER_FIELDS = ['requestId', 'jobId'] as const;
@@ -60,16 +60,18 @@
 
 /** The trace of `id`. For an item it includes the ownership and the result listings of its job. */
 export function traceOf(id: string, all: readonly TraceLine[]): Trace {
-  const own = all.filter((line) => names(line, id));
-  const jobId = own.map((line) => line.fields.jobId).find((value) => value !== undefined && value !== id);
-  const ofJob = jobId === undefined ? [] : all.filter((line) => isAboutJob(line, String(jobId)));
-  const lines = [...new Set([...own, ...ofJob])].sort(
+  const matching = all.filter((line) => mentions(line, id));
+  const jobId = matching
+    .map((line) => line.fields.jobId)
+    .find((value) => value !== undefined && value !== id);
+  const jobLines = jobId === undefined ? [] : all.filter((line) => isAboutJob(line, String(jobId)));
+  const lines = [...new Set([...matching, ...jobLines])].sort(
     (left, right) => left.timeMs - right.timeMs || left.sequence - right.sequence,
   );
   return { id, jobId: jobId === undefined ? undefined : String(jobId), lines, gaps: gapsOf(lines, all) };
 }
 
-function names(line: TraceLine, id: string): boolean {
+function mentions(line: TraceLine, id: string): boolean {
   return IDENTIFIER_FIELDS.some((field) => {
     const value = line.fields[field];
     return value === id || (typeof value === 'string' && value.split('/').includes(id));
@@ -92,11 +94,11 @@
 }
 
 function gapOf(line: TraceLine, startMs: number): string[] {
-  const at = `${line.node}, ${line.timeMs - startMs} ms`;
-  if (line.event === LEFT_OUT_EVENT)
-    return [`${at}: ${line.fields.count} lines of ${line.fields.kind} were left out`];
+  const position = `${line.node}, ${line.timeMs - startMs} ms`;
+  if (line.event === OMITTED_LINES_EVENT)
+    return [`${position}: ${line.fields.count} lines of ${line.fields.kind} were left out`];
   if (line.event === STARTED_EVENT)
-    return [`${at}: the process was started; lines of its earlier incarnation may be missing`];
+    return [`${position}: the process was started; lines of its earlier incarnation may be missing`];
   return [];
 }
 
--- a/src/cli/usage-accounts.ts
+++ b/src/cli/usage-accounts.ts
@@ -6,7 +6,7 @@
 import { formatTable } from './output.js';
 
 /** Summary of a window. */
-export interface WindowAccount {
+export interface WindowSummary {
   readonly window: number;
   readonly state: 'decided' | 'reported';
   /** Node that decided. */
@@ -32,7 +32,7 @@
 
 const total = (counts: TenantCounts) => Object.values(counts).reduce((sum, count) => sum + count, 0);
 
-function toAccount({ window, isReported, decidedBy, counts }: StoredReport): WindowAccount {
+function toSummary({ window, isReported, decidedBy, counts }: StoredReport): WindowSummary {
   return {
     window,
     state: isReported ? 'reported' : 'decided',
@@ -43,9 +43,9 @@
 }
 
 /** All windows that were decided on and are kept, the newest first. */
-export async function listWindows(repository: UsageRepository): Promise<Result<WindowAccount[], StateError>> {
+export async function listWindows(repository: UsageRepository): Promise<Result<WindowSummary[], StateError>> {
   const reports = await repository.reports();
-  return reports.map((all) => all.map(toAccount).reverse());
+  return reports.map((all) => all.map(toSummary).reverse());
 }
 
 /** One window, `undefined` when nothing is known of it. */
@@ -64,7 +64,7 @@
 }
 
 /** Windows as an aligned table. */
-export function windowTable(windows: readonly WindowAccount[]): string {
+export function windowTable(windows: readonly WindowSummary[]): string {
   const head = ['WINDOW', 'STATE', 'DECIDED BY', 'TENANTS', 'REQUESTS'];
   const rows = windows.map(({ window, state, decidedBy, tenants, requests }) => [
     String(window),
--- a/test/cli/job-timeline.test.ts
+++ b/test/cli/job-timeline.test.ts
@@ -71,7 +71,7 @@
   line(4_000, 'job-call-answered', { call: 'end', outcome: 'ended' }),
 ];
 
-function only(lines: readonly TraceLine[]): JobTimeline {
+function singleJob(lines: readonly TraceLine[]): JobTimeline {
   const { jobs } = timelineOf(lines);
   expect(jobs).to.have.length(1);
   return jobs[0] as JobTimeline;
@@ -96,7 +96,7 @@
   });
 
   it('report when shares of the items and of the wanted groups were complete', () => {
-    const job = only(LINES);
+    const job = singleJob(LINES);
     expect(job.acceptedAtMs).to.equal(ACCEPTED_MS);
     expect([job.firstStartMs, job.lastStartMs]).to.deep.equal([50, 1_250]);
     expect(job.itemsListedMs).to.deep.equal([2_220, undefined, undefined, undefined]);
@@ -105,14 +105,14 @@
   });
 
   it('report what the last item of the last wanted group waited for', () => {
-    expect(only(LINES).lastWanted).to.deep.include({
+    expect(singleJob(LINES).lastWanted).to.deep.include({
       id: 'a2',
       waits: { queueMs: 250, declinedMs: 0, brokenMs: 1_000, runMs: 1_800, scoringMs: 50, listingMs: 30 },
     });
   });
 
   it('count runs in flight by second and replica, without those that were declined', () => {
-    const job = only(LINES);
+    const job = singleJob(LINES);
     expect(job.inFlight).to.deep.equal([2, 2, 1, 0]);
     expect(job.inFlightByReplica.r1).to.deep.equal([1, 1, 0]);
   });
@@ -143,7 +143,7 @@
   });
 
   it('use the clock of the first owner when a job had several', () => {
-    const job = only([...LINES, planned(2_000)]);
+    const job = singleJob([...LINES, planned(2_000)]);
     expect([job.owners, job.acceptedAtMs]).to.deep.equal([2, ACCEPTED_MS]);
   });
 
--- a/test/scripts/layer-rules.test.ts
+++ b/test/scripts/layer-rules.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { importBreaches, importCircle } from '../../scripts/layer-rules.js';
+import { findImportCycle, importViolations } from '../../scripts/layer-rules.js';
 
 const source = (path: string, ...imports: string[]) => ({
   path,
@@ -16,12 +16,12 @@
       '../../../state/service/jobs/index.js',
       '../../../common/clock.js',
     );
-    expect(importBreaches(file)).to.deep.equal([]);
+    expect(importViolations(file)).to.deep.equal([]);
   });
 
   it('find a room that imports one after it', () => {
     const file = source('src/coordination/service/generation/placement.ts', '../jobs/index.js');
-    expect(importBreaches(file)).to.deep.equal([
+    expect(importViolations(file)).to.deep.equal([
       'src/coordination/service/generation/placement.ts: src/coordination/service/generation must not import src/coordination/service/jobs, which comes after it',
     ]);
   });
@@ -37,7 +37,7 @@
         : path.includes('jobs')
           ? '../../../state'
           : '../../state';
-      expect(importBreaches(source(path, `${target}/service/jobs/job-record.js`))).to.deep.equal([
+      expect(importViolations(source(path, `${target}/service/jobs/job-record.js`))).to.deep.equal([
         `${path}: src/state/service/jobs is entered through its index`,
       ]);
     }
@@ -45,37 +45,37 @@
 
   it('find a layer that imports one above it, and the adapter', () => {
     expect(
-      importBreaches(
+      importViolations(
         source('src/state/service/jobs/job-record.ts', '../../../coordination/service/jobs/index.js'),
       ),
     ).to.have.length(1);
     expect(
-      importBreaches(source('src/cli/commands/node.ts', '../../../platform/store-factory.js')),
+      importViolations(source('src/cli/commands/node.ts', '../../../platform/store-factory.js')),
     ).to.deep.equal(['src/cli/commands/node.ts: src/cli must not import platform']);
   });
 
   it('find a folder that is not a room', () => {
-    expect(importBreaches(source('src/node/service/node.ts', '../../state/attic/index.js'))).to.deep.equal([
+    expect(importViolations(source('src/node/service/node.ts', '../../state/attic/index.js'))).to.deep.equal([
       'src/state/attic/index.ts: src/state has no room attic',
     ]);
   });
 
   it('find what serves one interface and imports what serves the other, and what serves both and imports either', () => {
     const across = source('src/node/resource/node.ts', '../../state/service/jobs/index.js');
-    expect(importBreaches(across)).to.deep.equal([
+    expect(importViolations(across)).to.deep.equal([
       'src/node/resource/node.ts: the resource interface must not import the service interface',
     ]);
     const below = source('src/state/store/current-records.ts', '../../protocol/service/replica.js');
-    expect(importBreaches(below)).to.deep.equal([
+    expect(importViolations(below)).to.deep.equal([
       'src/state/store/current-records.ts: serves both interfaces and must not import src/protocol/service/replica.ts',
     ]);
-    expect(importBreaches(source('src/cli/trace.ts', '../protocol/service/replica.js'))).to.deep.equal([]);
+    expect(importViolations(source('src/cli/trace.ts', '../protocol/service/replica.js'))).to.deep.equal([]);
   });
 
   it('find a circle of imports', () => {
     const [a, b, c] = ['src/state/jobs/a.ts', 'src/state/jobs/b.ts', 'src/state/jobs/c.ts'];
-    const circle = importCircle([source(a, './b.js'), source(b, './c.js'), source(c, './b.js')]);
-    expect(circle).to.deep.equal([b, c]);
-    expect(importCircle([source(a, './b.js'), source(b, './c.js')])).to.equal(undefined);
+    const cycle = findImportCycle([source(a, './b.js'), source(b, './c.js'), source(c, './b.js')]);
+    expect(cycle).to.deep.equal([b, c]);
+    expect(findImportCycle([source(a, './b.js'), source(b, './c.js')])).to.equal(undefined);
   });
 });
