--- a/scripts/layer-rules.ts
+++ b/scripts/layer-rules.ts
@@ -148,11 +148,11 @@
 export function findImportCycle(sources: readonly Source[]): string[] | undefined {
   const edges = new Map(sources.map((source) => [source.path, importsOf(source)]));
   const done = new Set<string>();
-  const visit = (path: string, trail: readonly string[]): string[] | undefined => {
-    if (trail.includes(path)) return trail.slice(trail.indexOf(path));
+  const visit = (path: string, ancestors: readonly string[]): string[] | undefined => {
+    if (ancestors.includes(path)) return ancestors.slice(ancestors.indexOf(path));
     if (done.has(path)) return undefined;
     for (const target of edges.get(path) ?? []) {
-      const cycle = visit(target, [...trail, path]);
+      const cycle = visit(target, [...ancestors, path]);
       if (cycle) return cycle;
     }
     done.add(path);
