--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,4 +1,4 @@
-/** The command line; the program that runs it provides the client of its store. */
+/** Definition of the `thymecove` command line and its subcommands. */
 import { runSafely, subcommands } from 'cmd-ts';
 import { configureLogging } from '../common/logging.js';
 import type { StoreFactory } from '../node/resource/node.js';
@@ -16,7 +16,7 @@
 import { traceCommand } from './commands/trace.js';
 import { ExitCode } from './exit-codes.js';
 
-/** Runs the command that the arguments name; `createStore` makes the store of a node started here. */
+/** Parses the arguments and runs the command; `createStore` creates the store client for `thymecove node`. */
 export async function runCommandLine(args: readonly string[], createStore: StoreFactory): Promise<void> {
   configureLogging('stderr');
   const outcome = await runSafely(commands(createStore), [...args]);
@@ -24,10 +24,10 @@
     const { exitCode, message, into } = outcome.error.config;
     const sink = into === 'stdout' ? process.stdout : process.stderr;
     sink.write(`${message}\n`);
-    // The library ends usage errors with 1; here they are input errors. Help ends with 0.
+    // cmd-ts uses exit code 1 for usage errors; they are mapped to `invalidInput`. Help exits with 0.
     process.exitCode = exitCode === 0 || into === 'stdout' ? ExitCode.ok : ExitCode.invalidInput;
   } else {
-    // The value of a command is its own promise.
+    // The value is the promise of the command.
     await outcome.value;
   }
 }
@@ -35,7 +35,7 @@
 function commands(createStore: StoreFactory) {
   return subcommands({
     name: 'thymecove',
-    description: 'Rollout service for reinforcement learning: nodes and their operators.',
+    description: 'Rollout service for reinforcement learning: run nodes and operate them.',
     cmds: {
       node: createNodeCommand(createStore),
       validate: validateCommand,
--- a/src/cli/commands/declare.ts
+++ b/src/cli/commands/declare.ts
@@ -1,6 +1,6 @@
 /**
- * `thymecove validate`, `diff` and `apply`: declarations held in version control. An apply commits one
- * revision under an operation ID, so that a commit whose answer was lost is repeated and takes effect once.
+ * `thymecove validate`, `diff` and `apply`: commands for declarations kept in version control. An apply is
+ * committed as one revision under an operation ID, so that it can be retried safely if the response is lost.
  */
 import { array, boolean, command, flag, multioption, number, option, optional, string } from 'cmd-ts';
 import { ok, type Result } from 'neverthrow';
@@ -19,7 +19,7 @@
   type: array(string),
   long: 'file',
   short: 'f',
-  description: 'File or directory of declarations (YAML or JSON); may be repeated.',
+  description: 'File or directory of declarations (YAML or JSON). Can be repeated.',
 });
 const set = option({
   type: string,
@@ -30,10 +30,10 @@
 const prune = flag({
   type: boolean,
   long: 'prune',
-  description: 'Delete what an earlier apply of the set declared.',
+  description: 'Delete resources of the set that are no longer declared.',
 });
 
-/** Reads the declarations, or ends the process with the problems named. */
+/** Reads the declarations; on errors prints them and exits. */
 function loadOrExit(paths: readonly string[]): Declaration[] {
   if (paths.length === 0) {
     printNote('error: --file is required');
@@ -49,8 +49,8 @@
 /** `thymecove validate`. */
 export const validateCommand = command({
   name: 'validate',
-  description: 'Check declarations without a node.',
-  examples: [{ description: 'Check a tree', command: 'thymecove validate -f examples/nahr' }],
+  description: 'Validate declarations without contacting a node.',
+  examples: [{ description: 'Validate a directory', command: 'thymecove validate -f examples/nahr' }],
   args: { files, output: outputFlag },
   handler: ({ files: paths, output }) => {
     const declarations = loadOrExit(paths);
@@ -83,8 +83,8 @@
 /** `thymecove diff`. */
 export const diffCommand = command({
   name: 'diff',
-  description: 'Show what an apply would change. Exit code 6 when something differs.',
-  examples: [{ description: 'Compare a tree', command: 'thymecove diff -f examples/nahr --set nahr' }],
+  description: 'Show what an apply would change. Exits with 6 if there are changes.',
+  examples: [{ description: 'Compare a directory', command: 'thymecove diff -f examples/nahr --set nahr' }],
   args: { ...connectionFlags, files, set, prune, output: outputFlag },
   handler: (args) => {
     const declarations = loadOrExit(args.files);
@@ -101,18 +101,17 @@
   },
 });
 
-// Chosen, not measured; times in milliseconds.
 const MAX_COMMIT_ATTEMPTS = 10;
 const COMMIT_RETRY_MS = 1_000;
 const DEFAULT_WAIT_MS = 60_000;
 const WAIT_POLL_MS = 200;
 
-/** Repeats a commit under its operation ID until its outcome is known. */
+/** Retries a commit under the same operation ID until its outcome is known or the attempts are used up. */
 async function commitWithRetry(client: OperatorClient, changeset: Changeset) {
   for (let attempt = 1; ; attempt += 1) {
     const answer = await client.commit(changeset);
     if (answer.isOk() || !isOutcomeUnknown(answer.error) || attempt >= MAX_COMMIT_ATTEMPTS) return answer;
-    printNote(`outcome not known yet, repeating (${attempt}): ${answer.error.message}`);
+    printNote(`outcome of the commit unknown, retrying (attempt ${attempt}): ${answer.error.message}`);
     await sleep(answer.error.retryAfterMs ?? COMMIT_RETRY_MS);
   }
 }
@@ -122,7 +121,7 @@
   return problem ? problem.executed === 'unknown' || problem.status === 503 : error.effect === 'unknown';
 }
 
-/** Waits until every member holds the revision; one progress line on standard error. */
+/** Waits until every member has applied the revision. Shows a progress line on standard error. */
 async function waitUntilApplied(
   client: OperatorClient,
   revision: number,
@@ -146,7 +145,7 @@
 
 function reportTimeout(report: Result<RevisionReport, ProtocolError>): number {
   if (report.isErr()) return reportFailure(report.error);
-  printNote('error: not in force everywhere within the time allowed');
+  printNote('error: timed out waiting for every node to apply the revision');
   return ExitCode.unavailable;
 }
 
@@ -183,18 +182,18 @@
 }
 
 function outcomeOf(answer: ChangesetAnswer | undefined, dryRun: boolean): string {
-  if (!answer) return 'nothing differs; nothing was changed';
-  return dryRun ? 'dry run: nothing was changed' : `accepted as revision ${answer.revision}`;
+  if (!answer) return 'no changes';
+  return dryRun ? 'dry run: no changes were made' : `accepted as revision ${answer.revision}`;
 }
 
 /** `thymecove apply`. */
 export const applyCommand = command({
   name: 'apply',
   description:
-    'Bring declarations into force, all in one revision. Applying the same tree twice changes nothing.',
+    'Apply declarations in a single revision. Applying the same declarations again makes no changes.',
   examples: [
     {
-      description: 'Apply a tree and wait until every node has it',
+      description: 'Apply a directory and wait until every node has applied it',
       command: 'thymecove apply -f examples/nahr --set nahr --prune --source "$(git rev-parse HEAD)" --wait',
     },
   ],
@@ -203,12 +202,12 @@
     files,
     set,
     prune,
-    dryRun: flag({ type: boolean, long: 'dry-run', description: 'Check on the server, change nothing.' }),
-    wait: flag({ type: boolean, long: 'wait', description: 'Wait until it is in force on every node.' }),
+    dryRun: flag({ type: boolean, long: 'dry-run', description: 'Validate on the server; no changes.' }),
+    wait: flag({ type: boolean, long: 'wait', description: 'Wait until every node has applied it.' }),
     waitMs: option({
       type: optional(number),
       long: 'wait-ms',
-      description: 'Longest wait, milliseconds. Default 60000.',
+      description: 'Timeout of --wait in milliseconds. Default 60000.',
     }),
     source: option({ type: optional(string), long: 'source', description: 'Revision of the source tree.' }),
     output: outputFlag,
--- a/src/cli/commands/inspect.ts
+++ b/src/cli/commands/inspect.ts
@@ -32,8 +32,8 @@
 /** `thymecove get`. */
 export const getCommand = command({
   name: 'get',
-  description: 'List resources of a kind, or show one.',
-  examples: [{ description: 'All back ends as YAML', command: 'thymecove get Backend -o yaml' }],
+  description: 'List the resources of a kind, or show a single one.',
+  examples: [{ description: 'All backends as YAML', command: 'thymecove get Backend -o yaml' }],
   args: {
     ...connectionFlags,
     kind,
@@ -77,7 +77,7 @@
 /** `thymecove describe`. */
 export const describeCommand = command({
   name: 'describe',
-  description: 'Show a resource with its conditions.',
+  description: 'Show the metadata, spec and conditions of a resource.',
   args: { ...connectionFlags, kind, name, output: outputFlag },
   handler: (args) =>
     withOperatorClient(args, async (client) => {
@@ -91,17 +91,17 @@
 /** `thymecove watch`. */
 export const watchCommand = command({
   name: 'watch',
-  description: 'Follow changes of a kind, one JSON object a line.',
-  examples: [{ description: 'From a version on', command: 'thymecove watch Backend --resource-version 41' }],
+  description: 'Watch a kind and print each change as a line of JSON.',
+  examples: [{ description: 'From a version', command: 'thymecove watch Backend --resource-version 41' }],
   args: {
     ...connectionFlags,
     kind,
     resourceVersion: option({
       type: optional(number),
       long: 'resource-version',
-      description: 'Version to go on from.',
+      description: 'Version to resume from.',
     }),
-    lines: option({ type: optional(number), long: 'lines', description: 'End after so many lines.' }),
+    lines: option({ type: optional(number), long: 'lines', description: 'Exit after this number of lines.' }),
   },
   handler: (args) =>
     withOperatorClient(args, async (client) => {
@@ -135,11 +135,11 @@
 /** `thymecove explain`. */
 export const explainCommand = command({
   name: 'explain',
-  description: 'Say why a request, a sample or a back end was treated as it was.',
+  description: 'Show the decisions about a request, a sample or a backend, with their reasons.',
   examples: [
     { description: 'A request by its ID', command: 'thymecove explain node-a~01JE2S4W7Q0C3Y5Z8N1K6M9T2V' },
     { description: 'A sample by its ID', command: 'thymecove explain disputes:step-12:7:0' },
-    { description: 'A back end', command: 'thymecove explain backend/engine-3' },
+    { description: 'A backend', command: 'thymecove explain backend/engine-3' },
   ],
   args: {
     ...connectionFlags,
@@ -180,7 +180,7 @@
 /** `thymecove status`. */
 export const statusCommand = command({
   name: 'status',
-  description: 'Show the state of a node, its members and its back ends.',
+  description: 'Show the state of a node, and the members and backends that it knows.',
   args: { ...connectionFlags, output: outputFlag },
   handler: (args) =>
     withOperatorClient(args, async (client) => {
@@ -188,7 +188,7 @@
       if (found.isErr()) return reportFailure(found.error);
       printResult(args.output, found.value, () => statusText(found.value));
       if (!found.value.node.configurationFresh)
-        printNote('warning: the configuration of this node is not confirmed');
+        printNote('warning: the configuration of this node is not confirmed to be current');
       return ExitCode.ok;
     }),
 });
--- a/src/cli/commands/node.ts
+++ b/src/cli/commands/node.ts
@@ -1,4 +1,4 @@
-/** `thymecove node`: runs a node of the resource interface until SIGTERM or SIGINT stops it gracefully. */
+/** `thymecove node`: runs a node of the resource interface until SIGTERM or SIGINT shuts it down. */
 import { command, number, option, optional, string } from 'cmd-ts';
 import { configureLogging } from '../../common/logging.js';
 import { type StoreFactory, ThymecoveNode } from '../../node/resource/node.js';
@@ -8,11 +8,11 @@
 
 const flag = (long: string, description: string) => option({ type: optional(string), long, description });
 
-/** The command; `createStore` makes the client of the store that the settings name. */
+/** Defines the command; `createStore` creates the client of the store that the settings name. */
 export const createNodeCommand = (createStore: StoreFactory) =>
   command({
     name: 'node',
-    description: 'Run a node. Flags go over the settings file. SIGTERM and SIGINT stop it as planned.',
+    description: 'Run a node. Flags override the settings file. SIGTERM and SIGINT shut it down gracefully.',
     examples: [
       { description: 'Run with a settings file', command: 'thymecove node --settings node.yaml' },
       {
@@ -43,7 +43,7 @@
         'platform.machines': args.machines,
       });
       if (settings.isErr()) {
-        printNote(`error: the settings in ${args.settings} are not valid`);
+        printNote(`error: invalid settings in ${args.settings}`);
         for (const problem of settings.error) printNote(`  ${problem.field}: ${problem.message}`);
         process.exit(ExitCode.invalidInput);
       }
@@ -51,7 +51,7 @@
     },
   });
 
-/** Starts the node; resolves when it listens. When it cannot, or has stopped, the process ends. */
+/** Resolves when the node listens. Exits the process if it fails to start, or after it was stopped. */
 async function runNode(settings: Settings, createStore: StoreFactory): Promise<void> {
   configureLogging(settings.log ?? 'stderr');
   const node = new ThymecoveNode(settings, createStore);
@@ -64,7 +64,7 @@
     const listening = await node.start();
     process.stdout.write(`${JSON.stringify({ ready: true, id: settings.node.id, listening })}\n`);
   } catch (cause) {
-    printNote(`error: cannot listen: ${(cause as Error).message}`);
+    printNote(`error: failed to start the node: ${(cause as Error).message}`);
     process.exit(ExitCode.failed);
   }
 }
--- a/src/cli/commands/operate.ts
+++ b/src/cli/commands/operate.ts
@@ -7,16 +7,16 @@
 /** `thymecove drain`. */
 export const drainCommand = command({
   name: 'drain',
-  description: 'Give a back end no new work. Work in flight there goes on to its end.',
+  description: 'Stop sending new work to a backend. Work in flight there is completed.',
   examples: [
     { description: 'Drain', command: 'thymecove drain engine-3 --reason "kernel update"' },
-    { description: 'Take it back into use', command: 'thymecove drain engine-3 --undo' },
+    { description: 'Return it to service', command: 'thymecove drain engine-3 --undo' },
   ],
   args: {
     ...connectionFlags,
     backend: positional({ type: string, displayName: 'backend' }),
-    reason: option({ type: optional(string), long: 'reason', description: 'Shown by explain.' }),
-    undo: flag({ type: boolean, long: 'undo', description: 'Take the back end back into use.' }),
+    reason: option({ type: optional(string), long: 'reason', description: 'Reason shown by explain.' }),
+    undo: flag({ type: boolean, long: 'undo', description: 'Return the backend to service.' }),
     output: outputFlag,
   },
   handler: (args) =>
@@ -35,14 +35,14 @@
 /** `thymecove approve`. */
 export const approveCommand = command({
   name: 'approve',
-  description: 'Approve a model version; asks for the role approver.',
+  description: 'Approve a model version. Requires the role approver.',
   examples: [
     { description: 'Approve', command: 'thymecove approve triage-v12 --note "reviewed phrasing set B"' },
   ],
   args: {
     ...connectionFlags,
     version: positional({ type: string, displayName: 'model version' }),
-    note: option({ type: optional(string), long: 'note', description: 'Kept with the approval.' }),
+    note: option({ type: optional(string), long: 'note', description: 'Note stored with the approval.' }),
     output: outputFlag,
   },
   handler: (args) =>
--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -1,16 +1,15 @@
-/** `thymecove trace`: joins log lines of many processes into the trace of a request, an item or a job. */
+/** `thymecove trace`: merges log lines of several processes into the trace of a request, an item or a job. */
 import { command, option, positional, string } from 'cmd-ts';
 import { ExitCode } from '../exit-codes.js';
 import { readLogLines } from '../log-lines.js';
 import { printNote } from '../output.js';
 import { renderTrace, traceOf } from '../trace.js';
 
-/** The command. */
 export const traceCommand = command({
   name: 'trace',
   description:
-    'Read log lines of nodes on standard input; print those about a request, an item or a job in order, and where the ' +
-    'logs have gaps.',
+    'Read log lines of nodes from standard input. Print those about a request, an item or a job in order, and the ' +
+    'gaps in the logs.',
   examples: [
     {
       description: 'One job, from the logs of all nodes',
@@ -21,7 +20,7 @@
     id: positional({
       type: string,
       displayName: 'id',
-      description: 'Identifier of a request, an item or a job.',
+      description: 'ID of a request, an item or a job.',
     }),
     output: option({
       type: string,
@@ -34,7 +33,7 @@
   handler: async ({ id, output }) => {
     const trace = traceOf(id, await readLogLines(process.stdin));
     if (trace.lines.length === 0) {
-      printNote(`nothing is said of ${id}`);
+      printNote(`no log lines found for ${id}`);
       process.exitCode = ExitCode.notFound;
       return;
     }
--- a/src/cli/connection.ts
+++ b/src/cli/connection.ts
@@ -1,4 +1,4 @@
-/** Connection flags of commands, and the client that they configure. */
+/** Connection and output flags shared by commands, and the client that they configure. */
 import { readFileSync } from 'node:fs';
 import { oneOf, option, optional, string } from 'cmd-ts';
 import { OperatorClient } from '../protocol/resource/operator-client.js';
@@ -6,7 +6,6 @@
 import { ExitCode } from './exit-codes.js';
 import { type OutputFormat, printNote } from './output.js';
 
-/** Flags of every command that calls a node. */
 export const connectionFlags = {
   server: option({
     type: string,
@@ -20,20 +19,18 @@
     long: 'token-file',
     env: 'THYMECOVE_TOKEN_FILE',
     description:
-      'File that holds the bearer token (THYMECOVE_TOKEN_FILE); otherwise THYMECOVE_TOKEN is used.',
+      'File that contains the bearer token (THYMECOVE_TOKEN_FILE). Default: the value of THYMECOVE_TOKEN.',
   }),
 };
 
-/** Flag for the form of output. */
 export const outputFlag = option({
   type: oneOf<OutputFormat>(['table', 'json', 'yaml']),
   long: 'output',
   short: 'o',
   defaultValue: () => 'table' as const,
-  description: 'table, json or yaml.',
+  description: 'Output format: table, json or yaml.',
 });
 
-/** Values of the connection flags. */
 export interface ConnectionValues {
   readonly server: string;
   readonly tokenFile: string | undefined;
@@ -49,7 +46,7 @@
   }
 }
 
-/** Runs a command with a client; the process ends with the code that it returns. */
+/** Runs `action` with a client; the number that it returns becomes the exit code of the process. */
 export async function withOperatorClient(
   values: ConnectionValues,
   action: (client: OperatorClient) => Promise<number>,
--- a/src/cli/declarations.ts
+++ b/src/cli/declarations.ts
@@ -1,4 +1,4 @@
-/** Declarations in files: reading and checking a tree, without a node. */
+/** Reads resource declarations from YAML and JSON files and validates them without contacting a node. */
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import { join } from 'node:path';
 import { err, ok, type Result } from 'neverthrow';
@@ -7,13 +7,12 @@
 import { READ_ONLY_KINDS, resourceKey } from '../protocol/resource/resource.js';
 import type { FieldProblem } from '../protocol/validation.js';
 
-/** A declaration and its file. */
 export interface Declaration {
+  /** Path of the file, with the number of the document if it is not the first. */
   readonly file: string;
   readonly manifest: Manifest;
 }
 
-/** A problem in a file. */
 export interface DeclarationProblem extends FieldProblem {
   readonly file: string;
 }
@@ -55,7 +54,7 @@
   return ok({ file: position, manifest: checked.value });
 }
 
-/** Reads all declarations under the paths; the error lists every problem of every file. */
+/** Reads all declarations under the given paths. The error lists every problem in every file. */
 export function loadDeclarations(paths: readonly string[]): Result<Declaration[], DeclarationProblem[]> {
   const problems: DeclarationProblem[] = [];
   const declarations: Declaration[] = [];
@@ -93,7 +92,7 @@
     const earlier = seen.get(key);
     seen.set(key, file);
     return earlier
-      ? [{ file, field: 'metadata.name', message: `${key} is declared in ${earlier} as well` }]
+      ? [{ file, field: 'metadata.name', message: `${key} is already declared in ${earlier}` }]
       : [];
   });
 }
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -2,17 +2,16 @@
 import type { ProtocolError } from '../protocol/protocol-error.js';
 import { problemOf } from '../protocol/resource/operator-client.js';
 
-/** Exit codes. */
 export const ExitCode = {
   ok: 0,
-  /** The request was rejected or failed. */
+  /** The request was rejected or failed, and a retry is not expected to succeed. */
   failed: 1,
-  /** Flags, settings or declarations are wrong; nothing was sent. */
+  /** Flags, settings or declarations are invalid, or the server rejected the request as invalid. */
   invalidInput: 2,
-  /** Another writer was first. */
+  /** The resource was modified concurrently. */
   conflict: 3,
   notFound: 4,
-  /** The system is not reachable or temporarily not able to serve; a retry may succeed. */
+  /** The system is unreachable or temporarily unable to serve; a retry may succeed. */
   unavailable: 5,
   /** `diff` found differences. */
   differences: 6,
@@ -20,7 +19,7 @@
 
 const RETRYABLE_STATUS = new Set([429, 502, 503, 504]);
 
-/** The exit code for a failed exchange. */
+/** Maps a failed request to an exit code. */
 export function exitCodeOf(error: ProtocolError): number {
   const problem = problemOf(error);
   if (error.failure === 'conflict') return ExitCode.conflict;
--- a/src/cli/item-timeline.ts
+++ b/src/cli/item-timeline.ts
@@ -1,19 +1,19 @@
 /**
- * How the time of single items was spent, from log lines: runs at replicas, queueing, scoring, listing. Times
- * are milliseconds after the acceptance of the item's job. Only items whose outcome and listing were logged
- * are reported.
+ * Reconstructs the timeline of each job item from log lines: queueing, attempts on replicas, scoring and the
+ * listing of its result. Times are in milliseconds since the job was accepted. Items whose outcome or listing
+ * was not logged are omitted.
  */
 import { groupBy } from '../common/collections.js';
 import type { TraceLine } from './trace.js';
 
 const LISTED = 'listed';
-/** Outcome of a run at a replica that declined the item. */
+/** Outcome of an attempt that the replica declined. */
 export const DECLINED = 'declined';
 const WHOLE = 'whole';
 const COMPLETED = 'completed';
 const OUTCOMES: ReadonlySet<string> = new Set([COMPLETED, 'dead']);
 
-/** One run of an item at a replica. */
+/** One attempt to run an item on a replica. */
 export interface Attempt {
   readonly replica: string;
   readonly outcome: string;
@@ -21,29 +21,28 @@
   readonly endMs: number;
 }
 
-/** One transaction that listed results. */
+/** One transaction that added results to the job's list. */
 interface Listing {
   readonly startMs: number;
   readonly endMs: number;
 }
 
-/** Where the time of one item went, milliseconds. */
+/** Breakdown of the time from the job's acceptance until the item's result was listed, in milliseconds. */
 export interface ItemDurations {
-  /** From the job's acceptance, or from an earlier attempt, until a replica was given the item. */
+  /** Time before and between attempts. */
   readonly queueMs: number;
-  /** At replicas that declined it. */
+  /** Time in attempts that a replica declined. */
   readonly declinedMs: number;
-  /** At replicas that failed or ended the stream early. */
+  /** Time in attempts that failed or whose stream ended early. */
   readonly brokenMs: number;
-  /** At the replica that finished it. */
+  /** Time in the attempt that completed. */
   readonly runMs: number;
-  /** From the last event to the score. */
+  /** From the end of the last attempt to the score. */
   readonly scoringMs: number;
-  /** From the score to the listing. */
+  /** From the score to the listing of the result. */
   readonly listingMs: number;
 }
 
-/** One item of a job. */
 export interface ItemTimeline {
   readonly id: string;
   readonly group: string;
@@ -54,7 +53,7 @@
   readonly waits: ItemDurations;
 }
 
-/** Runs of each item, by the item's identifier. */
+/** Attempts by item ID. */
 export function attemptsByItem(lines: readonly TraceLine[], acceptedAtMs: number): Map<string, Attempt[]> {
   const ended = lines.filter((line) => line.event === 'attempt-ended');
   const byItem = groupBy(ended, ({ fields }) => String(fields.requestId));
@@ -63,7 +62,7 @@
   );
 }
 
-/** The items whose outcome and listing were logged. */
+/** Timelines of the items whose outcome and listing were logged. */
 export function itemsOf(
   lines: readonly TraceLine[],
   acceptedAtMs: number,
@@ -90,7 +89,7 @@
   return { replica: String(line.fields.replica), outcome: String(line.fields.outcome), startMs, endMs };
 }
 
-/** The item, when its listing was logged: the first listing that began after the outcome. */
+/** Pairs the item with the first listing that began after its outcome; empty if there is none. */
 function itemOf(
   outcome: TraceLine,
   atMs: number,
@@ -126,8 +125,8 @@
 }
 
 /**
- * The groups that the submitter waits for, in the order in which they were whole, each by its item that was
- * listed last: carried groups, and of the others those that were whole first.
+ * The complete groups that the submitter waits for, each represented by its last listed item, in order of
+ * completion. Carried groups always count; the remaining places go to the other groups that completed first.
  */
 export function completeGroups(
   items: readonly ItemTimeline[],
@@ -144,7 +143,6 @@
   return [...whole.filter(({ group }) => carried.has(group)), ...others].sort(byListing);
 }
 
-/** The lines of completed items. */
 export function completedLines(lines: readonly TraceLine[]): TraceLine[] {
   return lines.filter(({ event, fields }) => event === 'item-changed' && fields.change === COMPLETED);
 }
--- a/src/cli/job-summary.ts
+++ b/src/cli/job-summary.ts
@@ -1,4 +1,4 @@
-/** Batch jobs as operators see them, read from the store without a call to any node. */
+/** Lists batch jobs for operators. Reads the store directly, so that no node needs to be running. */
 
 import { ok, type Result } from 'neverthrow';
 import { MILLISECONDS_PER_SECOND } from '../common/clock.js';
@@ -6,24 +6,23 @@
 import type { StateError } from '../state/state-error.js';
 import { formatTable } from './output.js';
 
-/** Summary of a job. */
 export interface JobSummary {
   readonly id: string;
   readonly state: 'open' | 'ended';
-  /** Node that runs it, empty when none does. */
+  /** ID of the node that runs the job; empty if no node does. */
   readonly owner: string;
-  /** Grows with each change of the owner. */
+  /** Incremented with each change of owner. */
   readonly epoch: number;
   readonly model: string;
   readonly items: number;
   readonly ageSeconds: number;
 }
 
-/** A job with counts of its items by state. */
 export interface JobDetail extends JobSummary {
+  /** Items with a listed result, dead ones included. */
   readonly listed: number;
   readonly dead: number;
-  /** Items whose text so far is kept for the next owner. */
+  /** Items whose partial text is stored, so that the next owner can resume them. */
   readonly keptTexts: number;
 }
 
@@ -39,7 +38,7 @@
   };
 }
 
-/** All jobs, the newest first. `nowMs`, the store's time in milliseconds, is read after the jobs. */
+/** All jobs, newest first. `nowMs` returns the store's time and is called after the jobs are read. */
 export async function listJobs(
   repository: JobRepository,
   nowMs: () => number,
@@ -50,7 +49,7 @@
   );
 }
 
-/** One job, `undefined` when there is none. */
+/** One job; `undefined` if it does not exist. */
 export async function showJob(
   repository: JobRepository,
   jobId: string,
@@ -71,7 +70,6 @@
   }));
 }
 
-/** Jobs as an aligned table. */
 export function jobTable(jobs: readonly JobSummary[]): string {
   const head = ['JOB', 'STATE', 'OWNER', 'EPOCH', 'MODEL', 'ITEMS', 'AGE S'];
   const rows = jobs.map(({ id, state, owner, epoch, model, items, ageSeconds }) => [
@@ -86,7 +84,6 @@
   return formatTable(head, rows);
 }
 
-/** One job as an aligned table of fields. */
 export function jobDetailTable(job: JobDetail): string {
   return formatTable(
     ['FIELD', 'VALUE'],
--- a/src/cli/job-timeline.ts
+++ b/src/cli/job-timeline.ts
@@ -1,6 +1,6 @@
 /**
- * How the time of jobs was spent, from log lines. Times are milliseconds after the acceptance of the job
- * unless noted. Attempts that are missing from the logs are missing here as well.
+ * Reconstructs the timelines of jobs from log lines. Times are in milliseconds since the job was accepted
+ * unless noted. Attempts that are missing from the logs are not counted.
  */
 import { MILLISECONDS_PER_SECOND } from '../common/clock.js';
 import { groupBy } from '../common/collections.js';
@@ -16,76 +16,78 @@
 } from './item-timeline.js';
 import type { TraceLine } from './trace.js';
 
-/** Shares of a job's items, or of the groups that its submitter waits for, whose completion is reported. */
+/** Fractions of a job's items, or of its wanted groups, whose completion time is reported. */
 export const MILESTONES = [0.5, 0.9, 0.97, 1] as const;
 
-/** The lines of a job. */
+/** A job whose `job-planned` line is in the logs. */
 interface PlannedJob {
   readonly jobId: string;
   readonly lines: readonly TraceLine[];
   readonly plan: TraceLine;
   readonly owners: number;
+  /** Time of day. */
   readonly acceptedAtMs: number;
 }
 
-/** A weight version, and when a node first logged it (time of day, milliseconds). */
+/** A published weight version as one node logged it. */
 interface LoggedVersion {
   readonly model: string;
   readonly version: number;
+  /** Time of day. */
   readonly timeMs: number;
 }
 
-/** One job. */
 export interface JobTimeline {
   readonly jobId: string;
   readonly model: string;
-  /** Time of day of the acceptance on the owner's clock, milliseconds. */
+  /** Time of day on the clock of the first owner. */
   readonly acceptedAtMs: number;
   readonly items: number;
+  /** Number of complete groups that the submitter waits for. */
   readonly wantedGroups: number;
   readonly slots: number;
-  /** Owners that the job had. */
+  /** Number of nodes that have owned the job. */
   readonly owners: number;
-  /** Groups that an earlier job left unfinished. The submitter waits for all of them. */
+  /** Groups carried over unfinished from an earlier job; the submitter waits for all of them. */
   readonly carriedGroups: number;
+  /** Attempts that a replica declined. */
   readonly declined: number;
   readonly firstStartMs: number | undefined;
   readonly lastStartMs: number | undefined;
-  /** When each of `MILESTONES` of the items was listed. */
+  /** When each fraction in `MILESTONES` of the items was listed. */
   readonly itemsListedMs: readonly (number | undefined)[];
-  /** When each of `MILESTONES` of the wanted groups was whole. */
+  /** When each fraction in `MILESTONES` of the wanted groups was complete. */
   readonly groupsWholeMs: readonly (number | undefined)[];
-  /** When the submitter ended the job; until then it had nothing new to train on. */
+  /** When the submitter ended the job. The trainer is counted as idle until then. */
   readonly endedMs: number | undefined;
-  /** The item that made the last wanted group whole. */
+  /** The item that completed the last wanted group. */
   readonly lastWanted: ItemTimeline | undefined;
-  /** Mean number of runs in flight in each second. */
+  /** Mean number of attempts in flight in each second, without declined ones. */
   readonly inFlight: readonly number[];
-  /** The same by replica. */
+  /** `inFlight` by replica. */
   readonly inFlightByReplica: Readonly<Record<string, readonly number[]>>;
-  /** Mean number of versions that a sample's oldest version was behind the newest one when it was done. */
+  /** Mean number of versions between a sample's oldest version and the newest one at its completion. */
   readonly staleness: number;
 }
 
-/** The jobs of one model. */
+/** Aggregate over the jobs of one model. */
 export interface TrainerTimeline {
   readonly model: string;
   readonly jobs: number;
-  /** Median time from acceptance to the last wanted group, milliseconds. */
+  /** Median time from acceptance to the completion of the last wanted group. */
   readonly medianWantedMs: number;
-  /** Median time from acceptance to the end of the job, milliseconds. */
+  /** Median time from acceptance to the end of the job. */
   readonly medianIdleMs: number;
   readonly totalIdleMs: number;
   readonly staleness: number;
 }
 
-/** All jobs of the logs. */
 export interface Timeline {
   readonly jobs: readonly JobTimeline[];
   readonly trainers: readonly TrainerTimeline[];
 }
 
-/** The jobs in the lines, in the order of their acceptance. */
+/** Builds the timelines of all jobs in the logs, in order of acceptance. */
 export function timelineOf(unordered: readonly TraceLine[]): Timeline {
   const lines = [...unordered].sort(
     (left, right) => left.timeMs - right.timeMs || left.sequence - right.sequence,
@@ -100,14 +102,14 @@
   return { jobs, trainers };
 }
 
-/** Published weight versions, once for each node that logged them. */
+/** Published weight versions; each occurs once for every node that logged it. */
 function loggedVersions(lines: readonly TraceLine[]): LoggedVersion[] {
   return lines
     .filter((line) => line.event === 'belief-changed' && line.fields.subject === 'weight-version')
     .map(({ fields, timeMs }) => ({ model: String(fields.name), version: Number(fields.version), timeMs }));
 }
 
-/** A job with its lines, unless its plan is missing. */
+/** Empty if the job's `job-planned` line is missing. */
 function plannedJob(jobId: string, lines: readonly TraceLine[]): PlannedJob[] {
   const plans = lines.filter((line) => line.event === 'job-planned');
   const plan = plans[0];
@@ -117,7 +119,7 @@
   ];
 }
 
-/** `seenItems` are those of earlier jobs; those of this one are added. */
+/** `seenItems` holds the item IDs of earlier jobs; those of this job are added. */
 function jobOf(
   { jobId, lines, plan, owners, acceptedAtMs }: PlannedJob,
   named: readonly LoggedVersion[],
@@ -164,7 +166,6 @@
   return MILESTONES.map((share) => sorted[Math.ceil(total * share) - 1]);
 }
 
-/** Mean number of attempts in flight in each second. */
 function inFlightBySecond(attempts: readonly Attempt[]): number[] {
   const endMs = Math.max(0, ...attempts.map((attempt) => attempt.endMs));
   return Array.from({ length: Math.ceil(endMs / MILLISECONDS_PER_SECOND) }, (_, second) => {
--- a/src/cli/log-lines.ts
+++ b/src/cli/log-lines.ts
@@ -1,8 +1,8 @@
-/** Log lines of nodes from a stream. */
+/** Reads the log lines of nodes from a stream. */
 import { createInterface } from 'node:readline';
 import { parseLogLine, type TraceLine } from './trace.js';
 
-/** Reads all log lines; other text is skipped. */
+/** Text that is not a log line is skipped. */
 export async function readLogLines(input: NodeJS.ReadableStream): Promise<TraceLine[]> {
   const lines: TraceLine[] = [];
   for await (const text of createInterface({ input })) {
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,11 +1,10 @@
-/** Output of the command line: results to standard output, everything else to standard error. */
+/** Output of the command line: results go to standard output, all other messages to standard error. */
 import Table from 'cli-table3';
 import { stringify } from 'yaml';
 import type { ProtocolError } from '../protocol/protocol-error.js';
 import { problemOf } from '../protocol/resource/operator-client.js';
 import { exitCodeOf } from './exit-codes.js';
 
-/** Forms of output. */
 export type OutputFormat = 'table' | 'json' | 'yaml';
 
 const BORDERLESS = {
@@ -26,7 +25,7 @@
   middle: '  ',
 };
 
-/** Rows of text as an aligned table. */
+/** Formats rows as an aligned table without borders. */
 export function formatTable(head: readonly string[], rows: readonly (readonly string[])[]): string {
   const style = { head: [], border: [], 'padding-left': 0, 'padding-right': 0 };
   const table = new Table({ head: [...head], chars: BORDERLESS, style });
@@ -38,19 +37,19 @@
     .join('\n');
 }
 
-/** Prints a result. */
+/** Prints a result to standard output. */
 export function printResult(format: OutputFormat, value: unknown, table: () => string): void {
   if (format === 'json') process.stdout.write(`${JSON.stringify(value, null, 2)}\n`);
   else if (format === 'yaml') process.stdout.write(stringify(value));
   else process.stdout.write(`${table()}\n`);
 }
 
-/** Prints a note for the person at the terminal. */
+/** Prints a message to standard error. */
 export function printNote(text: string): void {
   process.stderr.write(`${text}\n`);
 }
 
-/** Prints a failed exchange with the fields it names; returns the exit code. */
+/** Prints the error of a failed request with its invalid fields, and returns the exit code. */
 export function reportFailure(error: ProtocolError): number {
   const problem = problemOf(error);
   if (!problem) printNote(`error: ${error.message}`);
@@ -61,7 +60,7 @@
     for (const field of problem.fields ?? []) printNote(`  ${field.field}: ${field.message}`);
     if (problem.versions)
       printNote(`  expected version ${problem.versions.expected}, current ${problem.versions.current}`);
-    if (problem.retryAfterSeconds) printNote(`  try again in ${problem.retryAfterSeconds} s`);
+    if (problem.retryAfterSeconds) printNote(`  retry after ${problem.retryAfterSeconds} s`);
   }
   return exitCodeOf(error);
 }
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -1,4 +1,4 @@
-/** Plan of an apply: differences between declarations and the resources in force. Nothing is changed. */
+/** Computes the changes that an apply would make, by comparing declarations with the stored resources. */
 import { err, ok, type Result } from 'neverthrow';
 import type { ProtocolError } from '../protocol/protocol-error.js';
 import type { Manifest } from '../protocol/resource/manifest.js';
@@ -8,33 +8,34 @@
 import { sameDeclaration } from '../state/resource/configuration/index.js';
 import type { Declaration } from './declarations.js';
 
-/** A planned change. */
 export interface PlannedChange {
   readonly action: 'create' | 'update' | 'delete' | 'unchanged';
   readonly kind: string;
   readonly name: string;
-  /** Version that the plan is based on; 0 for a resource that does not exist. */
+  /** Resource version that the change is based on; 0 if the resource does not exist. */
   readonly basedOn: number;
-  /** Fields that differ, with both values. */
   readonly differences: readonly FieldDifference[];
   readonly manifest?: Manifest;
 }
 
-/** A field that differs. */
 export interface FieldDifference {
+  /** Dotted path. */
   readonly field: string;
+  /** The stored value. */
   readonly inForce: unknown;
   readonly declared: unknown;
 }
 
-/** How declarations are to be applied. */
 export interface PlanOptions {
+  /** Name of the set of declarations. */
   readonly set: string;
+  /** Revision of the source tree. */
   readonly source: string | undefined;
+  /** Whether to delete stored resources of the set that are no longer declared. */
   readonly prune: boolean;
 }
 
-/** Fields that commands set; a declaration without them keeps their value. */
+/** Fields set by commands such as `drain`; a declaration that omits them keeps the stored value. */
 const OPERATIONAL_FIELDS: Readonly<Record<string, readonly string[]>> = {
   Backend: ['draining', 'drainReason'],
   ModelVersion: ['approvals'],
@@ -54,7 +55,6 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Fields in which two values differ, by dotted path. */
 function differencesBetween(inForce: unknown, declared: unknown, path = ''): FieldDifference[] {
   if (isJsonObject(inForce) && isJsonObject(declared)) {
     const names = [...new Set([...Object.keys(inForce), ...Object.keys(declared)])].sort();
@@ -93,7 +93,7 @@
   return { action: 'update', kind, name, basedOn, differences, manifest };
 }
 
-/** Plans an apply. `--prune` deletes only what an earlier apply of the same set declared. */
+/** Plans an apply. `prune` deletes only resources that an earlier apply of the same set declared. */
 export async function planApply(
   client: OperatorClient,
   declarations: readonly Declaration[],
@@ -121,7 +121,7 @@
   return ok([...planned, ...pruned]);
 }
 
-/** The changeset of a plan; `undefined` when nothing differs. */
+/** The changeset of a plan; `undefined` if there are no changes. */
 export function toChangeset(
   plan: readonly PlannedChange[],
   operationId: string,
--- a/src/cli/timeline-table.ts
+++ b/src/cli/timeline-table.ts
@@ -1,4 +1,4 @@
-/** Tables of timelines for the terminal. Times are in milliseconds. */
+/** Renders timelines as tables for the terminal. Times are in milliseconds. */
 import type { ItemTimeline } from './item-timeline.js';
 import { type JobTimeline, MILESTONES, type Timeline, type TrainerTimeline } from './job-timeline.js';
 import { formatTable } from './output.js';
@@ -34,7 +34,6 @@
 const IN_FLIGHT_HEAD = ['job', 'slots', 'runs in flight by second'];
 const TRAINER_HEAD = ['model', 'jobs', 'median wanted', 'median idle', 'total idle', 'stale'];
 
-/** All tables of a timeline. */
 export function renderTimeline({ jobs, trainers }: Timeline): string {
   const lastRows = jobs.flatMap((job) => (job.lastWanted ? [lastRow(job, job.lastWanted)] : []));
   return [
--- a/src/cli/trace.ts
+++ b/src/cli/trace.ts
@@ -1,10 +1,10 @@
 /**
- * Traces of a request, an item or a job from log lines, ordered by the time that each node wrote; clocks of
- * nodes differ, so lines of different nodes may be slightly out of order. Lines that a node left out, and its
- * restarts within the trace, are reported as gaps.
+ * Builds the trace of a request, an item or a job from log lines. Lines are ordered by their timestamps, so
+ * clock skew can reorder lines of different nodes. Restarts of a node and lines that its logger dropped are
+ * reported as gaps.
  */
 
-/** One log line. */
+/** One parsed log line. */
 export interface TraceLine {
   readonly timeMs: number;
   readonly node: string;
@@ -13,13 +13,12 @@
   readonly fields: Readonly<Record<string, string | number>>;
 }
 
-/** A trace. */
 export interface Trace {
   readonly id: string;
-  /** The job that the item or call belongs to, when one is named. */
+  /** The job that the item or call belongs to, if known. */
   readonly jobId: string | undefined;
   readonly lines: readonly TraceLine[];
-  /** Times for which lines are missing. */
+  /** Descriptions of places where lines may be missing. */
   readonly gaps: readonly string[];
 }
 
@@ -30,14 +29,14 @@
   readonly context: Readonly<Record<string, string | number>>;
 }
 
-/** Time around a trace within which gaps are reported, milliseconds. Chosen, not measured. */
+/** Gaps within this time before or after the trace are reported too. */
 const MARGIN_MS = 2_000;
 const OMITTED_LINES_EVENT = 'lines-left-out';
 const STARTED_EVENT = 'process-started';
 const JOB_EVENTS: ReadonlySet<string> = new Set(['job-changed', 'results-listed']);
 const IDENTIFIER_FIELDS = ['requestId', 'jobId'] as const;
 
-/** Parses one line, skipping text before the JSON; `undefined` when it is no log line. */
+/** Parses one line, skipping text before the JSON; `undefined` if it is not a log line. */
 export function parseLogLine(text: string): TraceLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -53,12 +52,12 @@
       fields,
     };
   } catch {
-    // Not a log line: text of another program whose output is in the same file.
+    // Output of another program in the same file.
     return undefined;
   }
 }
 
-/** The trace of `id`. For an item it includes the ownership and the result listings of its job. */
+/** Builds the trace of `id`. For an item it includes ownership changes and result listings of its job. */
 export function traceOf(id: string, all: readonly TraceLine[]): Trace {
   const matching = all.filter((line) => mentions(line, id));
   const jobId = matching
@@ -98,11 +97,11 @@
   if (line.event === OMITTED_LINES_EVENT)
     return [`${position}: ${line.fields.count} lines of ${line.fields.kind} were left out`];
   if (line.event === STARTED_EVENT)
-    return [`${position}: the process was started; lines of its earlier incarnation may be missing`];
+    return [`${position}: the process started; lines of its previous run may be missing`];
   return [];
 }
 
-/** The trace as text: time since the first line, node, event, fields. */
+/** Formats a trace as text, a row per line: time since the first line, node, event and fields. */
 export function renderTrace(trace: Trace): string {
   const start = trace.lines[0]?.timeMs ?? 0;
   const width = Math.max(...trace.lines.map((line) => line.node.length));
--- a/src/cli/usage-summary.ts
+++ b/src/cli/usage-summary.ts
@@ -1,31 +1,31 @@
-/** Usage windows as operators see them, read from the store without a call to any node. */
+/** Lists usage windows for operators. Reads the store directly, so that no node needs to be running. */
 import type { Result } from 'neverthrow';
 import type { TenantCounts } from '../protocol/service/usage.js';
 import type { StoredReport, UsageRepository } from '../state/service/usage/index.js';
 import type { StateError } from '../state/state-error.js';
 import { formatTable } from './output.js';
 
-/** Summary of a window. */
 export interface WindowSummary {
   readonly window: number;
+  /** `decided`: the counts are final, but the collector has not accepted the report yet. */
   readonly state: 'decided' | 'reported';
-  /** Node that decided. */
+  /** ID of the node that finalized the counts. */
   readonly decidedBy: string;
   readonly tenants: number;
   readonly requests: number;
 }
 
-/** Counts of one process in a window. */
+/** Counts of one process of a node in a window. */
 export interface NodeCounts {
   readonly node: string;
-  /** Whether the window was over for it when it last wrote. */
+  /** Whether the window had ended when the process last wrote its counts. */
   readonly isClosed: boolean;
   readonly counts: TenantCounts;
 }
 
-/** A window with its report and the counts behind it, which are kept for a few windows. */
+/** A window's report and the counts of each process, which are kept for a few windows only. */
 export interface WindowDetail {
-  /** `undefined` while it is not decided. */
+  /** `undefined` until the counts are final. */
   readonly report: StoredReport | undefined;
   readonly nodes: readonly NodeCounts[];
 }
@@ -42,13 +42,13 @@
   };
 }
 
-/** All windows that were decided on and are kept, the newest first. */
+/** All stored windows with final counts, newest first. */
 export async function listWindows(repository: UsageRepository): Promise<Result<WindowSummary[], StateError>> {
   const reports = await repository.reports();
   return reports.map((all) => all.map(toSummary).reverse());
 }
 
-/** One window, `undefined` when nothing is known of it. */
+/** One window; `undefined` if neither a report nor counts of it are stored. */
 export async function showWindow(
   repository: UsageRepository,
   window: number,
@@ -63,7 +63,6 @@
   });
 }
 
-/** Windows as an aligned table. */
 export function windowTable(windows: readonly WindowSummary[]): string {
   const head = ['WINDOW', 'STATE', 'DECIDED BY', 'TENANTS', 'REQUESTS'];
   const rows = windows.map(({ window, state, decidedBy, tenants, requests }) => [
@@ -76,7 +75,7 @@
   return formatTable(head, rows);
 }
 
-/** One window as an aligned table: what is reported of each tenant, then what each node has counted. */
+/** Formats a window as a table: the reported counts of each tenant, then the counts of each process. */
 export function windowDetailTable({ report, nodes }: WindowDetail): string {
   const reported = Object.entries(report?.counts ?? {}).map(([tenant, count]) => [
     'reported',
