--- a/scripts/check-layers.ts
+++ b/scripts/check-layers.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the rules of imports (`layer-rules.ts`), that the platform's names stay in the adapter, and its
- * size. The product never imports the adapter, the emulator, the benchmarks or the tests.
+ * Checks the import rules (`layer-rules.ts`), that the product does not contain names of the platform's
+ * interface, and that the adapter stays small relative to the product.
  */
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import { join, relative, resolve } from 'node:path';
@@ -14,7 +14,7 @@
 } from '../platform/names.js';
 import { findImportCycle, importViolations, type Source } from './layer-rules.js';
 
-/** Names that the platform shares with HTTP in general, or with flags of the product's own command line. */
+/** Names in `platform/names.ts` that are standard in HTTP, or that the product uses itself. */
 const COMMON_NAMES = new Set<string>([
   HEADER.retryAfter,
   HEADER.lastEventId,
@@ -23,14 +23,14 @@
   HEADER.tenant,
   HEADER.authorization,
 ]);
-/** Lines of the adapter for each line of the product, at most. */
+/** Upper bound on the size of the adapter in lines, as a fraction of the product's. */
 const MAX_ADAPTER_SHARE = 1 / 6;
 
 const ADAPTER = 'platform';
-/** Folders beside the product that enter its rooms through their index; tests look inside. */
+/** Folders outside `src` that must import its modules through their index. Tests are exempt. */
 const NON_PRODUCT_FOLDERS = [ADAPTER, 'emulator', 'bench'];
 
-/** Names of the platform's interface that stand nowhere outside the adapter and the tests of it. */
+/** Names of the platform's interface that must not occur in the product. */
 const PLATFORM_NAMES: readonly string[] = [
   ...Object.values(HEADER),
   ...Object.values(STORE_PATH),
@@ -54,13 +54,12 @@
   return { path: relative(root, file), text: readFileSync(file, 'utf8') };
 }
 
-/** Names of the platform that a file of the product uses. */
 function platformNamesIn(file: string): string[] {
   const text = readFileSync(file, 'utf8').toLowerCase();
   const quoted = (name: string) =>
     ["'", '"', '`'].some((quote) => text.includes(`${quote}${name.toLowerCase()}`));
   return PLATFORM_NAMES.filter(quoted).map(
-    (name) => `${relative(root, file)}: names ${name} of the platform`,
+    (name) => `${relative(root, file)}: contains the platform name ${name}`,
   );
 }
 
@@ -76,10 +75,10 @@
   ...product.flatMap(platformNamesIn),
 ];
 const cycle = findImportCycle(product.map(toSource));
-if (cycle) violations.push(`imports run in a circle: ${cycle.join(' -> ')}`);
+if (cycle) violations.push(`import cycle: ${cycle.join(' -> ')}`);
 const [productLines, adapterLines] = [countLines(product), countLines(adapter)];
 if (adapterLines > productLines * MAX_ADAPTER_SHARE)
-  violations.push(`${ADAPTER}: larger than a sixth of src`);
+  violations.push(`${ADAPTER}: exceeds a sixth of the lines of src`);
 for (const violation of violations) process.stderr.write(`${violation}\n`);
 process.stdout.write(
   `layers: ${violations.length} violation(s); ${ADAPTER} ${adapterLines} lines, src ${productLines}\n`,
--- a/scripts/ci-summary.ts
+++ b/scripts/ci-summary.ts
@@ -1,7 +1,7 @@
 /**
- * Prints the results of a test run (mocha's JSON report) and ends with `N passed, N failed`. A failure that
- * is listed in `KNOWN-RED.txt` is printed but does not fail the run; a listed test that passes, or does not
- * exist, does fail it.
+ * Prints the results of a test run from mocha's JSON report; the last line is `N passed, N failed`. Failures
+ * listed in `KNOWN-RED.txt` are printed but do not fail the run. Listed tests that do not fail, pending tests
+ * and an empty report do.
  */
 import { existsSync, readFileSync } from 'node:fs';
 
@@ -20,7 +20,7 @@
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 const MAX_KNOWN_RED = 3;
 
-/** Titles of the tests that are known to fail: the part of each line before ` | `. */
+/** Titles of the tests that are known to fail: the part of each line before the first ` | `. */
 function readKnownRed(): string[] {
   if (!existsSync(KNOWN_RED_FILE)) return [];
   const lines = readFileSync(KNOWN_RED_FILE, 'utf8').split('\n');
--- a/scripts/generate-resource-docs.ts
+++ b/scripts/generate-resource-docs.ts
@@ -1,5 +1,5 @@
 /**
- * Writes `docs/RESOURCES.md` from the TypeBox schemas; with `--check` exits with 1 when it is out of date.
+ * Generates `docs/RESOURCES.md` from the TypeBox schemas. With `--check`, exits with 1 if it is out of date.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
@@ -33,14 +33,14 @@
   return [node.type ?? 'any', ...range].join(', ');
 }
 
-/** Rows of the fields below `path`. */
+/** Table rows of the fields below `path`. */
 function rowsOf({ properties = {}, required = [] }: SchemaNode, path: string): string[] {
   return Object.entries(properties).flatMap(([name, child]) =>
     fieldRows(child, `${path}.${name}`, required.includes(name)),
   );
 }
 
-/** Rows of one field and of those within it. */
+/** Table rows of a field and of its nested fields. */
 function fieldRows(node: SchemaNode, field: string, isRequired: boolean): string[] {
   const need = isRequired ? 'yes' : 'no';
   const row = `| \`${field}\` | ${typeText(node)} | ${need} | ${node.description ?? ''} |`;
--- a/scripts/layer-rules.ts
+++ b/scripts/layer-rules.ts
@@ -1,11 +1,12 @@
 /**
- * Which file of the product may import which: layers go one way, rooms within a layer too, a room is entered
- * through its index, and what serves one of the two interfaces does not import what serves the other.
+ * Import rules of the product. Imports between layers, and between the modules of a layer, go in one
+ * direction; a module is imported through its index; and code that serves one of the two interfaces does not
+ * import code that serves the other.
  */
 import { dirname, join, normalize } from 'node:path';
 
-/** A source file: its path from the root of the repository, and its text. */
 export interface Source {
+  /** Relative to the root of the repository. */
   readonly path: string;
   readonly text: string;
 }
@@ -13,7 +14,7 @@
 const ADAPTER = 'platform';
 const INDEX = 'index.ts';
 
-/** Folders that files of a layer may import, besides their own. */
+/** Layers, and the other layers that each may import. */
 const LAYERS: Readonly<Record<string, readonly string[]>> = {
   'src/common': [],
   'src/transport': ['src/common'],
@@ -25,8 +26,8 @@
 };
 
 /**
- * Rooms of a layer; each may import those before it. Rooms below `resource` serve nodes of the product's own
- * interface, rooms below `service` those of a platform's, all others both.
+ * Modules of each layer, in order; a module may import those before it. Modules below `resource` serve the
+ * product's own interface, those below `service` the interface of a platform, all others both.
  */
 const MODULES: Readonly<Record<string, readonly string[]>> = {
   'src/protocol': [],
@@ -64,24 +65,24 @@
   'src/node': [],
 };
 
-/** Folders of a layer that hold what serves one interface only. */
+/** Folders of a layer whose code serves a single interface. */
 const INTERFACES = ['resource', 'service'] as const;
 
 const IMPORT = /from\s+'(\.[^']+)'|import\s+'(\.[^']+)'/g;
 
-/** The layer that a path stands in, for example `src/state`. */
+/** The layer that a path belongs to, for example `src/state`. */
 function layerOf(path: string): string {
   const parts = path.split('/');
   return parts[0] === ADAPTER ? ADAPTER : parts.slice(0, 2).join('/');
 }
 
-/** The interface that a path serves, if it serves one only. */
+/** The interface that a path serves, if it serves only one. */
 function interfaceOf(path: string): string | undefined {
   const folder = path.split('/')[2];
   return layerOf(path) in MODULES ? INTERFACES.find((name) => name === folder) : undefined;
 }
 
-/** The room that a path stands in, if its layer has rooms and the path is not a file above them. */
+/** The module that a path belongs to; `undefined` if it is outside all modules of its layer. */
 function moduleOf(path: string): string | undefined {
   if ((MODULES[layerOf(path)] ?? []).length === 0) return undefined;
   const folders = path.split('/').slice(2, -1);
@@ -89,23 +90,21 @@
   return module.length === 0 || module.join('/') === interfaceOf(path) ? undefined : module.join('/');
 }
 
-/** Paths that a source imports, from the root of the repository. */
+/** Paths that a source imports, relative to the root of the repository. */
 function importsOf({ path, text }: Source): string[] {
   const targets = [...text.matchAll(IMPORT)].map((match) => match[1] ?? match[2] ?? '');
   return targets.map((target) => normalize(join(dirname(path), target)).replace(/\.js$/, '.ts'));
 }
 
-/** Violation of the order of layers by a file of the product. */
 function layerViolation(from: string, to: string): string | undefined {
   const allowed = LAYERS[layerOf(from)];
-  if (!allowed) return `${from}: stands in no known layer`;
+  if (!allowed) return `${from}: belongs to no known layer`;
   const target = layerOf(to);
   return target === layerOf(from) || allowed.includes(target)
     ? undefined
     : `${from}: ${layerOf(from)} must not import ${target}`;
 }
 
-/** Violation of the division between the two interfaces. */
 function interfaceViolation(from: string, to: string): string | undefined {
   const [importer, imported] = [interfaceOf(from), interfaceOf(to)];
   if (imported === undefined || importer === imported || !(layerOf(from) in MODULES)) return undefined;
@@ -114,24 +113,24 @@
     : `${from}: the ${importer} interface must not import the ${imported} interface`;
 }
 
-/** Violation of the order of rooms, or of the rule that a room is entered through its index. */
+/** A violation of the order of modules, or an import that bypasses a module's index. */
 function moduleViolation(from: string, to: string): string | undefined {
   const layer = layerOf(to);
   const module = moduleOf(to);
   if (module === undefined) return undefined;
   const modules = MODULES[layer] ?? [];
-  if (!modules.includes(module)) return `${to}: ${layer} has no room ${module}`;
+  if (!modules.includes(module)) return `${to}: ${layer} has no module ${module}`;
   const own = layer === layerOf(from) ? moduleOf(from) : undefined;
   if (own === module) return undefined;
-  if (!to.endsWith(`/${INDEX}`)) return `${from}: ${layer}/${module} is entered through its index`;
+  if (!to.endsWith(`/${INDEX}`)) return `${from}: ${layer}/${module} must be imported through its index`;
   if (own !== undefined && modules.indexOf(module) > modules.indexOf(own))
     return `${from}: ${layer}/${own} must not import ${layer}/${module}, which comes after it`;
   return undefined;
 }
 
 /**
- * Violations of a source. Files outside the product may import any layer, but enter rooms through their
- * index.
+ * Describes the violations in a source. Files outside the product may import any layer, but only through the
+ * index of a module.
  */
 export function importViolations(source: Source): string[] {
   const isProduct = source.path.startsWith('src/');
@@ -144,7 +143,7 @@
   );
 }
 
-/** The first circle of imports found, as paths whose last one imports the first; undefined without one. */
+/** The first import cycle found, as paths of which the last imports the first. */
 export function findImportCycle(sources: readonly Source[]): string[] | undefined {
   const edges = new Map(sources.map((source) => [source.path, importsOf(source)]));
   const done = new Set<string>();
--- a/test/scripts/layer-rules.test.ts
+++ b/test/scripts/layer-rules.test.ts
@@ -6,8 +6,8 @@
   text: imports.map((target) => `import { something } from '${target}';`).join('\n'),
 });
 
-describe('the rules of imports', () => {
-  it('allow a room to import the rooms before it and the layers below, through their index', () => {
+describe('import rules', () => {
+  it('allows a module to import earlier modules and lower layers through their index', () => {
     const file = source(
       'src/coordination/service/jobs/job-run.ts',
       './item-run.js',
@@ -19,14 +19,14 @@
     expect(importViolations(file)).to.deep.equal([]);
   });
 
-  it('find a room that imports one after it', () => {
+  it('rejects an import of a later module', () => {
     const file = source('src/coordination/service/generation/placement.ts', '../jobs/index.js');
     expect(importViolations(file)).to.deep.equal([
       'src/coordination/service/generation/placement.ts: src/coordination/service/generation must not import src/coordination/service/jobs, which comes after it',
     ]);
   });
 
-  it('find an import past the index of a room, also from outside the product', () => {
+  it('rejects an import that bypasses the index of a module, also from outside the product', () => {
     for (const path of [
       'src/node/service/node.ts',
       'src/coordination/service/jobs/job-run.ts',
@@ -38,12 +38,12 @@
           ? '../../../state'
           : '../../state';
       expect(importViolations(source(path, `${target}/service/jobs/job-record.js`))).to.deep.equal([
-        `${path}: src/state/service/jobs is entered through its index`,
+        `${path}: src/state/service/jobs must be imported through its index`,
       ]);
     }
   });
 
-  it('find a layer that imports one above it, and the adapter', () => {
+  it('rejects imports of a higher layer and of the adapter', () => {
     expect(
       importViolations(
         source('src/state/service/jobs/job-record.ts', '../../../coordination/service/jobs/index.js'),
@@ -54,13 +54,13 @@
     ).to.deep.equal(['src/cli/commands/node.ts: src/cli must not import platform']);
   });
 
-  it('find a folder that is not a room', () => {
+  it('rejects an import from a folder that is not a module', () => {
     expect(importViolations(source('src/node/service/node.ts', '../../state/attic/index.js'))).to.deep.equal([
-      'src/state/attic/index.ts: src/state has no room attic',
+      'src/state/attic/index.ts: src/state has no module attic',
     ]);
   });
 
-  it('find what serves one interface and imports what serves the other, and what serves both and imports either', () => {
+  it('rejects imports between the interfaces, and of an interface by code that serves both', () => {
     const across = source('src/node/resource/node.ts', '../../state/service/jobs/index.js');
     expect(importViolations(across)).to.deep.equal([
       'src/node/resource/node.ts: the resource interface must not import the service interface',
@@ -72,7 +72,7 @@
     expect(importViolations(source('src/cli/trace.ts', '../protocol/service/replica.js'))).to.deep.equal([]);
   });
 
-  it('find a circle of imports', () => {
+  it('finds an import cycle', () => {
     const [a, b, c] = ['src/state/jobs/a.ts', 'src/state/jobs/b.ts', 'src/state/jobs/c.ts'];
     const cycle = findImportCycle([source(a, './b.js'), source(b, './c.js'), source(c, './b.js')]);
     expect(cycle).to.deep.equal([b, c]);
