--- a/test/cli/job-summary.test.ts
+++ b/test/cli/job-summary.test.ts
@@ -1,4 +1,4 @@
-/** The operators' view of batch jobs, as a process of its own. */
+/** Runs `platform/jobs.ts` as a child process against a running system. */
 import { spawn, spawnSync } from 'node:child_process';
 import { once } from 'node:events';
 import { resolve } from 'node:path';
@@ -7,7 +7,7 @@
 
 const PROGRAM = resolve(import.meta.dirname, '../../platform/jobs.js');
 
-describe('the operators view of batch jobs', () => {
+describe('platform/jobs', () => {
   let system: ServiceSystem;
 
   beforeEach(async () => {
@@ -30,7 +30,7 @@
     return { code, out, error };
   }
 
-  it('lists jobs and shows one with its owner and results', async () => {
+  it('lists jobs and shows a job with its owner and the number of results', async () => {
     await Promise.all([system.addEngine(), system.addApplication()]);
     const node = await system.addNode('node-1');
     await system.untilReady(node);
@@ -54,7 +54,7 @@
     expect((await run('list', '-o', 'yaml')).out).to.contain('id: job-1');
   });
 
-  it('says what is wrong by its exit code', async () => {
+  it('reports the kind of error by its exit code', async () => {
     expect((await run('show', 'no-such-job')).code).to.equal(4);
     expect((await run('list', '--output', 'xml')).code).to.equal(2);
     system.store.mode = 'busy';
--- a/test/cli/job-timeline.test.ts
+++ b/test/cli/job-timeline.test.ts
@@ -1,4 +1,3 @@
-/** Timelines of jobs from log lines: milestones, where items waited, runs in flight, idle time and staleness. */
 import { expect } from 'chai';
 import { type JobTimeline, timelineOf } from '../../src/cli/job-timeline.js';
 import { renderTimeline } from '../../src/cli/timeline-table.js';
@@ -53,7 +52,7 @@
   return line(toMs, 'results-listed', { firstPosition: 0, count, outcome: 'listed', tookMs: toMs - fromMs });
 }
 
-/** Group a: one item is declined first, the other waits. Group b: one item never ends. */
+/** Group a: one item is declined once, the other fails once. Group b: one item never completes. */
 const LINES: readonly TraceLine[] = [
   planned(20),
   attempt('a1', 'r1', 'declined', 50, 60),
@@ -77,8 +76,8 @@
   return jobs[0] as JobTimeline;
 }
 
-describe('timelines of jobs', () => {
-  it('have the published names of fields: scripts read them as JSON', () => {
+describe('timelineOf', () => {
+  it('keeps the published field names of the JSON output', () => {
     const { jobs, trainers } = timelineOf(LINES);
     expect(
       Object.keys(jobs[0] as object)
@@ -95,7 +94,7 @@
     ).to.equal('jobs medianIdleMs medianWantedMs model staleness totalIdleMs');
   });
 
-  it('report when shares of the items and of the wanted groups were complete', () => {
+  it('reports when each fraction of the items and of the wanted groups was complete', () => {
     const job = singleJob(LINES);
     expect(job.acceptedAtMs).to.equal(ACCEPTED_MS);
     expect([job.firstStartMs, job.lastStartMs]).to.deep.equal([50, 1_250]);
@@ -104,26 +103,26 @@
     expect([job.declined, job.owners, job.endedMs]).to.deep.equal([1, 1, 4_000]);
   });
 
-  it('report what the last item of the last wanted group waited for', () => {
+  it('reports where the last item of the last wanted group spent its time', () => {
     expect(singleJob(LINES).lastWanted).to.deep.include({
       id: 'a2',
       waits: { queueMs: 250, declinedMs: 0, brokenMs: 1_000, runMs: 1_800, scoringMs: 50, listingMs: 30 },
     });
   });
 
-  it('count runs in flight by second and replica, without those that were declined', () => {
+  it('counts attempts in flight by second and by replica, without declined ones', () => {
     const job = singleJob(LINES);
     expect(job.inFlight).to.deep.equal([2, 2, 1, 0]);
     expect(job.inFlightByReplica.r1).to.deep.equal([1, 1, 0]);
   });
 
-  it('report the idle time of a trainer and the staleness of its samples', () => {
+  it('reports the idle time of a trainer and the staleness of its samples', () => {
     const [trainer] = timelineOf(LINES).trainers;
     expect(trainer).to.deep.include({ model: 'm', jobs: 1, medianWantedMs: 3_130, medianIdleMs: 4_000 });
     expect(trainer?.staleness).to.be.closeTo(1 / 3, 1e-9);
   });
 
-  it('wait for the groups that an earlier job left unfinished, whatever others are whole', () => {
+  it('counts groups carried over from an earlier job before other complete groups', () => {
     const later = LINES.filter(({ event }) => event !== 'belief-changed').map((entry) => ({
       ...entry,
       timeMs: entry.timeMs + 10_000,
@@ -142,16 +141,16 @@
     expect(second?.lastWanted?.group).to.equal('a');
   });
 
-  it('use the clock of the first owner when a job had several', () => {
+  it('uses the clock of the first owner if a job had several', () => {
     const job = singleJob([...LINES, planned(2_000)]);
     expect([job.owners, job.acceptedAtMs]).to.deep.equal([2, ACCEPTED_MS]);
   });
 
-  it('leave out jobs whose plan is not in the logs', () => {
+  it('omits jobs whose plan is not in the logs', () => {
     expect(timelineOf(LINES.filter(({ event }) => event !== 'job-planned')).jobs).to.deep.equal([]);
   });
 
-  it('are printed as tables', () => {
+  it('returns timelines that are rendered as tables', () => {
     const text = renderTimeline(timelineOf(LINES));
     expect(text).to.match(/^job-1\s+50\s+1250\s+2220\s+-\s+-\s+-\s+3130/m);
     expect(text).to.match(/^job-1\s+a2\s+5\s+250\s+0\s+1000\s+1800\s+50\s+30/m);
--- a/test/cli/usage-summary.test.ts
+++ b/test/cli/usage-summary.test.ts
@@ -1,4 +1,4 @@
-/** The operators' view of usage, as a process of its own. */
+/** Runs `platform/usage.ts` as a child process against a running system. */
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { resolve } from 'node:path';
@@ -12,7 +12,7 @@
 const WINDOW_MS = 1_000;
 const DUE_MS = 5_000;
 
-describe('the operators view of usage', () => {
+describe('platform/usage', () => {
   let system: ServiceSystem;
 
   beforeEach(async () => {
@@ -31,8 +31,8 @@
     return { code, out };
   }
 
-  /** The node is ended before the views are read: it removes counts a few windows after their report. */
-  it('lists windows, and shows one with the counts that it comes from', async () => {
+  /** The node is killed first, because it removes counts a few windows after they were reported. */
+  it('lists windows and shows a window with the counts of each process', async () => {
     system.configure(tenantConfiguration(2));
     await system.reportUsage(WINDOW_MS, DUE_MS);
     await system.addApplication();
@@ -42,7 +42,7 @@
     const window = await until('the request is reported', () =>
       system.usage.reports.find(({ counts }) => counts.small === 1),
     );
-    await until('the report is noted as taken', () =>
+    await until('the report is stored as accepted', () =>
       system.store.rows
         .scan(REPORT_TABLE, REPORT_PARTITION, windowKey(window.window), windowKey(window.window + 1))
         .some((row) => Buffer.from(row.value ?? '', 'base64').includes('"isReported":true')),
