--- a/src/cli/job-timeline.ts
+++ b/src/cli/job-timeline.ts
@@ -46,7 +46,7 @@
   /** Number of complete groups that the submitter waits for. */
   readonly wantedGroups: number;
   readonly slots: number;
-  /** Number of nodes that have owned the job. */
+  /** Number of times that a node took ownership of the job. */
   readonly owners: number;
   /** Groups carried over unfinished from an earlier job; the submitter waits for all of them. */
   readonly carriedGroups: number;
