--- a/src/cli/commands/inspect.ts
+++ b/src/cli/commands/inspect.ts
@@ -3,7 +3,7 @@
 import type { Explanation, Status } from '../../protocol/resource/operator.js';
 import type { ApiResource } from '../../protocol/resource/operator-client.js';
 import { KINDS, ROLLOUT_KIND } from '../../protocol/resource/resource.js';
-import { connectionFlags, outputFlag, withOperator } from '../connection.js';
+import { connectionFlags, outputFlag, withOperatorClient } from '../connection.js';
 import { ExitCode } from '../exit-codes.js';
 import { formatTable, printNote, printResult, reportFailure } from '../output.js';
 
@@ -32,8 +32,8 @@
 /** `thymecove get`. */
 export const getCommand = command({
   name: 'get',
-  description: 'List resources of a kind, or show one.',
-  examples: [{ description: 'All back ends as YAML', command: 'thymecove get Backend -o yaml' }],
+  description: 'List the resources of a kind, or show a single one.',
+  examples: [{ description: 'All backends as YAML', command: 'thymecove get Backend -o yaml' }],
   args: {
     ...connectionFlags,
     kind,
@@ -41,7 +41,7 @@
     output: outputFlag,
   },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       if (args.name === undefined) {
         const found = await client.list(args.kind);
         if (found.isErr()) return reportFailure(found.error);
@@ -56,7 +56,7 @@
 });
 
 function describeText(resource: ApiResource): string {
-  const flat = (tree: Record<string, unknown>) =>
+  const toRows = (tree: Record<string, unknown>) =>
     Object.entries(tree).map(([field, value]) => [
       field,
       typeof value === 'string' ? value : JSON.stringify(value),
@@ -68,8 +68,8 @@
     one.message,
   ]);
   return [
-    formatTable(['METADATA', ''], flat(resource.metadata)),
-    formatTable(['SPEC', ''], flat(resource.spec)),
+    formatTable(['METADATA', ''], toRows(resource.metadata)),
+    formatTable(['SPEC', ''], toRows(resource.spec)),
     formatTable(['CONDITION', 'STATUS', 'REASON', 'MESSAGE'], conditions),
   ].join('\n\n');
 }
@@ -77,10 +77,10 @@
 /** `thymecove describe`. */
 export const describeCommand = command({
   name: 'describe',
-  description: 'Show a resource with its conditions.',
+  description: 'Show the metadata, spec and conditions of a resource.',
   args: { ...connectionFlags, kind, name, output: outputFlag },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const found = await client.get(args.kind, args.name);
       if (found.isErr()) return reportFailure(found.error);
       printResult(args.output, found.value, () => describeText(found.value));
@@ -91,28 +91,28 @@
 /** `thymecove watch`. */
 export const watchCommand = command({
   name: 'watch',
-  description: 'Follow changes of a kind, one JSON object a line.',
-  examples: [{ description: 'From a version on', command: 'thymecove watch Backend --resource-version 41' }],
+  description: 'Watch a kind and print each change as a line of JSON.',
+  examples: [{ description: 'From a version', command: 'thymecove watch Backend --resource-version 41' }],
   args: {
     ...connectionFlags,
     kind,
     resourceVersion: option({
       type: optional(number),
       long: 'resource-version',
-      description: 'Version to go on from.',
+      description: 'Version to resume from.',
     }),
-    lines: option({ type: optional(number), long: 'lines', description: 'End after so many lines.' }),
+    lines: option({ type: optional(number), long: 'lines', description: 'Exit after this number of lines.' }),
   },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const stop = new AbortController();
       process.once('SIGINT', () => stop.abort());
-      let left = args.lines ?? Number.POSITIVE_INFINITY;
+      let remaining = args.lines ?? Number.POSITIVE_INFINITY;
       const onLine = (line: string) => {
-        if (left <= 0) return;
+        if (remaining <= 0) return;
         process.stdout.write(`${line}\n`);
-        left -= 1;
-        if (left <= 0) stop.abort();
+        remaining -= 1;
+        if (remaining <= 0) stop.abort();
       };
       const ended = await client.watch(args.kind, args.resourceVersion, onLine, stop.signal);
       return ended.isErr() ? reportFailure(ended.error) : ExitCode.ok;
@@ -135,11 +135,11 @@
 /** `thymecove explain`. */
 export const explainCommand = command({
   name: 'explain',
-  description: 'Say why a request, a sample or a back end was treated as it was.',
+  description: 'Show the decisions about a request, a sample or a backend, with their reasons.',
   examples: [
     { description: 'A request by its ID', command: 'thymecove explain node-a~01JE2S4W7Q0C3Y5Z8N1K6M9T2V' },
     { description: 'A sample by its ID', command: 'thymecove explain disputes:step-12:7:0' },
-    { description: 'A back end', command: 'thymecove explain backend/engine-3' },
+    { description: 'A backend', command: 'thymecove explain backend/engine-3' },
   ],
   args: {
     ...connectionFlags,
@@ -147,7 +147,7 @@
     output: outputFlag,
   },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const found = await client.explain(args.subject);
       if (found.isErr()) return reportFailure(found.error);
       printResult(args.output, found.value, () => explanationText(found.value));
@@ -158,7 +158,7 @@
 function statusText(status: Status): string {
   const { node, members, backends } = status;
   const head = `node ${node.id} in ${node.zone}: ${node.state}, revision ${node.configRevision}`;
-  const fresh = node.configurationFresh ? 'confirmed' : 'NOT confirmed';
+  const freshness = node.configurationFresh ? 'confirmed' : 'NOT confirmed';
   const duties = node.duties.join(', ') || 'none';
   const memberRows = members.map((one) => [one.id, one.zone, one.state, one.address]);
   const backendRows = backends.map((one) => [
@@ -171,7 +171,7 @@
     one.takesWork,
   ]);
   return [
-    `${head} (${fresh})\nduties: ${duties}`,
+    `${head} (${freshness})\nduties: ${duties}`,
     formatTable(['MEMBER', 'ZONE', 'STATE', 'ADDRESS'], memberRows),
     formatTable(['BACKEND', 'SERVICE', 'ZONE', 'HEALTH', 'VERSION', 'IN FLIGHT', 'TAKES WORK'], backendRows),
   ].join('\n\n');
@@ -180,15 +180,15 @@
 /** `thymecove status`. */
 export const statusCommand = command({
   name: 'status',
-  description: 'Show the state of a node, its members and its back ends.',
+  description: 'Show the state of a node, and the members and backends that it knows.',
   args: { ...connectionFlags, output: outputFlag },
   handler: (args) =>
-    withOperator(args, async (client) => {
+    withOperatorClient(args, async (client) => {
       const found = await client.status();
       if (found.isErr()) return reportFailure(found.error);
       printResult(args.output, found.value, () => statusText(found.value));
       if (!found.value.node.configurationFresh)
-        printNote('warning: the configuration of this node is not confirmed');
+        printNote('warning: the configuration of this node is not confirmed to be current');
       return ExitCode.ok;
     }),
 });
--- a/src/cli/declarations.ts
+++ b/src/cli/declarations.ts
@@ -1,4 +1,4 @@
-/** Declarations in files: reading and checking a tree, without a node. */
+/** Reads resource declarations from YAML and JSON files and validates them without contacting a node. */
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import { join } from 'node:path';
 import { err, ok, type Result } from 'neverthrow';
@@ -7,26 +7,25 @@
 import { READ_ONLY_KINDS, resourceKey } from '../protocol/resource/resource.js';
 import type { FieldProblem } from '../protocol/validation.js';
 
-/** A declaration and its file. */
 export interface Declaration {
+  /** Path of the file, with the number of the document if it is not the first. */
   readonly file: string;
   readonly manifest: Manifest;
 }
 
-/** A problem in a file. */
 export interface DeclarationProblem extends FieldProblem {
   readonly file: string;
 }
 
 const EXTENSIONS = ['.yaml', '.yml', '.json'];
 
-function filesUnder(path: string): string[] {
+function findFiles(path: string): string[] {
   if (!statSync(path).isDirectory()) return [path];
   return readdirSync(path)
     .sort()
     .flatMap((name) => {
       const child = join(path, name);
-      if (statSync(child).isDirectory()) return filesUnder(child);
+      if (statSync(child).isDirectory()) return findFiles(child);
       return EXTENSIONS.some((extension) => name.endsWith(extension)) ? [child] : [];
     });
 }
@@ -55,7 +54,7 @@
   return ok({ file: position, manifest: checked.value });
 }
 
-/** Reads all declarations under the paths; the error lists every problem of every file. */
+/** Reads all declarations under the given paths. The error lists every problem in every file. */
 export function loadDeclarations(paths: readonly string[]): Result<Declaration[], DeclarationProblem[]> {
   const problems: DeclarationProblem[] = [];
   const declarations: Declaration[] = [];
@@ -71,14 +70,14 @@
       else declarations.push(checked.value);
     }
   }
-  problems.push(...findRepeated(declarations));
+  problems.push(...findDuplicates(declarations));
   return problems.length > 0 ? err(problems) : ok(declarations);
 }
 
 function listFiles(problems: DeclarationProblem[]) {
   return (path: string): string[] => {
     try {
-      return filesUnder(path);
+      return findFiles(path);
     } catch (cause) {
       problems.push({ file: path, field: '(file)', message: (cause as Error).message });
       return [];
@@ -86,14 +85,14 @@
   };
 }
 
-function findRepeated(declarations: readonly Declaration[]): DeclarationProblem[] {
+function findDuplicates(declarations: readonly Declaration[]): DeclarationProblem[] {
   const seen = new Map<string, string>();
   return declarations.flatMap(({ file, manifest }) => {
     const key = resourceKey(manifest.kind, manifest.metadata.name);
     const earlier = seen.get(key);
     seen.set(key, file);
     return earlier
-      ? [{ file, field: 'metadata.name', message: `${key} is declared in ${earlier} as well` }]
+      ? [{ file, field: 'metadata.name', message: `${key} is already declared in ${earlier}` }]
       : [];
   });
 }
--- a/src/cli/job-accounts.ts
+++ b/src/cli/job-summary.ts
@@ -1,4 +1,4 @@
-/** Batch jobs as operators see them, read from the store without a call to any node. */
+/** Lists batch jobs for operators. Reads the store directly, so that no node needs to be running. */
 
 import { ok, type Result } from 'neverthrow';
 import { MILLISECONDS_PER_SECOND } from '../common/clock.js';
@@ -6,28 +6,27 @@
 import type { StateError } from '../state/state-error.js';
 import { formatTable } from './output.js';
 
-/** Summary of a job. */
-export interface JobAccount {
+export interface JobSummary {
   readonly id: string;
   readonly state: 'open' | 'ended';
-  /** Node that runs it, empty when none does. */
+  /** ID of the node that runs the job; empty if no node does. */
   readonly owner: string;
-  /** Grows with each change of the owner. */
+  /** Incremented with each change of owner. */
   readonly epoch: number;
   readonly model: string;
   readonly items: number;
   readonly ageSeconds: number;
 }
 
-/** A job with counts of its items by state. */
-export interface JobDetail extends JobAccount {
+export interface JobDetail extends JobSummary {
+  /** Items with a listed result, dead ones included. */
   readonly listed: number;
   readonly dead: number;
-  /** Items whose text so far is kept for the next owner. */
+  /** Items whose partial text is stored, so that the next owner can resume them. */
   readonly keptTexts: number;
 }
 
-function toAccount({ jobId, record }: JobHead, nowMs: number): JobAccount {
+function toSummary({ jobId, record }: JobHead, nowMs: number): JobSummary {
   return {
     id: jobId,
     state: record.state,
@@ -39,18 +38,18 @@
   };
 }
 
-/** All jobs, the newest first. `nowMs`, the store's time in milliseconds, is read after the jobs. */
+/** All jobs, newest first. `nowMs` returns the store's time and is called after the jobs are read. */
 export async function listJobs(
   repository: JobRepository,
   nowMs: () => number,
-): Promise<Result<JobAccount[], StateError>> {
+): Promise<Result<JobSummary[], StateError>> {
   const listing = await repository.list();
   return listing.map(({ heads }) =>
-    heads.map((head) => toAccount(head, nowMs())).sort((left, right) => left.ageSeconds - right.ageSeconds),
+    heads.map((head) => toSummary(head, nowMs())).sort((left, right) => left.ageSeconds - right.ageSeconds),
   );
 }
 
-/** One job, `undefined` when there is none. */
+/** One job; `undefined` if it does not exist. */
 export async function showJob(
   repository: JobRepository,
   jobId: string,
@@ -59,7 +58,7 @@
   const head = await repository.read(jobId);
   if (head.isErr()) return head.map(() => undefined);
   if (!head.value) return ok(undefined);
-  const account = toAccount(head.value, nowMs());
+  const account = toSummary(head.value, nowMs());
   const results = await repository.contents.allResults(jobId);
   if (results.isErr()) return results.map(() => undefined);
   const texts = await repository.contents.texts(jobId);
@@ -71,8 +70,7 @@
   }));
 }
 
-/** Jobs as an aligned table. */
-export function jobTable(jobs: readonly JobAccount[]): string {
+export function jobTable(jobs: readonly JobSummary[]): string {
   const head = ['JOB', 'STATE', 'OWNER', 'EPOCH', 'MODEL', 'ITEMS', 'AGE S'];
   const rows = jobs.map(({ id, state, owner, epoch, model, items, ageSeconds }) => [
     id,
@@ -86,7 +84,6 @@
   return formatTable(head, rows);
 }
 
-/** One job as an aligned table of fields. */
 export function jobDetailTable(job: JobDetail): string {
   return formatTable(
     ['FIELD', 'VALUE'],
--- a/src/cli/plan.ts
+++ b/src/cli/plan.ts
@@ -1,4 +1,4 @@
-/** Plan of an apply: differences between declarations and the resources in force. Nothing is changed. */
+/** Computes the changes that an apply would make, by comparing declarations with the stored resources. */
 import { err, ok, type Result } from 'neverthrow';
 import type { ProtocolError } from '../protocol/protocol-error.js';
 import type { Manifest } from '../protocol/resource/manifest.js';
@@ -8,55 +8,55 @@
 import { sameDeclaration } from '../state/resource/configuration/index.js';
 import type { Declaration } from './declarations.js';
 
-/** A planned change. */
 export interface PlannedChange {
   readonly action: 'create' | 'update' | 'delete' | 'unchanged';
   readonly kind: string;
   readonly name: string;
-  /** Version that the plan is based on; 0 for a resource that does not exist. */
+  /** Resource version that the change is based on; 0 if the resource does not exist. */
   readonly basedOn: number;
-  /** Fields that differ, with both values. */
   readonly differences: readonly FieldDifference[];
   readonly manifest?: Manifest;
 }
 
-/** A field that differs. */
 export interface FieldDifference {
+  /** Dotted path. */
   readonly field: string;
+  /** The stored value. */
   readonly inForce: unknown;
   readonly declared: unknown;
 }
 
-/** How declarations are to be applied. */
 export interface PlanOptions {
+  /** Name of the set of declarations. */
   readonly set: string;
+  /** Revision of the source tree. */
   readonly source: string | undefined;
+  /** Whether to delete stored resources of the set that are no longer declared. */
   readonly prune: boolean;
 }
 
-/** Fields that commands set; a declaration without them keeps their value. */
+/** Fields set by commands such as `drain`; a declaration that omits them keeps the stored value. */
 const OPERATIONAL_FIELDS: Readonly<Record<string, readonly string[]>> = {
   Backend: ['draining', 'drainReason'],
   ModelVersion: ['approvals'],
 };
 
-type Tree = Record<string, unknown>;
+type JsonObject = Record<string, unknown>;
 
 function withOperationalFields(manifest: Manifest, stored: ApiResource | undefined): Manifest {
-  const spec: Tree = { ...manifest.spec };
+  const spec: JsonObject = { ...manifest.spec };
   for (const field of OPERATIONAL_FIELDS[manifest.kind] ?? []) {
     if (!(field in spec) && stored && field in stored.spec) spec[field] = stored.spec[field];
   }
   return { ...manifest, spec: spec as Manifest['spec'] };
 }
 
-function isTree(value: unknown): value is Tree {
+function isJsonObject(value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Fields in which two values differ, by dotted path. */
 function differencesBetween(inForce: unknown, declared: unknown, path = ''): FieldDifference[] {
-  if (isTree(inForce) && isTree(declared)) {
+  if (isJsonObject(inForce) && isJsonObject(declared)) {
     const names = [...new Set([...Object.keys(inForce), ...Object.keys(declared)])].sort();
     return names.flatMap((name) =>
       differencesBetween(inForce[name], declared[name], path ? `${path}.${name}` : name),
@@ -65,7 +65,7 @@
   return JSON.stringify(inForce) === JSON.stringify(declared) ? [] : [{ field: path, inForce, declared }];
 }
 
-function planOne(
+function planChange(
   declaration: Declaration,
   stored: ApiResource | undefined,
   options: PlanOptions,
@@ -85,15 +85,15 @@
   if (sameDeclaration(stored as unknown as Resource, manifest)) {
     return { action: 'unchanged', kind, name, basedOn, differences: [] };
   }
-  const shown = (one: { metadata: Tree; spec: unknown }) => ({
+  const comparable = (one: { metadata: JsonObject; spec: unknown }) => ({
     metadata: { labels: one.metadata.labels ?? {}, set: one.metadata.set ?? '' },
     spec: one.spec,
   });
-  const differences = differencesBetween(shown(stored), shown(manifest as never));
+  const differences = differencesBetween(comparable(stored), comparable(manifest as never));
   return { action: 'update', kind, name, basedOn, differences, manifest };
 }
 
-/** Plans an apply. `--prune` deletes only what an earlier apply of the same set declared. */
+/** Plans an apply. `prune` deletes only resources that an earlier apply of the same set declared. */
 export async function planApply(
   client: OperatorClient,
   declarations: readonly Declaration[],
@@ -106,7 +106,7 @@
     for (const one of found.value.items) stored.set(resourceKey(one.kind, one.metadata.name), one);
   }
   const planned = declarations.map((one) =>
-    planOne(one, stored.get(resourceKey(one.manifest.kind, one.manifest.metadata.name)), options),
+    planChange(one, stored.get(resourceKey(one.manifest.kind, one.manifest.metadata.name)), options),
   );
   if (!options.prune) return ok(planned);
   const declared = new Set(planned.map((one) => resourceKey(one.kind, one.name)));
@@ -121,7 +121,7 @@
   return ok([...planned, ...pruned]);
 }
 
-/** The changeset of a plan; `undefined` when nothing differs. */
+/** The changeset of a plan; `undefined` if there are no changes. */
 export function toChangeset(
   plan: readonly PlannedChange[],
   operationId: string,
--- a/src/cli/trace.ts
+++ b/src/cli/trace.ts
@@ -1,10 +1,10 @@
 /**
- * Traces of a request, an item or a job from log lines, ordered by the time that each node wrote; clocks of
- * nodes differ, so lines of different nodes may be slightly out of order. Lines that a node left out, and its
- * restarts within the trace, are reported as gaps.
+ * Builds the trace of a request, an item or a job from log lines. Lines are ordered by their timestamps, so
+ * clock skew can reorder lines of different nodes. Restarts of a node and lines that its logger dropped are
+ * reported as gaps.
  */
 
-/** One log line. */
+/** One parsed log line. */
 export interface TraceLine {
   readonly timeMs: number;
   readonly node: string;
@@ -13,13 +13,12 @@
   readonly fields: Readonly<Record<string, string | number>>;
 }
 
-/** A trace. */
 export interface Trace {
   readonly id: string;
-  /** The job that the item or call belongs to, when one is named. */
+  /** The job that the item or call belongs to, if known. */
   readonly jobId: string | undefined;
   readonly lines: readonly TraceLine[];
-  /** Times for which lines are missing. */
+  /** Descriptions of places where lines may be missing. */
   readonly gaps: readonly string[];
 }
 
@@ -30,14 +29,14 @@
   readonly context: Readonly<Record<string, string | number>>;
 }
 
-/** Time around a trace within which gaps are reported, milliseconds. Chosen, not measured. */
+/** Gaps within this time before or after the trace are reported too. */
 const MARGIN_MS = 2_000;
-const LEFT_OUT_EVENT = 'lines-left-out';
+const OMITTED_LINES_EVENT = 'lines-left-out';
 const STARTED_EVENT = 'process-started';
 const JOB_EVENTS: ReadonlySet<string> = new Set(['job-changed', 'results-listed']);
 const IDENTIFIER_FIELDS = ['requestId', 'jobId'] as const;
 
-/** Parses one line, skipping text before the JSON; `undefined` when it is no log line. */
+/** Parses one line, skipping text before the JSON; `undefined` if it is not a log line. */
 export function parseLogLine(text: string): TraceLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -53,23 +52,25 @@
       fields,
     };
   } catch {
-    // Not a log line: text of another program whose output is in the same file.
+    // Output of another program in the same file.
     return undefined;
   }
 }
 
-/** The trace of `id`. For an item it includes the ownership and the result listings of its job. */
+/** Builds the trace of `id`. For an item it includes ownership changes and result listings of its job. */
 export function traceOf(id: string, all: readonly TraceLine[]): Trace {
-  const own = all.filter((line) => names(line, id));
-  const jobId = own.map((line) => line.fields.jobId).find((value) => value !== undefined && value !== id);
-  const ofJob = jobId === undefined ? [] : all.filter((line) => isAboutJob(line, String(jobId)));
-  const lines = [...new Set([...own, ...ofJob])].sort(
+  const matching = all.filter((line) => mentions(line, id));
+  const jobId = matching
+    .map((line) => line.fields.jobId)
+    .find((value) => value !== undefined && value !== id);
+  const jobLines = jobId === undefined ? [] : all.filter((line) => isAboutJob(line, String(jobId)));
+  const lines = [...new Set([...matching, ...jobLines])].sort(
     (left, right) => left.timeMs - right.timeMs || left.sequence - right.sequence,
   );
   return { id, jobId: jobId === undefined ? undefined : String(jobId), lines, gaps: gapsOf(lines, all) };
 }
 
-function names(line: TraceLine, id: string): boolean {
+function mentions(line: TraceLine, id: string): boolean {
   return IDENTIFIER_FIELDS.some((field) => {
     const value = line.fields[field];
     return value === id || (typeof value === 'string' && value.split('/').includes(id));
@@ -92,15 +93,15 @@
 }
 
 function gapOf(line: TraceLine, startMs: number): string[] {
-  const at = `${line.node}, ${line.timeMs - startMs} ms`;
-  if (line.event === LEFT_OUT_EVENT)
-    return [`${at}: ${line.fields.count} lines of ${line.fields.kind} were left out`];
+  const position = `${line.node}, ${line.timeMs - startMs} ms`;
+  if (line.event === OMITTED_LINES_EVENT)
+    return [`${position}: ${line.fields.count} lines of ${line.fields.kind} were left out`];
   if (line.event === STARTED_EVENT)
-    return [`${at}: the process was started; lines of its earlier incarnation may be missing`];
+    return [`${position}: the process started; lines of its previous run may be missing`];
   return [];
 }
 
-/** The trace as text: time since the first line, node, event, fields. */
+/** Formats a trace as text, a row per line: time since the first line, node, event and fields. */
 export function renderTrace(trace: Trace): string {
   const start = trace.lines[0]?.timeMs ?? 0;
   const width = Math.max(...trace.lines.map((line) => line.node.length));
