--- a/src/coordination/resource/rollouts/delivery.ts
+++ b/src/coordination/resource/rollouts/delivery.ts
@@ -73,6 +73,7 @@
 
   private recordDelivery(terms: DrawOptions, count: number, requestId: string, batch: Batch): void {
     if (count === 0) return;
+    // The metric label `handed-out` means delivered.
     this.metrics.samples.inc({ trainer: terms.trainer, outcome: 'handed-out' }, count);
     this.decisions.record({
       kind: 'deliver',
--- a/src/coordination/resource/singleton-tasks/singleton-tasks.ts
+++ b/src/coordination/resource/singleton-tasks/singleton-tasks.ts
@@ -169,6 +169,7 @@
       kind: 'lease',
       subjects: [`lease/${task.name}`],
       choice: 'acquired',
+      // Shown by `explain`: this node is a candidate in rendezvous order.
       reason: 'in-line',
       inputs: { note: `epoch ${lease.epoch}` },
     });
