--- a/src/coordination/resource/coordination-error.ts
+++ b/src/coordination/resource/coordination-error.ts
@@ -1,13 +1,10 @@
-/**
- * Errors of the coordination layer, as they are reported to callers: code, whether the work has run,
- * Retry-After.
- */
+/** Errors of the coordination layer as reported to callers: code, whether the work was executed, and Retry-After. */
 import type { Result } from 'neverthrow';
 import type { ProtocolError } from '../../protocol/protocol-error.js';
 import type { Executed, ProblemCode } from '../../protocol/resource/problem.js';
 import type { StateError, VersionPair } from '../../state/state-error.js';
 
-/** Work that was rejected or failed. `executed` is `no` only when it is certain that it did not run. */
+/** A rejected or failed request. `executed` is `no` only when the request certainly did not run. */
 export class CoordinationError extends Error {
   override readonly name = 'CoordinationError';
 
@@ -22,10 +19,9 @@
   }
 }
 
-/** Result of an operation of this layer. */
 export type CoordinationResult<T> = Promise<Result<T, CoordinationError>>;
 
-/** Retry-After of temporary failures that name none, milliseconds. Chosen, not measured. */
+/** Retry-After of temporary failures that do not specify one. */
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 const CODE_OF_STATE_FAILURE: Readonly<Record<StateError['failure'], ProblemCode>> = {
@@ -46,7 +42,7 @@
   return new CoordinationError(code, executed, error.message, wait, error.versions);
 }
 
-/** Converts a failed exchange with a back end. */
+/** Converts an error of a request to a back end. */
 export function fromBackend(error: ProtocolError): CoordinationError {
   if (error.effect === 'none') {
     return new CoordinationError(
@@ -59,7 +55,7 @@
   return new CoordinationError('outcome-unknown', 'unknown', error.message, DEFAULT_RETRY_AFTER_MS);
 }
 
-/** The failure to report of two: once the work may have run, a later `no` does not undo that. */
+/** Selects which of two failures to report: a later `no` does not override an earlier `unknown` or `yes`. */
 export function worseOf(earlier: CoordinationError | undefined, later: CoordinationError): CoordinationError {
   if (earlier === undefined || earlier.executed === 'no') return later;
   return later.executed === 'no' ? earlier : later;
--- a/test/coordination/resource/configuration/configuration.test.ts
+++ b/test/coordination/resource/configuration/configuration.test.ts
@@ -27,7 +27,7 @@
   const call = async (index: number) =>
     (await system.callApplication(node(index), uniqueId()))._unsafeUnwrap();
 
-  it('is in force on every node after it was accepted', async () => {
+  it('puts an accepted revision in force on every node', async () => {
     const accepted = (await drain(A, true))._unsafeUnwrap().metadata.resourceVersion;
     for (const index of [A, B, C]) {
       await until('it is in force', async () => (await status(index)).configRevision >= accepted);
@@ -35,7 +35,7 @@
     }
   });
 
-  it('is never used in an outdated revision by a node whose process was paused', async () => {
+  it('rejects requests as not run on a resumed node that missed a revision while it was paused', async () => {
     node(C).process.child.kill('SIGSTOP');
     (await drain(A, true))._unsafeUnwrap();
     await until('the paused node is listed as dead', async () => {
@@ -50,7 +50,7 @@
     }
   });
 
-  it('is accepted once committed; nodes that cannot reach the store reject requests instead of using the old revision', async () => {
+  it('accepts a change on an isolated node; nodes without the store stop serving until they have the new revision', async () => {
     system.isolate(node(A));
     for (const index of [B, C]) node(index).platformProxy.set('cut');
     (await drain(A, true))._unsafeUnwrap();
@@ -66,7 +66,7 @@
     }
   });
 
-  it('is not confirmed in a partition without the store, even if new nodes make it the majority', async () => {
+  it('stops serving in a partition without the store, even if new nodes make it the majority', async () => {
     const newcomers = await system.addNodes(['node-3', 'node-4']);
     const small = [node(C), ...newcomers];
     for (const one of small) {
@@ -89,7 +89,7 @@
     }
   });
 
-  it('expires on a partitioned node, which then rejects requests as not run', async () => {
+  it('rejects requests as not run on a partitioned node, and applies the new revision once it is reconnected', async () => {
     system.isolate(node(C));
     node(C).platformProxy.set('cut');
     const refusal = await until('the node rejects the call', async () => {
@@ -104,7 +104,7 @@
     expect((await call(C)).json.code).to.equal('no-backend');
   });
 
-  it('stays in force during a store outage for services that allow it, but not on a node started then', async () => {
+  it('keeps a revision in force during a store outage for services that allow it, but not on a node started then', async () => {
     const accepted = (await drain(A, true))._unsafeUnwrap().metadata.resourceVersion;
     for (const index of [A, B])
       await until('it is in force', async () => (await status(index)).configRevision >= accepted);
@@ -132,7 +132,7 @@
     expect((await call(C)).json.code).to.equal('no-backend');
   });
 
-  it('is committed once when store responses are lost, and a retry returns the same revision', async () => {
+  it('commits a change once when store responses are lost, and returns the same revision to a retry', async () => {
     await system.control(system.platformAddress, '/control/table/faults', { loseAnswers: 6 });
     const operationId = uniqueId();
     const manifest = {
@@ -152,7 +152,7 @@
     expect(stored.metadata).to.include({ resourceVersion: revision, generation: 1 });
   });
 
-  it('never reverts to an earlier revision on any node while nodes are killed and restarted', async () => {
+  it('never reverts a node to an earlier revision while nodes are killed and restarted', async () => {
     const highest = new Map<string, number>();
     let isDone = false;
     const observing = (async () => {
--- a/test/coordination/resource/requests/at-most-once.test.ts
+++ b/test/coordination/resource/requests/at-most-once.test.ts
@@ -27,7 +27,7 @@
     );
   });
 
-  it('are not retried when the response was lost; the caller gets outcome-unknown', async () => {
+  it('does not retry a request whose response was lost, and reports outcome-unknown to the caller', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { loseAnswers: 1 });
     const workId = uniqueId();
@@ -38,7 +38,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('are retried on another back end when the first one did not admit them', async () => {
+  it('retries a request on another back end when the first one did not admit it', async () => {
     const [refusing] = system.applications as [SystemBackend];
     await system.control(refusing.direct, '/control/faults', { refuse: true });
     for (let count = 0; count < 8; count += 1) {
@@ -48,7 +48,7 @@
     }
   });
 
-  it('have not run when the rejection reports executed: no', async () => {
+  it('reports executed: no for a request that no back end admitted, and does not run it', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { refuse: true });
     const workId = uniqueId();
@@ -58,7 +58,7 @@
     expect((await system.runs())[workId]).to.equal(undefined);
   });
 
-  it('run once per Idempotency-Key on any node, and retries get the recorded response', async () => {
+  it('runs a request once per Idempotency-Key on any node, and returns the recorded response to a retry', async () => {
     const workId = uniqueId();
     const key = { 'idempotency-key': workId };
     const answer = (await system.callApplication(first, workId, key))._unsafeUnwrap();
@@ -71,7 +71,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('run once per Idempotency-Key when the response was lost; every retry gets outcome-unknown', async () => {
+  it('runs a request once per Idempotency-Key when the response was lost, and reports outcome-unknown to a retry', async () => {
     for (const backend of system.applications)
       await system.control(backend.direct, '/control/faults', { loseAnswers: 1 });
     const workId = uniqueId();
@@ -86,7 +86,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('run once when concurrent retries with one Idempotency-Key arrive at both nodes', async () => {
+  it('runs a request once when concurrent retries with one Idempotency-Key arrive at both nodes', async () => {
     const workId = uniqueId();
     const key = { 'idempotency-key': workId };
     const calls = Array.from({ length: 12 }, (_, index) =>
@@ -97,7 +97,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('run once per Idempotency-Key when the store response to the claim was lost', async () => {
+  it('runs a request once per Idempotency-Key when store responses are lost', async () => {
     await system.control(system.platformAddress, '/control/table/faults', { loseAnswers: 3 });
     const workId = uniqueId();
     const key = { 'idempotency-key': workId };
@@ -108,7 +108,7 @@
     expect((await system.runs())[workId]).to.equal(1);
   });
 
-  it('with an Idempotency-Key are rejected without running while the store is unreachable; others run', async () => {
+  it('rejects a request with an Idempotency-Key while the store is unreachable, and runs one without a key', async () => {
     first.platformProxy.set('cut');
     const keyed = uniqueId();
     const answer = (await system.callApplication(first, keyed, { 'idempotency-key': keyed }))._unsafeUnwrap();
@@ -123,7 +123,7 @@
     expect((await system.runs())[unkeyed]).to.equal(1);
   });
 
-  it('are rejected with an Idempotency-Key that was used for a different request', async () => {
+  it('rejects a request with an Idempotency-Key that was used for a different request', async () => {
     const workId = uniqueId();
     await system.callApplication(first, workId, { 'idempotency-key': workId });
     const other = uniqueId();
--- a/test/coordination/resource/requests/callers.test.ts
+++ b/test/coordination/resource/requests/callers.test.ts
@@ -14,7 +14,7 @@
 
 const LIMIT = 3;
 
-describe('callers', () => {
+describe('caller requests', () => {
   const system = new TestSystem({
     nodes: 2,
     engines: 1,
@@ -41,7 +41,7 @@
   const setWork = (workMs: number) => system.control(application.direct, '/control/faults', { workMs });
   const authorization = `Bearer ${EMULATOR_TOKENS.caller}`;
 
-  it('get a response at the deadline that reports an unknown outcome', async () => {
+  it('reports an unknown outcome when the deadline passes while the request runs', async () => {
     await setWork(60_000);
     const answer = (
       await system.callApplication(first, uniqueId(), { 'x-request-timeout-ms': '300' })
@@ -50,7 +50,7 @@
     expect(answer.json).to.include({ code: 'deadline-passed', executed: 'unknown' });
   });
 
-  it('get the field name in the error when the deadline is not a number', async () => {
+  it('names the field in the error when the deadline is not a number', async () => {
     const answer = (
       await system.callApplication(first, uniqueId(), { 'x-request-timeout-ms': 'soon' })
     )._unsafeUnwrap();
@@ -58,7 +58,7 @@
     expect(JSON.stringify(answer.json.fields)).to.contain('x-request-timeout-ms');
   });
 
-  it('cancel their generation when they disconnect', async () => {
+  it('cancels the generation when the caller disconnects', async () => {
     const engines = new EngineClient(system.client);
     const running = async () => (await engines.state(engine.direct))._unsafeUnwrap().running;
     const leave = new AbortController();
@@ -77,7 +77,7 @@
     await until('the engine has stopped', async () => (await running()) === 0);
   });
 
-  it('get an immediate rejection with Retry-After above their concurrency limit; requests within it succeed', async () => {
+  it('rejects requests above the concurrency limit of a caller with Retry-After, and completes those within it', async () => {
     await setWork(1_500);
     const answers = await Promise.all(
       Array.from({ length: LIMIT + 2 }, () => system.callApplication(first, uniqueId())),
@@ -89,7 +89,7 @@
     expect(Number(refused?.headers['retry-after'])).to.be.at.least(1);
   });
 
-  it('can have a rejection explained by another node, even after the rejecting node was killed', async () => {
+  it('explains a rejection on another node, even after the rejecting node was killed', async () => {
     (
       await system.operator(first).patch('Backend', application.name, { spec: { draining: true } })
     )._unsafeUnwrap();
@@ -117,7 +117,7 @@
     expect(await until('the flushed decision is found', explain)).to.contain('"reason":"draining"');
   });
 
-  it('can read only decisions about their own samples as trainers', async () => {
+  it('forbids a trainer to read decisions about samples of another trainer, but not about its own', async () => {
     const explain = (subject: string) =>
       system.client.exchange({
         method: 'GET',
--- a/test/coordination/resource/requests/drain.test.ts
+++ b/test/coordination/resource/requests/drain.test.ts
@@ -30,7 +30,7 @@
     return names;
   }
 
-  it('receive no new requests once the drain is in force, and explain shows the reason', async () => {
+  it('sends no new requests to a back end once its drain is in force, and explains the reason', async () => {
     const operator = system.operator(node);
     (
       await operator.patch('Backend', 'app-0', { spec: { draining: true, drainReason: 'disk swap' } })
@@ -47,7 +47,7 @@
     await until('it is in use again', async () => (await answeredBy(node)).has('app-0'));
   });
 
-  it('receive no new requests once their machine is listed as leaving', async () => {
+  it('sends no new requests to a back end once its machine is listed as leaving', async () => {
     const machine = { name: 'm-app-1', zone: 'zone-a', state: 'leaving' };
     await system.control(system.platformAddress, '/control/machines', machine);
     for (const one of system.nodes)
@@ -56,7 +56,7 @@
     await until('it is in use again', async () => (await answeredBy(node)).has('app-1'));
   });
 
-  it('reject new requests themselves if they are engines', async () => {
+  it('makes a draining engine reject new requests itself', async () => {
     (await system.operator(node).patch('Backend', 'engine-0', { spec: { draining: true } }))._unsafeUnwrap();
     const engines = new EngineClient(system.client);
     const [engine] = system.engines as [SystemBackend];
@@ -73,7 +73,7 @@
     (await system.operator(node).patch('Backend', 'engine-0', { spec: { draining: null } }))._unsafeUnwrap();
   });
 
-  it('receive no requests from a node that was paused while the drain took effect', async () => {
+  it('sends no requests to a draining back end from a node that was paused while the drain took effect', async () => {
     const paused = system.nodes[1] as SystemNode;
     expect((await answeredBy(paused)).has('app-0')).to.equal(true);
     paused.process.child.kill('SIGSTOP');
@@ -109,7 +109,7 @@
   });
   after(() => system.stop());
 
-  it('completes a long stream, rejects new requests as not run, releases its leases and exits with code 0', async () => {
+  it('completes a long stream, rejects new requests as not run, exits with code 0 and leaves its shard to another node', async () => {
     const sent = await system.client.send({
       method: 'POST',
       url: `${node.address}/v1/completions`,
--- a/test/coordination/resource/rollouts/event-transcript.test.ts
+++ b/test/coordination/resource/rollouts/event-transcript.test.ts
@@ -18,7 +18,7 @@
 describe('EventTranscript', () => {
   const stream = Buffer.from(event('grüezi ', 2, 1) + event('مرحبا ', 3, 1) + event('x', 4, 2, 'stop') + END);
 
-  it('yields the same events for any split of the bytes', () => {
+  it('yields the same bytes, text and segments for any split of the stream', () => {
     fc.assert(
       fc.property(fc.array(fc.nat()), (cuts) => {
         const transcript = new EventTranscript();
@@ -36,7 +36,7 @@
     );
   });
 
-  it('is complete only after the end-of-stream event', () => {
+  it('reports completion only after the end-of-stream event', () => {
     fc.assert(
       fc.property(fc.integer({ min: 0, max: stream.length - 1 }), (cut) => {
         const transcript = new EventTranscript();
--- a/test/coordination/resource/rollouts/exactly-once.test.ts
+++ b/test/coordination/resource/rollouts/exactly-once.test.ts
@@ -59,7 +59,7 @@
     });
   }
 
-  it('is exactly once when the owner is killed during a step', async () => {
+  it('delivers every sample exactly once when the owner is killed during a step', async () => {
     const running = trainer(3).run();
     const killed = await owner();
     await sleep(300);
@@ -69,7 +69,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('is exactly once when the owner is paused past its lease expiry and then resumes', async () => {
+  it('delivers every sample exactly once when the owner is paused past its lease expiry and then resumes', async () => {
     const running = trainer(3).run();
     const paused = await owner();
     await sleep(200);
@@ -79,7 +79,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('is exactly once when store responses are lost after the writes took effect', async () => {
+  it('delivers every sample exactly once when store responses are lost after the writes took effect', async () => {
     const running = trainer(3).run();
     for (let round = 0; round < 12; round += 1) {
       await system.control(system.platformAddress, '/control/table/faults', { loseAnswers: 4 });
@@ -89,7 +89,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('is exactly once when the store is down and then slow during a step', async () => {
+  it('delivers every sample exactly once when the store is down and then slow during a step', async () => {
     const running = trainer(3).run();
     await owner();
     const set = (faults: object) =>
@@ -106,7 +106,7 @@
     expectExactlyOnce(await running);
   });
 
-  it('is exactly once when engines crash and interrupt their streams', async () => {
+  it('delivers every sample exactly once when engines crash and interrupt their streams', async () => {
     const running = trainer(3).run();
     await owner();
     const [first, second] = system.engines as [SystemBackend, SystemBackend];
--- a/test/coordination/resource/singleton-tasks/singleton-tasks.test.ts
+++ b/test/coordination/resource/singleton-tasks/singleton-tasks.test.ts
@@ -23,7 +23,7 @@
     );
   }
 
-  it('move to nodes that join later once they are idle, and each has one holder', async () => {
+  it('distributes tasks to nodes that join later, with one holder for each task', async () => {
     await until('the first node runs all tasks', async () => (await rolloutTasks())[0]?.length === SHARDS);
     await system.addNodes(['node-1', 'node-2']);
     await until('each node runs some tasks', async () => {
@@ -33,7 +33,7 @@
     });
   });
 
-  it('continue after the handover', async () => {
+  it('completes a rollout that is submitted after the handover', async () => {
     const [node] = system.nodes as [(typeof system.nodes)[0]];
     const submission = {
       rolloutId: 'r',
--- a/test/coordination/resource/weights/staleness.test.ts
+++ b/test/coordination/resource/weights/staleness.test.ts
@@ -51,7 +51,7 @@
       return progress.ready === count;
     });
 
-  it('discards ready samples that exceed it before they are drawn, and generates them again', async () => {
+  it('discards ready samples that exceed the bound before they are drawn, and generates them again', async () => {
     await submit('ready', 4);
     await allReady('ready', 4);
     expect((await system.trainer(first).publish(EMULATOR_MODEL, 2, 'w/2')).isOk()).to.equal(true);
@@ -66,7 +66,7 @@
     expect(explained.summary).to.contain('discarded: version 1');
   });
 
-  it('replaces a batch that exceeds it before a redelivery by a new attempt of its cursor', async () => {
+  it('replaces a batch that exceeds the bound with a new attempt at its cursor, and rejects the old attempt', async () => {
     await submit('redelivered', 4);
     await allReady('redelivered', 4);
     const lost = await drawSamples(first, 2);
@@ -87,7 +87,7 @@
     accept(again);
   });
 
-  it('applies to the version stated in a draw even if it is not published yet', async () => {
+  it('applies the bound to the version stated in a draw even if that version is not published yet', async () => {
     await submit('named', 2);
     await allReady('named', 2);
     const batch = (await drawAt(first, 4))._unsafeUnwrap();
@@ -98,7 +98,7 @@
     accept(fresh);
   });
 
-  it('does not deliver samples of a cancelled rollout', async () => {
+  it('delivers no samples of a cancelled rollout', async () => {
     await submit('cancelled', 3);
     await allReady('cancelled', 3);
     expect((await system.trainer(second).cancel('cancelled')).isOk()).to.equal(true);
--- a/test/coordination/resource/weights/weights.test.ts
+++ b/test/coordination/resource/weights/weights.test.ts
@@ -62,7 +62,7 @@
     return samples;
   }
 
-  it('are not loaded without an approval, and only an approver may approve', async () => {
+  it('loads no version without an approval, and accepts approvals only from an approver', async () => {
     await publish(2);
     const operator = await system.operator(node).approve(`${EMULATOR_MODEL}-v2`);
     expect(operator._unsafeUnwrapErr().detail).to.include({ code: 'forbidden' });
@@ -75,7 +75,7 @@
     await untilAllAt(2);
   });
 
-  it('are reported per token when they change during a sample', async () => {
+  it('reports the version of each token when the version changes during a sample', async () => {
     await system.trainer(node).submit({
       rolloutId: 'swapped',
       model: EMULATOR_MODEL,
@@ -96,7 +96,7 @@
     await untilAllAt(3);
   });
 
-  it('quarantine an engine while they differ between its shards after a failed load', async () => {
+  it('quarantines an engine after failed loads, and uses it again once the version is loaded', async () => {
     const [failing] = system.engines as [SystemBackend];
     await system.control(failing.direct, '/control/fail-swaps', { count: 2 });
     await publish(4);
@@ -116,7 +116,7 @@
     });
   });
 
-  it('are not changed by a command with an outdated fencing token', async () => {
+  it('rejects a load command with an outdated fencing token and keeps the loaded version', async () => {
     const [engine] = system.engines as [SystemBackend];
     const order = { fence: 0, order: 'load' as const, model: EMULATOR_MODEL, version: 1, object: 'w/1' };
     const refused = await engines.order(engine.direct, order);
@@ -124,7 +124,7 @@
     expect((await versions())[0]).to.equal('4');
   });
 
-  it('are never loaded into engines outside the zones of the model', async () => {
+  it('loads no version into engines outside the zones of the model', async () => {
     (
       await system.operator(node).patch('Model', EMULATOR_MODEL, { spec: { residency: ['zone-b'] } })
     )._unsafeUnwrap();
--- a/test/state/resource/leases/lease-store.test.ts
+++ b/test/state/resource/leases/lease-store.test.ts
@@ -26,12 +26,12 @@
   return (await leases.tryAcquire(LEASE))._unsafeUnwrap();
 }
 
-describe('LeaseStore with a lease already held by its session', () => {
-  it('adopts the lease with the version of its epoch row', async () => {
+describe('LeaseStore', () => {
+  it('adopts a lease already held by its session with the version of its epoch row', async () => {
     expect((await acquire({ version: 2, epoch: 2 }))?.condition.version).to.equal(2);
   });
 
-  it('does not adopt the lease with an epoch row that was read before the acquisition', async () => {
+  it('does not adopt a lease held by its session with an epoch row that was read before the acquisition', async () => {
     expect(await acquire({ version: 1, epoch: 1 })).to.equal(undefined);
   });
 });
