--- a/emulator/replica/replica-server.ts
+++ b/emulator/replica/replica-server.ts
@@ -78,6 +78,8 @@
   id = '';
   address = '';
   readonly received: ReceivedRequest[] = [];
+  /** IDs of the requests that were read while `isSilent`, which are never answered. */
+  readonly unansweredIds: string[] = [];
   readonly orders: ReceivedOrder[] = [];
   readonly versions: Map<string, number>;
   /** Takes requests and never answers. */
@@ -239,6 +241,7 @@
 
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await receiveBody(request);
+    if (body && this.isSilent) this.unansweredIds.push(idOf(request));
     if (!body || this.isSilent) return;
     if (request.url === REPLICA_PATH.report) return this.report(response);
     const expected = request.headers[HEADER.expectReplica];
--- a/test/coordination/service/requests/replica-restart.test.ts
+++ b/test/coordination/service/requests/replica-restart.test.ts
@@ -57,7 +57,9 @@
     replica.isSilent = true;
     const startedAt = monotonicMs();
     const pendingAnswer = lookup();
-    await until('the replica has a connection', () => replica.connectionCount() > 0);
+    await until('the replica has read the request', () =>
+      replica.unansweredIds.includes(`lookup-${requests}`),
+    );
     await replica.startAgain({ isDark: true });
     expect((await pendingAnswer)?.status).to.equal(502);
     expect(monotonicMs() - startedAt).to.be.lessThan(MAX_RESPONSE_MS);
@@ -70,7 +72,9 @@
     await startNode();
     replica.isSilent = true;
     const pendingAnswer = lookup();
-    await until('the replica has a connection', () => replica.connectionCount() > 0);
+    await until('the replica has read the request', () =>
+      replica.unansweredIds.includes(`lookup-${requests}`),
+    );
     await replica.startAgain({ isDark: true });
     expect((await pendingAnswer)?.status).to.equal(200);
   });
